--- a/crates/fleet/src/chance.rs
+++ b/crates/fleet/src/chance.rs
@@ -31,7 +31,8 @@
     /// Log-normal with this mean and coefficient of variation.
     pub fn lognormal(&mut self, mean: f64, cv: f64) -> f64 {
         let sigma2 = (1.0 + cv * cv).ln();
-        let normal = (-2.0 * (1.0 - self.even()).ln()).sqrt() * (std::f64::consts::TAU * self.even()).cos();
+        let normal =
+            (-2.0 * (1.0 - self.even()).ln()).sqrt() * (std::f64::consts::TAU * self.even()).cos();
         mean * (sigma2.sqrt() * normal - sigma2 / 2.0).exp()
     }
 
--- a/crates/fleet/src/crowd.rs
+++ b/crates/fleet/src/crowd.rs
@@ -131,7 +131,8 @@
 impl Crowd {
     /// The customers of a day with these plans and so many front doors.
     pub fn new(spec: CrowdSpec, plans: &[Plan], doors: usize, chance: &mut Chance) -> Crowd {
-        let between = |chance: &mut Chance, (least, most): (f64, f64)| least + (most - least) * chance.even();
+        let between =
+            |chance: &mut Chance, (least, most): (f64, f64)| least + (most - least) * chance.even();
         let mut all = Vec::new();
         for (plan, share) in spec.shares.iter().enumerate() {
             let told = &plans[plan];
@@ -145,7 +146,10 @@
                 } else if luck < full + heavy {
                     Kind::Steady(between(chance, (1.6, 3.8)))
                 } else if luck < full + heavy + spiky {
-                    let (every, lasts) = (between(chance, (10e3, 25e3)), between(chance, (770.0, 3300.0)));
+                    let (every, lasts) = (
+                        between(chance, (10e3, 25e3)),
+                        between(chance, (770.0, 3300.0)),
+                    );
                     Kind::Spiky(calm, between(chance, (2.0, 6.5)), every, lasts)
                 } else {
                     Kind::Steady(calm)
@@ -155,8 +159,12 @@
                     Kind::Spiky(x, ..) => x,
                 };
                 asked += use_of_quota * told.rate;
-                let most = told.ceiling.map_or(f64::INFINITY, |ceiling| ceiling.burst / 2.0);
-                let wide = (between(chance, spec.spread) * doors as f64).min(most).max(2.0) as usize;
+                let most = told
+                    .ceiling
+                    .map_or(f64::INFINITY, |ceiling| ceiling.burst / 2.0);
+                let wide = (between(chance, spec.spread) * doors as f64)
+                    .min(most)
+                    .max(2.0) as usize;
                 let (first, wide) = (chance.below(doors), wide.min(doors));
                 let full = |units| Store { units, at: 0.0 };
                 all.push(Customer {
@@ -180,8 +188,16 @@
                 customer.flood = Some((part * spec.rate, from, to));
             }
         }
-        let ledger = Ledger { ceiling_left: f64::INFINITY, ..Ledger::default() };
-        Crowd { spec, plans: plans.to_vec(), all, ledger }
+        let ledger = Ledger {
+            ceiling_left: f64::INFINITY,
+            ..Ledger::default()
+        };
+        Crowd {
+            spec,
+            plans: plans.to_vec(),
+            all,
+            ledger,
+        }
     }
 
     /// When a customer asks next, or when its rate is to be looked at again, and whether it asks then.
@@ -192,7 +208,11 @@
             Kind::Steady(x) => (x * rate, f64::INFINITY),
             Kind::Spiky(x, spike, every, lasts) => {
                 let into = (now + every * (customer % 7) as f64 / 7.0) % every;
-                let (x, until) = if into < lasts { (spike, lasts) } else { (x, every) };
+                let (x, until) = if into < lasts {
+                    (spike, lasts)
+                } else {
+                    (x, every)
+                };
                 (x * rate, now + (until - into).max(1.0))
             }
         };
@@ -218,7 +238,9 @@
         if now >= who.until {
             who.until = now + shift.0 + (shift.1 - shift.0) * chance.even();
             let mut ranks: Vec<usize> = (1..=who.doors.len()).collect();
-            (1..ranks.len()).rev().for_each(|i| ranks.swap(i, chance.below(i + 1)));
+            (1..ranks.len())
+                .rev()
+                .for_each(|i| ranks.swap(i, chance.below(i + 1)));
             let mut sum = 0.0;
             who.weights = ranks
                 .iter()
@@ -229,7 +251,10 @@
                 .collect();
         }
         let luck = chance.even() * who.weights.last().copied().unwrap_or(1.0);
-        who.doors[who.weights.partition_point(|sum| *sum <= luck).min(who.doors.len() - 1)]
+        who.doors[who
+            .weights
+            .partition_point(|sum| *sum <= luck)
+            .min(who.doors.len() - 1)]
     }
 
     /// A client asks for the first time: what one gateway that saw all would let in is offered.
@@ -297,7 +322,11 @@
         if period < 0.0 || self.spec.meter == Meter::Silent {
             return None;
         }
-        let units = who.sent.iter().find(|(at, _)| *at == period as u64).map_or(0.0, |(_, units)| *units);
+        let units = who
+            .sent
+            .iter()
+            .find(|(at, _)| *at == period as u64)
+            .map_or(0.0, |(_, units)| *units);
         let told = units / (self.plans[who.plan].rate * PERIOD / 1000.0);
         Some(match self.spec.meter {
             Meter::Absurd => [f64::NAN, -told, 1000.0 * told][chance.below(3)],
--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -45,29 +45,72 @@
 /// Prints a row for each seed, then mean, least and most of each column.
 fn table(columns: &[&str], seeds: u64, row: impl Fn(u64) -> Vec<f64>) {
     println!("{}", if NEW { "state: new" } else { "state: base" });
-    println!("{:>6} {}", "seed", columns.iter().map(|name| format!("{name:>16}")).collect::<String>());
+    println!(
+        "{:>6} {}",
+        "seed",
+        columns
+            .iter()
+            .map(|name| format!("{name:>16}"))
+            .collect::<String>()
+    );
     let rows: Vec<Vec<f64>> = (1..=seeds).map(&row).collect();
     let line = |name: &str, values: &[f64]| {
-        println!("{name:>6} {}", values.iter().map(|value| format!("{value:>16.4}")).collect::<String>());
+        println!(
+            "{name:>6} {}",
+            values
+                .iter()
+                .map(|value| format!("{value:>16.4}"))
+                .collect::<String>()
+        );
     };
     for (seed, row) in rows.iter().enumerate() {
         line(&(seed + 1).to_string(), row);
     }
     let column = |i: usize| rows.iter().map(move |row| row[i]);
     let all = |f: &dyn Fn(usize) -> f64| (0..columns.len()).map(f).collect::<Vec<f64>>();
-    line("mean", &all(&|i| column(i).sum::<f64>() / rows.len().max(1) as f64));
+    line(
+        "mean",
+        &all(&|i| column(i).sum::<f64>() / rows.len().max(1) as f64),
+    );
     line("least", &all(&|i| column(i).fold(f64::INFINITY, f64::min)));
-    line("most", &all(&|i| column(i).fold(f64::NEG_INFINITY, f64::max)));
+    line(
+        "most",
+        &all(&|i| column(i).fold(f64::NEG_INFINITY, f64::max)),
+    );
 }
 
 /// The classes of the booking service, with their aims, deadlines, worth and work.
 fn classes() -> Vec<ClassSpec> {
-    let class = |aim, deadline, worth, effect| Class { aim, deadline, worth, effect, ..Class::default() };
-    let keyed = Effect::Keyed { group: Group::Cell, memory: 2000.0 };
+    let class = |aim, deadline, worth, effect| Class {
+        aim,
+        deadline,
+        worth,
+        effect,
+        ..Class::default()
+    };
+    let keyed = Effect::Keyed {
+        group: Group::Cell,
+        memory: 2000.0,
+    };
     vec![
-        ClassSpec { class: class(2500.0, 6000.0, 1.0, Effect::Safe), share: 0.6, work: 240.0, cv: 0.9 },
-        ClassSpec { class: class(1200.0, 3000.0, 3.0, keyed), share: 0.27, work: 160.0, cv: 1.0 },
-        ClassSpec { class: class(1200.0, 4000.0, 5.0, Effect::Unsafe), share: 0.13, work: 160.0, cv: 1.0 },
+        ClassSpec {
+            class: class(2500.0, 6000.0, 1.0, Effect::Safe),
+            share: 0.6,
+            work: 240.0,
+            cv: 0.9,
+        },
+        ClassSpec {
+            class: class(1200.0, 3000.0, 3.0, keyed),
+            share: 0.27,
+            work: 160.0,
+            cv: 1.0,
+        },
+        ClassSpec {
+            class: class(1200.0, 4000.0, 5.0, Effect::Unsafe),
+            share: 0.13,
+            work: 160.0,
+            cv: 1.0,
+        },
     ]
 }
 
@@ -75,7 +118,11 @@
     Settings {
         gateways: doors,
         tick: 4.0,
-        plans: vec![Plan { rate: 1e4, burst: 1e5, ..Plan::default() }],
+        plans: vec![Plan {
+            rate: 1e4,
+            burst: 1e5,
+            ..Plan::default()
+        }],
         max_attempts: 5,
         second_copies: true,
         cancel: true,
@@ -104,11 +151,22 @@
             at = end + chance.exponential(6000.0);
         }
     }
-    Spec { patience: 0.03, pauses, rate: 40.0, ..chain(seed) }
+    Spec {
+        patience: 0.03,
+        pauses,
+        rate: 40.0,
+        ..chain(seed)
+    }
 }
 
-const CHAIN: [&str; 6] =
-    ["wasted share", "late failures", "served share", "worst 10 s", "sends per first", "refused share"];
+const CHAIN: [&str; 6] = [
+    "wasted share",
+    "late failures",
+    "served share",
+    "worst 10 s",
+    "sends per first",
+    "refused share",
+];
 
 /// Three tiers, each calling the next while its own core waits. From 10 s to 30 s three in ten of the last tier take five
 /// times as long, and from 18 s to 22 s one in four of the first tier hangs.
@@ -124,7 +182,14 @@
             _ => (9, Vec::new(), false),
         };
         let speed = 0.85 + 0.25 * chance.even();
-        backends.push(BackendSpec { cores, room: 60, speed, next, listed, ..BackendSpec::default() });
+        backends.push(BackendSpec {
+            cores,
+            room: 60,
+            speed,
+            next,
+            listed,
+            ..BackendSpec::default()
+        });
     }
     let mut faults = Vec::new();
     for i in 0..third * 3 / 10 {
@@ -136,7 +201,13 @@
         faults.push((22_000.0, Fault::Ill(i, Ill::No)));
     }
     let thirds = |classes: Vec<ClassSpec>| {
-        classes.into_iter().map(|class| ClassSpec { work: class.work / 3.0, ..class }).collect()
+        classes
+            .into_iter()
+            .map(|class| ClassSpec {
+                work: class.work / 3.0,
+                ..class
+            })
+            .collect()
     };
     Spec {
         settings: settings(20),
@@ -171,13 +242,29 @@
 /// One backend in eight answers with errors at once from 10 s on; the rest are at six tenths of what they can do, and one
 /// answer in five hundred of theirs is an error too.
 fn health(doors: u32, seed: u64) -> Spec {
-    let backends = if doors < 30 { 12 } else { 2 * doors as usize / 3 };
+    let backends = if doors < 30 {
+        12
+    } else {
+        2 * doors as usize / 3
+    };
     let mut chance = Chance::new(seed ^ 0x61c8);
-    let spec = |speed| BackendSpec { speed, ill: Ill::No, ..BackendSpec::default() };
-    let backends: Vec<_> = (0..backends).map(|_| spec(0.85 + 0.25 * chance.even())).collect();
+    let spec = |speed| BackendSpec {
+        speed,
+        ill: Ill::No,
+        ..BackendSpec::default()
+    };
+    let backends: Vec<_> = (0..backends)
+        .map(|_| spec(0.85 + 0.25 * chance.even()))
+        .collect();
     let count = backends.len();
-    let mut faults: Vec<_> = (0..count).map(|i| (0.0, Fault::Ill(i, Ill::Errors(0.002)))).collect();
-    faults.extend((0..count).step_by(8).map(|i| (10_000.0, Fault::Ill(i, Ill::Errors(1.0)))));
+    let mut faults: Vec<_> = (0..count)
+        .map(|i| (0.0, Fault::Ill(i, Ill::Errors(0.002))))
+        .collect();
+    faults.extend(
+        (0..count)
+            .step_by(8)
+            .map(|i| (10_000.0, Fault::Ill(i, Ill::Errors(1.0)))),
+    );
     let rate = 0.6 * count as f64 * 4000.0 / 208.0 / f64::from(doors);
     Spec {
         settings: settings(doors),
@@ -196,12 +283,15 @@
     let bad = spec.backends.len().div_ceil(8) as f64;
     let tally = play(spec);
     let share = |from: usize, to: usize| {
-        let sum =
-            tally.to_ill[from..to].iter().fold((0, 0), |sum, second| (sum.0 + second.0, sum.1 + second.1));
+        let sum = tally.to_ill[from..to]
+            .iter()
+            .fold((0, 0), |sum, second| (sum.0 + second.0, sum.1 + second.1));
         (sum.1 as f64 / sum.0.max(1) as f64, sum.1 as f64)
     };
     let (all, late) = (share(10, 50), share(30, 50));
-    let under = (10..49).find(|second| share(*second, second + 2).0 < 0.01).unwrap_or(50);
+    let under = (10..49)
+        .find(|second| share(*second, second + 2).0 < 0.01)
+        .unwrap_or(50);
     vec![
         all.0,
         late.0,
@@ -233,7 +323,10 @@
         faults.push((at + 1500.0, Fault::Ill(i, Ill::Dead)));
         faults.push((at + 1500.0, Fault::Told(i, Availability::Gone)));
     }
-    Spec { faults, ..pools(seed) }
+    Spec {
+        faults,
+        ..pools(seed)
+    }
 }
 
 /// 300 front doors, 200 backends of few connections in two zones. From 10 s on, 120 of the backends are replaced within
@@ -241,8 +334,14 @@
 fn pools(seed: u64) -> Spec {
     let mut chance = Chance::new(seed ^ 0x2b99);
     let backends = 200;
-    let spec = |i: usize, speed| BackendSpec { zone: i as u32 % 2, speed, ..BackendSpec::default() };
-    let backends: Vec<_> = (0..backends).map(|i| spec(i, 0.85 + 0.25 * chance.even())).collect();
+    let spec = |i: usize, speed| BackendSpec {
+        zone: i as u32 % 2,
+        speed,
+        ..BackendSpec::default()
+    };
+    let backends: Vec<_> = (0..backends)
+        .map(|i| spec(i, 0.85 + 0.25 * chance.even()))
+        .collect();
     let mut faults = Vec::new();
     for i in 0..120 {
         let at = 10_000.0 + 7000.0 * f64::from(i) / 120.0;
--- a/crates/fleet/src/pooling.rs
+++ b/crates/fleet/src/pooling.rs
@@ -52,12 +52,26 @@
 #[cfg(feature = "base")]
 impl Pool {
     pub fn new(_doors: u32, _seed: u64) -> Pool {
-        Pool { idle: Default::default(), waiting: Default::default(), open: 0 }
+        Pool {
+            idle: Default::default(),
+            waiting: Default::default(),
+            open: 0,
+        }
     }
 
-    pub fn take(&mut self, now: Millis, to: usize, call: usize, _once: bool, acts: &mut Vec<Act>) -> Got {
+    pub fn take(
+        &mut self,
+        now: Millis,
+        to: usize,
+        call: usize,
+        _once: bool,
+        acts: &mut Vec<Act>,
+    ) -> Got {
         let idle = self.idle.entry(to).or_default();
-        if let Some(place) = idle.iter().rposition(|(_, since)| now - since < 0.6 * IDLE_CLOSE) {
+        if let Some(place) = idle
+            .iter()
+            .rposition(|(_, since)| now - since < 0.6 * IDLE_CLOSE)
+        {
             return Got::Kept(idle.remove(place).0);
         }
         if self.open >= BUDGET {
@@ -73,7 +87,14 @@
         Got::Waits
     }
 
-    pub fn dialled(&mut self, _: Millis, _to: usize, call: Option<usize>, how: Dialled, acts: &mut Vec<Act>) {
+    pub fn dialled(
+        &mut self,
+        _: Millis,
+        _to: usize,
+        call: Option<usize>,
+        how: Dialled,
+        acts: &mut Vec<Act>,
+    ) {
         let waits = call.filter(|call| self.waiting.remove(call));
         match (how, waits) {
             (Dialled::Up(link), Some(call)) => acts.push(Act::Give(call, link)),
@@ -109,7 +130,10 @@
 
     pub fn tidy(&mut self, now: Millis, acts: &mut Vec<Act>) {
         for idle in self.idle.values_mut() {
-            let old = idle.iter().take_while(|(_, since)| now - since >= 0.6 * IDLE_CLOSE).count();
+            let old = idle
+                .iter()
+                .take_while(|(_, since)| now - since >= 0.6 * IDLE_CLOSE)
+                .count();
             self.open -= old;
             acts.extend(idle.drain(..old).map(|(link, _)| Act::Close(link)));
         }
@@ -146,15 +170,26 @@
         acts.extend(effects.into_iter().map(|effect| match effect {
             links::Effect::Dial(to, dial) => Act::Dial(to, Some(dial.0 as usize)),
             links::Effect::Give(who, link) => Act::Give(who.0 as usize, link.0),
-            links::Effect::Fail(who, why) => Act::Fail(who.0 as usize, why != links::Why::Unreachable),
+            links::Effect::Fail(who, why) => {
+                Act::Fail(who.0 as usize, why != links::Why::Unreachable)
+            }
             links::Effect::Close(link) => Act::Close(link.0),
             links::Effect::Wake(to, at) => Act::Wake(to, at),
         }));
         told
     }
 
-    pub fn take(&mut self, now: Millis, to: usize, call: usize, once: bool, acts: &mut Vec<Act>) -> Got {
-        match self.with(acts, |links, fx| links.take(now, to, links::Ticket(call as u64), once, fx)) {
+    pub fn take(
+        &mut self,
+        now: Millis,
+        to: usize,
+        call: usize,
+        once: bool,
+        acts: &mut Vec<Act>,
+    ) -> Got {
+        match self.with(acts, |links, fx| {
+            links.take(now, to, links::Ticket(call as u64), once, fx)
+        }) {
             links::Taken::Kept(link, _) => Got::Kept(link.0),
             links::Taken::Waits => Got::Waits,
             links::Taken::NoRoom => Got::NoRoom,
@@ -181,7 +216,9 @@
     }
 
     pub fn freed(&mut self, now: Millis, to: usize, link: u64, acts: &mut Vec<Act>) {
-        self.with(acts, |links, fx| links.freed(now, to, links::LinkId(link), fx));
+        self.with(acts, |links, fx| {
+            links.freed(now, to, links::LinkId(link), fx)
+        });
     }
 
     pub fn lost(&mut self, now: Millis, to: usize, acts: &mut Vec<Act>) {
--- a/crates/fleet/src/quotas.rs
+++ b/crates/fleet/src/quotas.rs
@@ -6,8 +6,9 @@
 use cometspool_fleet::*;
 
 /// What is played.
-pub const SCENES: [&str; 9] =
-    ["calm", "silent", "late", "absurd", "moving", "rolling", "killed", "flood", "few"];
+pub const SCENES: [&str; 9] = [
+    "calm", "silent", "late", "absurd", "moving", "rolling", "killed", "flood", "few",
+];
 
 /// What is told of each.
 pub const COLUMNS: [&str; 11] = [
@@ -26,10 +27,27 @@
 
 /// The plans of the service: many small customers, such as earn beyond their quota too, and few great ones with a ceiling.
 fn plans() -> Vec<Plan> {
-    let ceiling = Ceiling { rate: 22.0, burst: 44.0, slack: 4.4 };
+    let ceiling = Ceiling {
+        rate: 22.0,
+        burst: 44.0,
+        slack: 4.4,
+    };
     vec![
-        Plan { rate: 0.8, burst: 3.4, price: 0.8, over_cost: 0.5, ..Plan::default() },
-        Plan { rate: 2.8, burst: 12.0, max_open: 2, price: 1.2, over_worth: 0.2, ..Plan::default() },
+        Plan {
+            rate: 0.8,
+            burst: 3.4,
+            price: 0.8,
+            over_cost: 0.5,
+            ..Plan::default()
+        },
+        Plan {
+            rate: 2.8,
+            burst: 12.0,
+            max_open: 2,
+            price: 1.2,
+            over_worth: 0.2,
+            ..Plan::default()
+        },
         Plan {
             rate: 10.0,
             burst: 18.0,
@@ -53,11 +71,27 @@
         rate,
         shares: vec![0.4, 0.3, 0.3],
         spread: (0.66, 1.0),
-        skew: if scene == "moving" { (6.0, 6.0) } else { (0.3, 1.5) },
-        shift: if scene == "moving" { (3_000.0, 6_000.0) } else { (9_400.0, 22_000.0) },
+        skew: if scene == "moving" {
+            (6.0, 6.0)
+        } else {
+            (0.3, 1.5)
+        },
+        shift: if scene == "moving" {
+            (3_000.0, 6_000.0)
+        } else {
+            (9_400.0, 22_000.0)
+        },
         kinds: (0.16, 0.08, 0.18),
-        flood: if matches!(scene, "flood" | "few" | "killed") { flood(2) } else { None },
-        late: if scene == "late" { (5_000.0, 6_400.0) } else { (420.0, 1_400.0) },
+        flood: if matches!(scene, "flood" | "few" | "killed") {
+            flood(2)
+        } else {
+            None
+        },
+        late: if scene == "late" {
+            (5_000.0, 6_400.0)
+        } else {
+            (420.0, 1_400.0)
+        },
         meter: match scene {
             "silent" => Meter::Silent,
             "absurd" => Meter::Absurd,
@@ -66,17 +100,35 @@
         again: (2, 300.0),
     };
     let restart = |from: f64, step: f64, doors: u32| {
-        (0..doors).map(move |door| (from + step * f64::from(door / 30), Fault::Restart(door as usize)))
+        (0..doors).map(move |door| {
+            (
+                from + step * f64::from(door / 30),
+                Fault::Restart(door as usize),
+            )
+        })
     };
     let faults = match scene {
         "rolling" => restart(6_000.0, 1_500.0, doors).collect(),
         "killed" => restart(12_000.0, 0.0, doors * 7 / 10).collect(),
         _ => Vec::new(),
     };
-    let settings = Settings { plans: plans(), meter_period: 500.0, ..super::settings(doors) };
+    let settings = Settings {
+        plans: plans(),
+        meter_period: 500.0,
+        ..super::settings(doors)
+    };
     let base = super::pools(seed);
     let backends = vec![BackendSpec::default(); backends];
-    Spec { settings, backends, zones: 1, length: 26_000.0, table: None, faults, crowd: Some(crowd), ..base }
+    Spec {
+        settings,
+        backends,
+        zones: 1,
+        length: 26_000.0,
+        table: None,
+        faults,
+        crowd: Some(crowd),
+        ..base
+    }
 }
 
 /// Plays a day.
--- a/crates/fleet/src/tally.rs
+++ b/crates/fleet/src/tally.rs
@@ -75,7 +75,9 @@
     pub fn worst_ten(&self, from: usize) -> f64 {
         let seconds = self.by_second.get(from..).unwrap_or(&[]);
         let share = |ten: &[(f64, f64)]| {
-            let (asked, served) = ten.iter().fold((0.0, 0.0), |(a, s), second| (a + second.0, s + second.1));
+            let (asked, served) = ten
+                .iter()
+                .fold((0.0, 0.0), |(a, s), second| (a + second.0, s + second.1));
             served / f64::max(asked, 1e-9)
         };
         seconds.windows(10).map(share).fold(1.0, f64::min)
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/world.rs
@@ -63,7 +63,11 @@
                 let zone = me % spec.zones;
                 let settings = door_settings(&spec, me, zone);
                 let seed = u64::from(chance.word());
-                FrontDoor { gateway: Gateway::new(settings, seed), zone, pool: Pool::new(gateways, seed) }
+                FrontDoor {
+                    gateway: Gateway::new(settings, seed),
+                    zone,
+                    pool: Pool::new(gateways, seed),
+                }
             })
             .collect();
         let mut world = World {
@@ -85,8 +89,13 @@
         for spec in world.spec.backends.clone() {
             world.add_backend(spec);
         }
-        let list: Vec<_> = (0..world.backends.len()).filter(|i| world.backends[*i].spec.listed).collect();
-        let list: Vec<_> = list.into_iter().map(|i| world.entry(i, Availability::Ready)).collect();
+        let list: Vec<_> = (0..world.backends.len())
+            .filter(|i| world.backends[*i].spec.listed)
+            .collect();
+        let list: Vec<_> = list
+            .into_iter()
+            .map(|i| world.entry(i, Availability::Ready))
+            .collect();
         for door in 0..world.doors.len() {
             let mut actions = Vec::new();
             world.doors[door].gateway.handle(
--- a/crates/fleet/src/world/attempts.rs
+++ b/crates/fleet/src/world/attempts.rs
@@ -38,8 +38,11 @@
         let backend = self.by_id[&to];
         let call = self.calls.len();
         self.requests[request as usize].out.push(call);
-        let (worth, customer, now) =
-            (self.worth(request), self.requests[request as usize].customer, self.now);
+        let (worth, customer, now) = (
+            self.worth(request),
+            self.requests[request as usize].customer,
+            self.now,
+        );
         if let Some(crowd) = &mut self.crowd {
             if number == 0 {
                 self.requests[request as usize].inside = crowd.sent_on(customer, now, worth);
@@ -100,13 +103,18 @@
 
     /// An attempt goes out, on its link if these are modelled.
     pub(super) fn transmit(&mut self, call: usize) {
-        let (Ok((door, _)), backend) = (self.calls[call].from, self.calls[call].backend) else { return };
+        let (Ok((door, _)), backend) = (self.calls[call].from, self.calls[call].backend) else {
+            return;
+        };
         let delay = self.one_way_delay(self.doors[door].zone, self.backends[backend].spec.zone);
         if !self.reaches(self.doors[door].zone, self.backends[backend].spec.zone) {
             return;
         }
         match self.backends[backend].spec.ill {
-            Ill::Dead => self.schedule(self.now + 2.0 * delay, SimEvent::Back(call, Outcome::ConnectFailed)),
+            Ill::Dead => self.schedule(
+                self.now + 2.0 * delay,
+                SimEvent::Back(call, Outcome::ConnectFailed),
+            ),
             Ill::Silent => {}
             _ => self.schedule(self.now + delay, SimEvent::Begin(call)),
         }
@@ -119,14 +127,21 @@
         }
         self.abandon(call, outcome);
         self.leave_link(call, outcome);
-        let (request, backend, sent) =
-            (self.calls[call].request, self.calls[call].backend, self.calls[call].sent);
+        let (request, backend, sent) = (
+            self.calls[call].request,
+            self.calls[call].backend,
+            self.calls[call].sent,
+        );
         let (door, number) = match self.calls[call].from {
             Ok(from) => from,
             Err(above) => {
                 // The backend above answers with what it got, and has its core back.
                 self.release_core(self.calls[above].backend);
-                let outcome = if outcome == Outcome::Ok { Outcome::Ok } else { Outcome::Error };
+                let outcome = if outcome == Outcome::Ok {
+                    Outcome::Ok
+                } else {
+                    Outcome::Error
+                };
                 self.answer(above, outcome);
                 return;
             }
@@ -137,7 +152,11 @@
         let (now, mut use_of_quota) = (self.now, None);
         if let Some(crowd) = &mut self.crowd {
             crowd.all[customer].out -= 1;
-            use_of_quota = if told { crowd.use_told(customer, now, &mut self.chance) } else { None };
+            use_of_quota = if told {
+                crowd.use_told(customer, now, &mut self.chance)
+            } else {
+                None
+            };
         }
         asked.out.retain(|out| *out != call);
         asked.first_ok.get_or_insert(outcome == Outcome::Ok);
@@ -164,7 +183,9 @@
     fn abandon(&mut self, call: usize, outcome: Outcome) {
         if matches!(outcome, Outcome::Timeout | Outcome::Cancelled) {
             let backend = self.calls[call].backend;
-            self.backends[backend].waiting.retain(|waiting| *waiting != call);
+            self.backends[backend]
+                .waiting
+                .retain(|waiting| *waiting != call);
         }
     }
 }
--- a/crates/fleet/src/world/backends.rs
+++ b/crates/fleet/src/world/backends.rs
@@ -34,11 +34,21 @@
         self.tally.peaks.push(0);
         self.tally.sent_to.push(Vec::new());
         self.tally.cold_work.push(Vec::new());
-        self.tally.lives.push((spec.started.unwrap_or(f64::NEG_INFINITY), f64::INFINITY));
+        self.tally
+            .lives
+            .push((spec.started.unwrap_or(f64::NEG_INFINITY), f64::INFINITY));
         let (waiting, came) = (VecDeque::new(), VecDeque::new());
         // Only whoever is told of a new id sends to it.
         let told = vec![true; self.doors.len()];
-        self.backends.push(Backend { spec, id, waiting, working: 0, came, links: 0, told });
+        self.backends.push(Backend {
+            spec,
+            id,
+            waiting,
+            working: 0,
+            came,
+            links: 0,
+            told,
+        });
         self.backends.len() - 1
     }
 
@@ -57,7 +67,8 @@
     pub(super) fn is_impaired(&self, door: usize, backend: usize) -> bool {
         let spec = &self.backends[backend].spec;
         // An error now and then is no illness.
-        let well = matches!(spec.ill, Ill::No) || matches!(spec.ill, Ill::Errors(part) if part < 0.1);
+        let well =
+            matches!(spec.ill, Ill::No) || matches!(spec.ill, Ill::Errors(part) if part < 0.1);
         !well || !self.reaches(self.doors[door].zone, spec.zone)
     }
 
@@ -102,26 +113,39 @@
             Some((last, sum)) if *last == tenth => *sum += work,
             _ => came.push_back((tenth, work)),
         }
-        while came.front().is_some_and(|(first, _)| first + LOAD_TENTHS <= tenth) {
+        while came
+            .front()
+            .is_some_and(|(first, _)| first + LOAD_TENTHS <= tenth)
+        {
             came.pop_front();
         }
         if warmth < 1.0 {
             let load = came.iter().map(|(_, work)| work).sum::<f64>() / able;
             self.tally.peak_over_capacity = self.tally.peak_over_capacity.max(load);
-            self.tally.cold_work[node].push(ColdWork { at: self.now, work, told });
+            self.tally.cold_work[node].push(ColdWork {
+                at: self.now,
+                work,
+                told,
+            });
         }
     }
 
     fn start_work(&mut self, node: usize) {
         while self.backends[node].working < self.backends[node].spec.cores {
-            let Some(call) = self.backends[node].waiting.pop_front() else { return };
+            let Some(call) = self.backends[node].waiting.pop_front() else {
+                return;
+            };
             if self.backends[node].spec.drops_expired && self.now >= self.calls[call].until {
                 continue;
             }
             self.backends[node].working += 1;
             self.calls[call].working = true;
             let spec = &self.backends[node].spec;
-            let slow = if let Ill::Slow(times) = spec.ill { times } else { 1.0 };
+            let slow = if let Ill::Slow(times) = spec.ill {
+                times
+            } else {
+                1.0
+            };
             let takes = self.calls[call].work * slow / (spec.speed * self.warmth(node));
             self.schedule(self.now + takes, SimEvent::Worked(call));
         }
@@ -140,8 +164,11 @@
         let to = next[self.chance.below(next.len())];
         let delay = self.one_way_delay(self.backends[node].spec.zone, self.backends[to].spec.zone);
         let less = if self.spec.tells_less { delay } else { 0.0 };
-        let (until, request, work) =
-            (self.calls[call].until - less, self.calls[call].request, self.calls[call].work);
+        let (until, request, work) = (
+            self.calls[call].until - less,
+            self.calls[call].request,
+            self.calls[call].work,
+        );
         if self.now >= self.calls[call].until {
             self.release_core(node);
             self.answer(call, Outcome::Error);
@@ -166,7 +193,10 @@
             Err(above) => self.backends[self.calls[above].backend].spec.zone,
         };
         if self.reaches(zone, to) {
-            self.schedule(self.now + self.one_way_delay(zone, to), SimEvent::Back(call, outcome));
+            self.schedule(
+                self.now + self.one_way_delay(zone, to),
+                SimEvent::Back(call, outcome),
+            );
         }
     }
 }
--- a/crates/fleet/src/world/clients.rs
+++ b/crates/fleet/src/world/clients.rs
@@ -85,7 +85,9 @@
         }
         self.ask_next(customer);
         let now = self.now;
-        let Some(crowd) = self.crowd.as_mut().filter(|_| asks) else { return };
+        let Some(crowd) = self.crowd.as_mut().filter(|_| asks) else {
+            return;
+        };
         let door = crowd.door(customer, now, &mut self.chance);
         let id = self.issue_request(door, customer);
         let worth = self.worth(id);
@@ -98,9 +100,12 @@
     /// A client comes again, with a new id and what is left of its time.
     pub(super) fn again(&mut self, before: u32) {
         let asked = &self.requests[before as usize];
-        let (customer, class, first, tries) = (asked.customer, asked.class, asked.first, asked.tries + 1);
+        let (customer, class, first, tries) =
+            (asked.customer, asked.class, asked.first, asked.tries + 1);
         let (work, deadline, now) = (asked.work, asked.deadline, self.now);
-        let Some(crowd) = self.crowd.as_mut().filter(|_| now < deadline) else { return };
+        let Some(crowd) = self.crowd.as_mut().filter(|_| now < deadline) else {
+            return;
+        };
         let door = crowd.door(customer, now, &mut self.chance);
         crowd.ledger.tries += 1;
         self.enter(ClientRequest {
@@ -120,7 +125,9 @@
     }
 
     pub(super) fn worth(&self, request: u32) -> f64 {
-        self.spec.classes[self.requests[request as usize].class].class.worth
+        self.spec.classes[self.requests[request as usize].class]
+            .class
+            .worth
     }
 
     /// A try is refused: its client may come again.
@@ -129,18 +136,27 @@
         let (fresh, customer, tries) = (!asked.answered, asked.customer, asked.tries);
         self.finish(request, End::Refused);
         let now = self.now;
-        let Some(crowd) = self.crowd.as_mut().filter(|_| fresh) else { return };
+        let Some(crowd) = self.crowd.as_mut().filter(|_| fresh) else {
+            return;
+        };
         crowd.refused(customer, now, why);
         let (most, wait) = crowd.again();
         if tries < most {
-            let wait = told.unwrap_or(wait * f64::from(1 << tries)) * (0.75 + 0.5 * self.chance.even());
+            let wait =
+                told.unwrap_or(wait * f64::from(1 << tries)) * (0.75 + 0.5 * self.chance.even());
             self.schedule(now + wait.max(1.0), SimEvent::Again(request));
         }
     }
 
     /// A request of a customer comes to a door.
     fn issue_request(&mut self, door: usize, customer: usize) -> u32 {
-        let mut luck = self.chance.even() * self.spec.classes.iter().map(|class| class.share).sum::<f64>();
+        let mut luck = self.chance.even()
+            * self
+                .spec
+                .classes
+                .iter()
+                .map(|class| class.share)
+                .sum::<f64>();
         let mut class = 0;
         while class + 1 < self.spec.classes.len() && luck >= self.spec.classes[class].share {
             luck -= self.spec.classes[class].share;
@@ -155,14 +171,20 @@
         let worth = self.spec.classes[class].class.worth;
         self.tally.worth += worth;
         self.current_second().0 += worth;
-        self.enter(ClientRequest::new(door, customer, class, self.now, deadline, work))
+        self.enter(ClientRequest::new(
+            door, customer, class, self.now, deadline, work,
+        ))
     }
 
     /// A front door has a request: at once, or when it stands still no longer.
     pub(super) fn read(&mut self, id: u32) {
         let asked = &self.requests[id as usize];
         let (door, waited) = (asked.door, self.now - asked.came);
-        let granted = if self.spec.charges_lag { asked.deadline } else { asked.deadline + waited };
+        let granted = if self.spec.charges_lag {
+            asked.deadline
+        } else {
+            asked.deadline + waited
+        };
         if asked.answered || granted <= self.now {
             self.finish(id, End::Failed);
             return;
@@ -197,9 +219,17 @@
         if end != End::Served && late {
             self.tally.late_failures += 1;
         }
-        let (customer, inside, in_time) = (asked.customer, asked.inside, self.now - asked.first <= class.aim);
+        let (customer, inside, in_time) = (
+            asked.customer,
+            asked.inside,
+            self.now - asked.first <= class.aim,
+        );
         let worth = class.worth;
-        if let Some(crowd) = self.crowd.as_mut().filter(|_| end == End::Served && in_time) {
+        if let Some(crowd) = self
+            .crowd
+            .as_mut()
+            .filter(|_| end == End::Served && in_time)
+        {
             crowd.served(customer, worth, inside);
         }
         let asked = &mut self.requests[request as usize];
--- a/crates/fleet/src/world/dispatch.rs
+++ b/crates/fleet/src/world/dispatch.rs
@@ -32,7 +32,10 @@
                 }
             }
             SimEvent::Told(door, entries) => {
-                for entry in entries.iter().filter(|entry| entry.availability != Availability::Ready) {
+                for entry in entries
+                    .iter()
+                    .filter(|entry| entry.availability != Availability::Ready)
+                {
                     let backend = self.by_id[&entry.id];
                     self.pool(door, |pool, _, acts| pool.gone(backend, acts));
                 }
@@ -42,7 +45,9 @@
                 }
                 self.notify_door(door, Event::Backends(ListKind::Changes, entries));
             }
-            SimEvent::Dialled(door, backend, call, answered) => self.dialled(door, backend, call, answered),
+            SimEvent::Dialled(door, backend, call, answered) => {
+                self.dialled(door, backend, call, answered)
+            }
             SimEvent::Waited(call) => {
                 if self.calls[call].waits && !self.calls[call].settled {
                     self.settle(call, Outcome::ConnectFailed);
@@ -54,7 +59,9 @@
                     self.schedule(self.now + 500.0, SimEvent::Tidy(door));
                 }
             }
-            SimEvent::Wake(door, backend) => self.pool(door, |pool, now, acts| pool.wake(now, backend, acts)),
+            SimEvent::Wake(door, backend) => {
+                self.pool(door, |pool, now, acts| pool.wake(now, backend, acts))
+            }
             SimEvent::Fault(fault) => self.inject_fault(fault),
         }
     }
@@ -62,13 +69,20 @@
     /// When the front door that this happens at stands still: the end of that.
     fn paused(&self, event: &SimEvent) -> Option<Millis> {
         let door = match event {
-            SimEvent::Read(request) | SimEvent::Gone(request) => self.requests[*request as usize].door,
-            SimEvent::Alarm(door, _) | SimEvent::Told(door, _) | SimEvent::Dialled(door, ..) => *door,
+            SimEvent::Read(request) | SimEvent::Gone(request) => {
+                self.requests[*request as usize].door
+            }
+            SimEvent::Alarm(door, _) | SimEvent::Told(door, _) | SimEvent::Dialled(door, ..) => {
+                *door
+            }
             SimEvent::Back(call, _) | SimEvent::TimeOut(call) => self.calls[*call].from.ok()?.0,
             _ => return None,
         };
-        let still =
-            self.spec.pauses.iter().find(|(who, from, to)| *who == door && (*from..*to).contains(&self.now));
+        let still = self
+            .spec
+            .pauses
+            .iter()
+            .find(|(who, from, to)| *who == door && (*from..*to).contains(&self.now));
         still.map(|(_, _, to)| *to)
     }
 }
--- a/crates/fleet/src/world/doors.rs
+++ b/crates/fleet/src/world/doors.rs
@@ -5,7 +5,9 @@
 use super::World;
 use crate::pooling::Pool;
 use crate::scenario::{Ill, Spec};
-use cometspool::{Action, Availability, BackendId, Event, Gateway, ListKind, Outcome, Settings, ZoneId};
+use cometspool::{
+    Action, Availability, BackendId, Event, Gateway, ListKind, Outcome, Settings, ZoneId,
+};
 
 /// A front door: the module as it serves, and the model of its pool of links.
 pub(super) struct FrontDoor {
@@ -16,27 +18,50 @@
 
 /// What a front door is told.
 pub(super) fn door_settings(spec: &Spec, me: u32, zone: u32) -> Settings {
-    let classes = spec.classes.iter().map(|class| class.class.clone()).collect();
-    Settings { me, zone: ZoneId(zone), classes, ..spec.settings.clone() }
+    let classes = spec
+        .classes
+        .iter()
+        .map(|class| class.class.clone())
+        .collect();
+    Settings {
+        me,
+        zone: ZoneId(zone),
+        classes,
+        ..spec.settings.clone()
+    }
 }
 
 impl World {
     pub(super) fn notify_door(&mut self, door: usize, event: Event) {
         let mut actions = Vec::new();
-        self.doors[door].gateway.handle(self.now, event, &mut actions);
+        self.doors[door]
+            .gateway
+            .handle(self.now, event, &mut actions);
         self.carry_out(door, actions);
     }
 
     pub(super) fn carry_out(&mut self, door: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { request, backend, limit, .. } => self.send(door, request.0, backend, limit),
+                Action::Send {
+                    request,
+                    backend,
+                    limit,
+                    ..
+                } => self.send(door, request.0, backend, limit),
                 #[cfg(not(feature = "base"))]
-                Action::Refuse { request, retry_after, why } => {
+                Action::Refuse {
+                    request,
+                    retry_after,
+                    why,
+                } => {
                     self.refused(request.0, retry_after, format!("{why:?}"));
                 }
                 #[cfg(feature = "base")]
-                Action::Refuse { request, retry_after } => {
+                Action::Refuse {
+                    request,
+                    retry_after,
+                } => {
                     self.refused(request.0, retry_after, String::new());
                 }
                 Action::Fail(request) => self.finish(request.0, End::Failed),
@@ -63,7 +88,9 @@
                 #[cfg(not(feature = "base"))]
                 Action::Warm { backend, within } if self.spec.table.is_some() => {
                     let backend = self.by_id[&backend];
-                    self.pool(door, |pool, now, acts| pool.ahead(now, backend, within, acts));
+                    self.pool(door, |pool, now, acts| {
+                        pool.ahead(now, backend, within, acts)
+                    });
                 }
                 _ => {}
             }
@@ -74,10 +101,14 @@
     pub(super) fn restart(&mut self, door: usize) {
         let (zone, seed) = (self.doors[door].zone, u64::from(self.chance.word()));
         self.doors[door].gateway = Gateway::new(door_settings(&self.spec, door as u32, zone), seed);
-        let up =
-            |node: &usize| self.backends[*node].spec.listed && self.backends[*node].spec.ill != Ill::Dead;
+        let up = |node: &usize| {
+            self.backends[*node].spec.listed && self.backends[*node].spec.ill != Ill::Dead
+        };
         let up: Vec<usize> = (0..self.backends.len()).filter(up).collect();
-        let list = up.into_iter().map(|node| self.entry(node, Availability::Ready)).collect();
+        let list = up
+            .into_iter()
+            .map(|node| self.entry(node, Availability::Ready))
+            .collect();
         self.notify_door(door, Event::Backends(ListKind::Cached, list));
     }
 }
--- a/crates/fleet/src/world/faults.rs
+++ b/crates/fleet/src/world/faults.rs
@@ -24,8 +24,11 @@
             Fault::Rate(rate) => self.spec.rate = rate,
             Fault::Reborn(node) => self.restart_backend(node),
             Fault::Start(node) => {
-                let spec =
-                    BackendSpec { started: Some(self.now), ill: Ill::No, ..self.backends[node].spec.clone() };
+                let spec = BackendSpec {
+                    started: Some(self.now),
+                    ill: Ill::No,
+                    ..self.backends[node].spec.clone()
+                };
                 let fresh = self.add_backend(spec);
                 self.announce(fresh, Availability::Ready);
             }
--- a/crates/fleet/src/world/figures.rs
+++ b/crates/fleet/src/world/figures.rs
@@ -25,7 +25,11 @@
             }
             self.tally.work += done;
             // One good answer in time is worth one run of the work at each backend on its way; the rest is waste.
-            let useful = if asked.served_in_time { self.useful(asked) } else { 0.0 };
+            let useful = if asked.served_in_time {
+                self.useful(asked)
+            } else {
+                0.0
+            };
             self.tally.wasted += done - useful;
             self.tally.first_failed += u64::from(asked.first_ok == Some(false));
         }
@@ -34,11 +38,18 @@
 
     /// Work on the way to the first attempt that came to its end: its own and what it called.
     fn useful(&self, asked: &ClientRequest) -> f64 {
-        let best = asked.calls.iter().filter(|call| self.calls[**call].from.is_ok());
+        let best = asked
+            .calls
+            .iter()
+            .filter(|call| self.calls[**call].from.is_ok());
         let chain = |call: usize| -> f64 {
             let mut sum = self.calls[call].done;
             let mut above = call;
-            while let Some(below) = asked.calls.iter().find(|c| self.calls[**c].from == Err(above)) {
+            while let Some(below) = asked
+                .calls
+                .iter()
+                .find(|c| self.calls[**c].from == Err(above))
+            {
                 sum += self.calls[*below].done;
                 above = *below;
             }
--- a/crates/fleet/src/world/links.rs
+++ b/crates/fleet/src/world/links.rs
@@ -38,7 +38,14 @@
                 }
                 Act::Fail(call, full) => {
                     self.calls[call].waits = false;
-                    self.settle(call, if full { Outcome::Full } else { Outcome::ConnectFailed });
+                    self.settle(
+                        call,
+                        if full {
+                            Outcome::Full
+                        } else {
+                            Outcome::ConnectFailed
+                        },
+                    );
                 }
                 Act::Close(link) => self.close_link(link),
                 Act::Wake(backend, at) => self.schedule(at, SimEvent::Wake(door, backend)),
@@ -48,11 +55,15 @@
     }
 
     pub(super) fn take_link(&mut self, call: usize) {
-        let (Ok((door, _)), backend) = (self.calls[call].from, self.calls[call].backend) else { return };
+        let (Ok((door, _)), backend) = (self.calls[call].from, self.calls[call].backend) else {
+            return;
+        };
         let class = self.requests[self.calls[call].request as usize].class;
         let once = self.spec.classes[class].class.effect == Effect::Unsafe;
         loop {
-            match self.pool(door, |pool, now, acts| pool.take(now, backend, call, once, acts)) {
+            match self.pool(door, |pool, now, acts| {
+                pool.take(now, backend, call, once, acts)
+            }) {
                 // One that was reset is seen to be, and is none.
                 Got::Kept(link) if self.links[link as usize].reset => {
                     self.pool(door, |pool, now, acts| pool.lost(now, backend, acts));
@@ -86,12 +97,24 @@
         by_second[second] += 1;
         let (from, to) = (self.doors[door].zone, self.backends[backend].spec.zone);
         let silent = !self.reaches(from, to) || self.backends[backend].spec.ill == Ill::Silent;
-        let (takes, answered) =
-            if silent { (DIAL_TIMEOUT, false) } else { (2.0 * self.one_way_delay(from, to), true) };
-        self.schedule(self.now + takes, SimEvent::Dialled(door, backend, call, answered));
+        let (takes, answered) = if silent {
+            (DIAL_TIMEOUT, false)
+        } else {
+            (2.0 * self.one_way_delay(from, to), true)
+        };
+        self.schedule(
+            self.now + takes,
+            SimEvent::Dialled(door, backend, call, answered),
+        );
     }
 
-    pub(super) fn dialled(&mut self, door: usize, backend: usize, call: Option<usize>, answered: bool) {
+    pub(super) fn dialled(
+        &mut self,
+        door: usize,
+        backend: usize,
+        call: Option<usize>,
+        answered: bool,
+    ) {
         let node = &self.backends[backend];
         let full = self.spec.table.is_some_and(|table| node.links >= table);
         let up = answered && node.spec.ill != Ill::Dead && !full;
@@ -100,13 +123,19 @@
             self.backends[backend].links += 1;
             let peak = &mut self.tally.peaks[backend];
             *peak = (*peak).max(self.backends[backend].links);
-            self.links.push(Link { backend, open: true, reset: false });
+            self.links.push(Link {
+                backend,
+                open: true,
+                reset: false,
+            });
             Dialled::Up(self.links.len() as u64 - 1)
         } else {
             self.tally.crowded += u64::from(answered && full);
             Dialled::Refused
         };
-        self.pool(door, |pool, now, acts| pool.dialled(now, backend, call, how, acts));
+        self.pool(door, |pool, now, acts| {
+            pool.dialled(now, backend, call, how, acts)
+        });
     }
 
     fn close_link(&mut self, link: u64) {
@@ -127,12 +156,17 @@
 
     /// An attempt is over for its front door: its link is free again, or goes with it.
     pub(super) fn leave_link(&mut self, call: usize, outcome: Outcome) {
-        let (Ok((door, _)), backend) = (self.calls[call].from, self.calls[call].backend) else { return };
+        let (Ok((door, _)), backend) = (self.calls[call].from, self.calls[call].backend) else {
+            return;
+        };
         if std::mem::take(&mut self.calls[call].waits) {
             self.pool(door, |pool, now, _| pool.left(now, backend, call));
         }
-        let Some(link) = self.calls[call].link.take() else { return };
-        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) && !self.links[link as usize].reset
+        let Some(link) = self.calls[call].link.take() else {
+            return;
+        };
+        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full)
+            && !self.links[link as usize].reset
         {
             self.pool(door, |pool, now, acts| pool.freed(now, backend, link, acts));
         } else {
--- a/crates/fleet/src/world/schedule.rs
+++ b/crates/fleet/src/world/schedule.rs
@@ -44,7 +44,9 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.at.total_cmp(&other.at).then(self.order.cmp(&other.order))
+        self.at
+            .total_cmp(&other.at)
+            .then(self.order.cmp(&other.order))
     }
 }
 
@@ -65,6 +67,10 @@
 impl World {
     pub(super) fn schedule(&mut self, at: Millis, event: SimEvent) {
         self.order += 1;
-        self.queue.push(Reverse(Scheduled { at, order: self.order, event }));
+        self.queue.push(Reverse(Scheduled {
+            at,
+            order: self.order,
+            event,
+        }));
     }
 }
--- a/crates/fleet/tests/cold.rs
+++ b/crates/fleet/tests/cold.rs
@@ -34,10 +34,26 @@
 
 /// The fleets. In the last, every front door meets every backend, and each of these can do little.
 const FLEETS: [Fleet; 4] = [
-    Fleet { doors: 20, backends: 16, cores: 4 },
-    Fleet { doors: 30, backends: 16, cores: 4 },
-    Fleet { doors: 300, backends: 40, cores: 4 },
-    Fleet { doors: 300, backends: 16, cores: 1 },
+    Fleet {
+        doors: 20,
+        backends: 16,
+        cores: 4,
+    },
+    Fleet {
+        doors: 30,
+        backends: 16,
+        cores: 4,
+    },
+    Fleet {
+        doors: 300,
+        backends: 40,
+        cores: 4,
+    },
+    Fleet {
+        doors: 300,
+        backends: 16,
+        cores: 1,
+    },
 ];
 /// Days of each.
 const SEEDS: std::ops::Range<u64> = 1..6;
@@ -55,12 +71,25 @@
 }
 
 fn spec(fleet: Fleet, seed: u64) -> Spec {
-    let Fleet { doors, backends, cores } = fleet;
-    let class = Class { aim: 1200.0, deadline: 3000.0, effect: Effect::Safe, ..Class::default() };
+    let Fleet {
+        doors,
+        backends,
+        cores,
+    } = fleet;
+    let class = Class {
+        aim: 1200.0,
+        deadline: 3000.0,
+        effect: Effect::Safe,
+        ..Class::default()
+    };
     Spec {
         settings: Settings {
             gateways: doors,
-            plans: vec![Plan { rate: 1e4, burst: 1e5, ..Plan::default() }],
+            plans: vec![Plan {
+                rate: 1e4,
+                burst: 1e5,
+                ..Plan::default()
+            }],
             max_attempts: 4,
             second_copies: true,
             cancel: true,
@@ -70,8 +99,18 @@
             overload_window: OVERLOAD.1,
             ..Settings::default()
         },
-        classes: vec![ClassSpec { class, share: 1.0, work: WORK, cv: 0.0 }],
-        backends: (0..backends).map(|_| BackendSpec { cores, ..BackendSpec::default() }).collect(),
+        classes: vec![ClassSpec {
+            class,
+            share: 1.0,
+            work: WORK,
+            cv: 0.0,
+        }],
+        backends: (0..backends)
+            .map(|_| BackendSpec {
+                cores,
+                ..BackendSpec::default()
+            })
+            .collect(),
         zones: 1,
         rate: fleet.rate(CALM),
         tells_less: true,
@@ -100,7 +139,11 @@
             told += if last.told { last.work / WORK } else { 0.0 };
             while came[first].at <= last.at - OVERLOAD.1 {
                 work -= came[first].work / WORK;
-                told -= if came[first].told { came[first].work / WORK } else { 0.0 };
+                told -= if came[first].told {
+                    came[first].work / WORK
+                } else {
+                    0.0
+                };
                 first += 1;
             }
             let warmth = COLD.0 + (1.0 - COLD.0) * ((last.at - born) / COLD.1).clamp(0.0, 1.0);
@@ -131,21 +174,32 @@
                 over.push(format!("{fleet:?}, seed {seed}: {work:.1} of {limit:.1}"));
             }
         }
-        assert!(met > 0, "{name}: nothing came to a cold backend in {fleet:?}");
+        assert!(
+            met > 0,
+            "{name}: nothing came to a cold backend in {fleet:?}"
+        );
     }
-    assert!(over.is_empty(), "{name}: {} over the limit:\n{}", over.len(), over.join("\n"));
+    assert!(
+        over.is_empty(),
+        "{name}: {} over the limit:\n{}",
+        over.len(),
+        over.join("\n")
+    );
 }
 
 /// A burst from `from` on, for three seconds.
 fn burst(fleet: Fleet, spec: &mut Spec, from: Millis) {
     spec.faults.push((from, Fault::Rate(fleet.rate(BURST))));
-    spec.faults.push((from + 3000.0, Fault::Rate(fleet.rate(CALM))));
+    spec.faults
+        .push((from + 3000.0, Fault::Rate(fleet.rate(CALM))));
 }
 
 /// A backend that joins in calm.
 #[test]
 fn one_that_joins_in_calm_gets_no_more_than_it_can_bear() {
-    judge("calm", |_, spec| spec.faults.push((5000.0, Fault::Start(0))));
+    judge("calm", |_, spec| {
+        spec.faults.push((5000.0, Fault::Start(0)))
+    });
 }
 
 /// A backend that joins as a burst begins.
@@ -172,7 +226,8 @@
 fn several_that_join_at_once_get_no_more_than_they_can_bear() {
     judge("several", |fleet, spec| {
         let fresh = spec.backends.len() / 4;
-        spec.faults.extend((0..fresh).map(|i| (5000.0, Fault::Start(i))));
+        spec.faults
+            .extend((0..fresh).map(|i| (5000.0, Fault::Start(i))));
         burst(fleet, spec, 6000.0);
     });
 }
@@ -182,9 +237,12 @@
 fn a_half_that_comes_back_at_once_gets_no_more_than_it_can_bear() {
     judge("half", |fleet, spec| {
         let half = spec.backends.len() / 2;
-        spec.faults.extend((0..half).map(|i| (3000.0, Fault::Ill(i, Ill::Dead))));
-        spec.faults.extend((0..half).map(|i| (3200.0, Fault::Told(i, Availability::Gone))));
-        spec.faults.extend((0..half).map(|i| (6000.0, Fault::Start(i))));
+        spec.faults
+            .extend((0..half).map(|i| (3000.0, Fault::Ill(i, Ill::Dead))));
+        spec.faults
+            .extend((0..half).map(|i| (3200.0, Fault::Told(i, Availability::Gone))));
+        spec.faults
+            .extend((0..half).map(|i| (6000.0, Fault::Start(i))));
         burst(fleet, spec, 5500.0);
     });
 }
@@ -193,7 +251,9 @@
 #[test]
 fn a_fleet_that_starts_cold_under_a_burst_is_not_pushed_over() {
     judge("all", |fleet, spec| {
-        spec.backends.iter_mut().for_each(|backend| backend.started = Some(0.0));
+        spec.backends
+            .iter_mut()
+            .for_each(|backend| backend.started = Some(0.0));
         burst(fleet, spec, 1000.0);
     });
 }
@@ -206,7 +266,8 @@
         for i in 0..count {
             let at = 2000.0 + 20_000.0 * i as f64 / count as f64;
             spec.faults.push((at, Fault::Start(i)));
-            spec.faults.push((at, Fault::Told(i, Availability::Draining)));
+            spec.faults
+                .push((at, Fault::Told(i, Availability::Draining)));
         }
     });
 }
@@ -227,8 +288,10 @@
     judge("retries", |_, spec| {
         let third = spec.backends.len() / 3;
         spec.faults.push((5000.0, Fault::Start(0)));
-        spec.faults.extend((0..third).map(|i| (5500.0, Fault::Ill(i, Ill::Errors(0.5)))));
-        spec.faults.extend((0..third / 2).map(|i| (7000.0, Fault::Ill(i, Ill::Dead))));
+        spec.faults
+            .extend((0..third).map(|i| (5500.0, Fault::Ill(i, Ill::Errors(0.5)))));
+        spec.faults
+            .extend((0..third / 2).map(|i| (7000.0, Fault::Ill(i, Ill::Dead))));
     });
 }
 
@@ -238,7 +301,8 @@
     judge("anew", |_, spec| {
         spec.faults.push((5000.0, Fault::Start(0)));
         let third = spec.settings.gateways as usize / 3;
-        spec.faults.extend((0..third).map(|door| (6000.0, Fault::Restart(door))));
+        spec.faults
+            .extend((0..third).map(|door| (6000.0, Fault::Restart(door))));
     });
 }
 
@@ -249,7 +313,8 @@
     judge("in place", |_, spec| {
         spec.told_within = 2000.0;
         let half = spec.backends.len() / 2;
-        spec.faults.extend((0..half).map(|i| (3000.0 + 500.0 * i as f64, Fault::Reborn(i))));
+        spec.faults
+            .extend((0..half).map(|i| (3000.0 + 500.0 * i as f64, Fault::Reborn(i))));
     });
 }
 
@@ -259,9 +324,15 @@
 fn customers_that_come_again_push_no_cold_backend_over() {
     judge("customers", |fleet, spec| {
         let able = fleet.warm_rate() * fleet.backends as f64;
-        spec.settings.plans = vec![Plan { rate: 5.0, burst: 10.0, ..Plan::default() }];
+        spec.settings.plans = vec![Plan {
+            rate: 5.0,
+            burst: 10.0,
+            ..Plan::default()
+        }];
         spec.settings.meter_period = 500.0;
-        spec.backends.iter_mut().for_each(|backend| backend.started = Some(0.0));
+        spec.backends
+            .iter_mut()
+            .for_each(|backend| backend.started = Some(0.0));
         spec.crowd = Some(flooding_customers(able * OFFERED));
     });
 }
--- a/crates/fleet/tests/world.rs
+++ b/crates/fleet/tests/world.rs
@@ -7,7 +7,12 @@
 use common::flooding_customers;
 
 fn spec(seed: u64) -> Spec {
-    let class = Class { aim: 1200.0, deadline: 3000.0, effect: Effect::Safe, ..Class::default() };
+    let class = Class {
+        aim: 1200.0,
+        deadline: 3000.0,
+        effect: Effect::Safe,
+        ..Class::default()
+    };
     let faults = vec![
         (2000.0, Fault::Start(0)),
         (2000.0, Fault::Told(0, Availability::Draining)),
@@ -19,14 +24,28 @@
     Spec {
         settings: Settings {
             gateways: 20,
-            plans: vec![Plan { rate: 1e4, burst: 1e5, ..Plan::default() }],
+            plans: vec![Plan {
+                rate: 1e4,
+                burst: 1e5,
+                ..Plan::default()
+            }],
             max_attempts: 4,
             second_copies: true,
             cancel: true,
             ..Settings::default()
         },
-        classes: vec![ClassSpec { class, share: 1.0, work: 150.0, cv: 1.0 }],
-        backends: (0..16).map(|i| BackendSpec { zone: i % 2, ..BackendSpec::default() }).collect(),
+        classes: vec![ClassSpec {
+            class,
+            share: 1.0,
+            work: 150.0,
+            cv: 1.0,
+        }],
+        backends: (0..16)
+            .map(|i| BackendSpec {
+                zone: i % 2,
+                ..BackendSpec::default()
+            })
+            .collect(),
         zones: 2,
         rate: 10.0,
         tells_less: true,
@@ -59,10 +78,23 @@
     for seed in 1..6 {
         let tally = play(spec(seed));
         assert_eq!(tally.ends.iter().sum::<u64>(), tally.asked);
-        assert!(tally.wasted >= 0.0 && tally.wasted < tally.work, "{} of {}", tally.wasted, tally.work);
+        assert!(
+            tally.wasted >= 0.0 && tally.wasted < tally.work,
+            "{} of {}",
+            tally.wasted,
+            tally.work
+        );
         assert!(tally.firsts <= tally.asked && tally.firsts <= tally.sends);
-        assert!(tally.peaks.iter().all(|peak| *peak <= 12), "{:?}", tally.peaks);
-        assert!(tally.dials > 0 && tally.share() > 0.6 && tally.share() <= 1.0, "{}", tally.share());
+        assert!(
+            tally.peaks.iter().all(|peak| *peak <= 12),
+            "{:?}",
+            tally.peaks
+        );
+        assert!(
+            tally.dials > 0 && tally.share() > 0.6 && tally.share() <= 1.0,
+            "{}",
+            tally.share()
+        );
     }
 }
 
@@ -72,23 +104,51 @@
 #[test]
 fn the_ledger_holds_every_try_and_no_ceiling_is_passed() {
     let flooded = |seed| {
-        let ceiling = Ceiling { rate: 20.0, burst: 40.0, slack: 4.0 };
-        let plan =
-            Plan { rate: 10.0, burst: 20.0, over_cost: 0.5, ceiling: Some(ceiling), ..Plan::default() };
+        let ceiling = Ceiling {
+            rate: 20.0,
+            burst: 40.0,
+            slack: 4.0,
+        };
+        let plan = Plan {
+            rate: 10.0,
+            burst: 20.0,
+            over_cost: 0.5,
+            ceiling: Some(ceiling),
+            ..Plan::default()
+        };
         let crowd = flooding_customers(150.0);
         let mut spec = spec(seed);
         spec.faults = (0..14).map(|door| (4000.0, Fault::Restart(door))).collect();
-        spec.settings = Settings { plans: vec![plan], meter_period: 500.0, ..spec.settings };
-        Spec { crowd: Some(crowd), patience: 0.9, pauses: Vec::new(), table: None, ..spec }
+        spec.settings = Settings {
+            plans: vec![plan],
+            meter_period: 500.0,
+            ..spec.settings
+        };
+        Spec {
+            crowd: Some(crowd),
+            patience: 0.9,
+            pauses: Vec::new(),
+            table: None,
+            ..spec
+        }
     };
     for seed in 1..4 {
         let ledger = play(flooded(seed)).ledger;
         assert_eq!(ledger, play(flooded(seed)).ledger);
         let refused: u64 = ledger.why.values().sum();
         let sent = ledger.sent[0] + ledger.sent[1];
-        assert!(sent + refused as f64 >= ledger.tries as f64 * 0.95, "{sent}, {refused}: {ledger:?}");
-        assert!(ledger.served <= ledger.offered && ledger.served > 0.5 * ledger.offered, "{ledger:?}");
-        assert!(ledger.ceiling_left >= 0.0, "a ceiling is passed: {ledger:?}");
+        assert!(
+            sent + refused as f64 >= ledger.tries as f64 * 0.95,
+            "{sent}, {refused}: {ledger:?}"
+        );
+        assert!(
+            ledger.served <= ledger.offered && ledger.served > 0.5 * ledger.offered,
+            "{ledger:?}"
+        );
+        assert!(
+            ledger.ceiling_left >= 0.0,
+            "a ceiling is passed: {ledger:?}"
+        );
         assert!(ledger.why.contains_key("Ceiling"), "{ledger:?}");
     }
 }
--- a/crates/membership/src/core.rs
+++ b/crates/membership/src/core.rs
@@ -227,7 +227,8 @@
 
     fn set(&mut self, after: f64, due: Due) {
         self.timers_set += 1;
-        self.timers.insert(((self.awake + after).to_bits(), self.timers_set), due);
+        self.timers
+            .insert(((self.awake + after).to_bits(), self.timers_set), due);
     }
 
     fn set_compare(&mut self) {
@@ -263,14 +264,18 @@
                         (self.probing, self.heard) = (true, false);
                     }
                     if !self.extend_suspicion(&timer, &mut effects) {
-                        self.run(&mut effects, |foca, output| foca.handle_timer(timer, output));
+                        self.run(&mut effects, |foca, output| {
+                            foca.handle_timer(timer, output)
+                        });
                     }
                 }
                 Due::Ask(member, incarnation) => {
                     let key = (member.name.clone(), member.number, incarnation);
                     let unanswered = self.suspicions.get(&key) == Some(&false);
                     if unanswered && self.suspects(&member, incarnation) {
-                        self.run(&mut effects, |foca, output| foca.announce(member.clone(), output));
+                        self.run(&mut effects, |foca, output| {
+                            foca.announce(member.clone(), output)
+                        });
                         self.set(self.times.round_trip, Due::Ask(member, incarnation));
                     }
                 }
@@ -280,7 +285,11 @@
                     self.compare_interval = (self.compare_interval * 2.0).min(self.times.compare);
                     self.set_compare();
                     let own = self.own().name.clone();
-                    let others = self.view.present.values().filter(|member| member.name != own);
+                    let others = self
+                        .view
+                        .present
+                        .values()
+                        .filter(|member| member.name != own);
                     if let Some(with) = others.choose(&mut self.chance).cloned() {
                         effects.push(Effect::Compare {
                             with,
@@ -297,7 +306,14 @@
     /// that it is has yet to come: it gets another term, and is told what is said of it, as that may have missed it. Only an
     /// answer counts: one that is heard but hears nothing is of no use.
     fn extend_suspicion(&mut self, timer: &Timer<Member>, effects: &mut Vec<Effect>) -> bool {
-        let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
+        let Timer::ChangeSuspectToDown {
+            member_id,
+            incarnation,
+            ..
+        } = timer
+        else {
+            return false;
+        };
         let key = (member_id.name.clone(), member_id.number, *incarnation);
         let answered = self.suspicions.remove(&key) == Some(true);
         if !self.suspects(member_id, *incarnation) {
@@ -307,10 +323,16 @@
         }
         if answered {
             self.doubt(timer.clone(), self.times.suspicion);
-            let entry =
-                Entry { member: member_id.clone(), incarnation: *incarnation, standing: Standing::Suspect };
+            let entry = Entry {
+                member: member_id.clone(),
+                incarnation: *incarnation,
+                standing: Standing::Suspect,
+            };
             let bytes = self.encode_comparison(&Comparison::All(vec![entry], false));
-            effects.push(Effect::Compare { with: member_id.clone(), bytes });
+            effects.push(Effect::Compare {
+                with: member_id.clone(),
+                bytes,
+            });
         }
         answered
     }
@@ -326,7 +348,14 @@
     /// Gives a member that is doubted time, and asks it until it answers. One that is doubted again for the same reason has its
     /// term already.
     fn doubt(&mut self, timer: Timer<Member>, term: f64) {
-        let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer else { return };
+        let Timer::ChangeSuspectToDown {
+            member_id,
+            incarnation,
+            ..
+        } = &timer
+        else {
+            return;
+        };
         let (member, incarnation) = (member_id.clone(), *incarnation);
         let key = (member.name.clone(), member.number, incarnation);
         if self.suspicions.contains_key(&key) {
@@ -344,10 +373,17 @@
         self.view.failed.retain(|_, (_, at)| now - *at < mourned);
         let alone = self.view.present.len() <= 1;
         // One that is alone looks for two at a time, and more often.
-        let next = self.spread(if alone { self.times.probe } else { self.times.heal });
+        let next = self.spread(if alone {
+            self.times.probe
+        } else {
+            self.times.heal
+        });
         self.set(next, Due::Heal);
-        let failed =
-            self.view.failed.values().map(|(member, _)| Member::unknown(&member.name, member.address));
+        let failed = self
+            .view
+            .failed
+            .values()
+            .map(|(member, _)| Member::unknown(&member.name, member.address));
         let missing = self
             .configured
             .iter()
@@ -356,7 +392,10 @@
             .filter(|member| !self.view.present.contains_key(&member.name));
         for missing in missing.sample(&mut self.chance, if alone { 2 } else { 1 }) {
             let bytes = self.encode_comparison(&Comparison::Digest(self.digest()));
-            effects.push(Effect::Compare { with: missing.clone(), bytes });
+            effects.push(Effect::Compare {
+                with: missing.clone(),
+                bytes,
+            });
             self.run(effects, |foca, output| foca.announce(missing, output));
         }
     }
@@ -370,24 +409,36 @@
         }
         self.counters.heard += 1;
         self.counters.heard_bytes += bytes.len() as u64;
-        let Some((header, entries)) = scan(bytes).filter(|(_, entries)| self.has_capacity(entries)) else {
+        let Some((header, entries)) = scan(bytes).filter(|(_, entries)| self.has_capacity(entries))
+        else {
             self.counters.malformed += 1;
             return effects;
         };
         self.heard = true;
-        if matches!(header.message, Message::Ack(_) | Message::ForwardedAck { .. }) && self.probing {
+        if matches!(
+            header.message,
+            Message::Ack(_) | Message::ForwardedAck { .. }
+        ) && self.probing
+        {
             self.probing = false;
             self.self_doubt = self.self_doubt.saturating_sub(1);
         }
         if header.message == Message::Feed {
-            let of_it = self.suspicions.iter_mut().filter(|((name, ..), _)| *name == header.src.name);
+            let of_it = self
+                .suspicions
+                .iter_mut()
+                .filter(|((name, ..), _)| *name == header.src.name);
             of_it.for_each(|(_, answered)| *answered = true);
         }
         let namesake = header.src.name == self.own().name;
         if namesake && header.src.life != self.own().life {
             effects.push(Effect::Changed(Change::Twin(header.src.clone())));
         }
-        let entry = Entry { member: header.src.clone(), incarnation: 0, standing: Standing::Alive };
+        let entry = Entry {
+            member: header.src.clone(),
+            incarnation: 0,
+            standing: Standing::Alive,
+        };
         self.own_name(entries.iter().chain(std::iter::once(&entry)), &mut effects);
         if self.gone || namesake {
             return effects;
@@ -398,10 +449,16 @@
 
     /// Guards the name. A process that starts takes it over from whoever had it, once; of two that live, the one that
     /// started later keeps it, so that all others settle it the same way by its higher number.
-    fn own_name<'a>(&mut self, entries: impl Iterator<Item = &'a Entry>, effects: &mut Vec<Effect>) {
+    fn own_name<'a>(
+        &mut self,
+        entries: impl Iterator<Item = &'a Entry>,
+        effects: &mut Vec<Effect>,
+    ) {
         let name = &self.own().name;
         let of_it = entries.filter(|entry| entry.member.name == *name);
-        let Some(other) = of_it.max_by_key(|entry| entry.member.number) else { return };
+        let Some(other) = of_it.max_by_key(|entry| entry.member.number) else {
+            return;
+        };
         let own = self.own().clone();
         if other.member.number == own.number && other.standing == Standing::Suspect {
             self.doubt_self(1);
@@ -413,7 +470,11 @@
         let alive = other.standing != Standing::Down;
         let settled = self.awake > self.settles || self.taken_name;
         // Two that take the name from each other at once end here: lives are drawn, and the greater one goes on.
-        if !same && alive && settled && (other.member.number, other.member.life) > (own.number, own.life) {
+        if !same
+            && alive
+            && settled
+            && (other.member.number, other.member.life) > (own.number, own.life)
+        {
             self.gone = true;
             effects.push(Effect::Changed(Change::Displaced(other.member.clone())));
             return;
@@ -421,7 +482,9 @@
         if !same && alive {
             self.taken_name = true;
         }
-        let Some(number) = other.member.number.checked_add(1) else { return };
+        let Some(number) = other.member.number.checked_add(1) else {
+            return;
+        };
         let fresh = Member { number, ..own };
         self.run(effects, |foca, output| foca.change_identity(fresh, output));
     }
@@ -431,9 +494,15 @@
         if known + entries.len() <= MAX_MEMBERS {
             return true;
         }
-        let names: std::collections::HashSet<&str> =
-            self.foca.iter_membership_state().map(|member| &*member.id().name).collect();
-        let fresh = entries.iter().filter(|entry| !names.contains(&*entry.member.name)).count();
+        let names: std::collections::HashSet<&str> = self
+            .foca
+            .iter_membership_state()
+            .map(|member| &*member.id().name)
+            .collect();
+        let fresh = entries
+            .iter()
+            .filter(|entry| !names.contains(&*entry.member.name))
+            .count();
         known + fresh <= MAX_MEMBERS
     }
 
@@ -458,7 +527,9 @@
                     return (effects, None);
                 }
                 let members = entries.into_iter().map(Entry::into_foca);
-                self.run(&mut effects, |foca, output| foca.apply_many(members, true, output));
+                self.run(&mut effects, |foca, output| {
+                    foca.apply_many(members, true, output)
+                });
                 reply.then(|| self.encode_comparison(&Comparison::All(self.entries(), false)))
             }
             _ => {
@@ -475,7 +546,11 @@
     }
 
     fn entries(&self) -> Vec<Entry> {
-        let own = Entry { member: self.own().clone(), incarnation: 0, standing: Standing::Alive };
+        let own = Entry {
+            member: self.own().clone(),
+            incarnation: 0,
+            standing: Standing::Alive,
+        };
         let others = self.foca.iter_membership_state().map(Entry::of);
         others.chain((!self.gone).then_some(own)).collect()
     }
@@ -483,8 +558,11 @@
     /// What is known of who is there, in a number. Suspicions come and go, and those gone are forgotten at different times:
     /// neither counts.
     fn digest(&self) -> u64 {
-        let mut known: Vec<(&str, u64)> =
-            self.foca.iter_members().map(|member| (&*member.id().name, member.id().number)).collect();
+        let mut known: Vec<(&str, u64)> = self
+            .foca
+            .iter_members()
+            .map(|member| (&*member.id().name, member.id().number))
+            .collect();
         known.push((&self.own().name, self.own().number));
         known.sort_unstable();
         let mut hasher = fnv::FnvHasher::default();
@@ -507,7 +585,12 @@
         self.last_report = Some((now, load));
         self.sequence = self.sequence.wrapping_add(1);
         let own = self.own();
-        let report = LoadReport { name: own.name.clone(), number: own.number, sequence: self.sequence, load };
+        let report = LoadReport {
+            name: own.name.clone(),
+            number: own.number,
+            sequence: self.sequence,
+            load,
+        };
         if let Ok(bytes) = postcard::to_stdvec(&report) {
             // It is short and newer than the one before: it is always taken.
             let _ = self.foca.add_broadcast(&bytes);
@@ -522,8 +605,14 @@
             return effects;
         }
         let own = self.own().clone();
-        let leaving = Member { leaving: true, number: own.number.saturating_add(1), ..own };
-        self.run(&mut effects, |foca, output| foca.change_identity(leaving, output));
+        let leaving = Member {
+            leaving: true,
+            number: own.number.saturating_add(1),
+            ..own
+        };
+        self.run(&mut effects, |foca, output| {
+            foca.change_identity(leaving, output)
+        });
         self.run(&mut effects, |foca, output| foca.leave_cluster(output));
         self.gone = true;
         effects
@@ -533,14 +622,23 @@
     fn run(
         &mut self,
         effects: &mut Vec<Effect>,
-        act: impl FnOnce(&mut Foca<Member, Wire, StdRng, Loads>, &mut ProtocolOutput) -> Result<(), foca::Error>,
+        act: impl FnOnce(
+            &mut Foca<Member, Wire, StdRng, Loads>,
+            &mut ProtocolOutput,
+        ) -> Result<(), foca::Error>,
     ) {
         let (mut output, number) = (ProtocolOutput::default(), self.own().number);
         if let Err(error) = act(&mut self.foca, &mut output) {
-            use foca::Error::{CustomBroadcast, DataTooBig, Decode, IndirectForOurselves, MalformedPacket};
+            use foca::Error::{
+                CustomBroadcast, DataTooBig, Decode, IndirectForOurselves, MalformedPacket,
+            };
             if matches!(
                 error,
-                Decode(_) | DataTooBig | MalformedPacket | CustomBroadcast(_) | IndirectForOurselves
+                Decode(_)
+                    | DataTooBig
+                    | MalformedPacket
+                    | CustomBroadcast(_)
+                    | IndirectForOurselves
             ) {
                 self.counters.malformed += 1;
             }
@@ -577,7 +675,9 @@
         let change = match notice {
             Notice::Up(member) => {
                 self.view.failed.remove(&member.name);
-                self.view.present.insert(member.name.clone(), member.clone());
+                self.view
+                    .present
+                    .insert(member.name.clone(), member.clone());
                 Change::Up(member)
             }
             // One that is active under a new number: it started anew before anybody missed it.
@@ -598,7 +698,9 @@
                     Change::Left(member)
                 } else {
                     self.counters.failed += 1;
-                    self.view.failed.insert(member.name.clone(), (member.clone(), self.last));
+                    self.view
+                        .failed
+                        .insert(member.name.clone(), (member.clone(), self.last));
                     Change::Failed(member)
                 }
             }
--- a/crates/membership/src/load.rs
+++ b/crates/membership/src/load.rs
@@ -48,7 +48,11 @@
     type Key = Key;
     type Error = postcard::Error;
 
-    fn receive_item(&mut self, data: &[u8], _sender: Option<&T>) -> Result<Option<Key>, postcard::Error> {
+    fn receive_item(
+        &mut self,
+        data: &[u8],
+        _sender: Option<&T>,
+    ) -> Result<Option<Key>, postcard::Error> {
         let report: LoadReport = postcard::from_bytes(data)?;
         let mut reports = self.0.borrow_mut();
         let known = reports.get(&report.name);
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -28,7 +28,10 @@
     fn from(text: Arc<str>) -> Name {
         let mut hasher = fnv::FnvHasher::default();
         hasher.write(text.as_bytes());
-        Name { hash: hasher.finish(), text }
+        Name {
+            hash: hasher.finish(),
+            text,
+        }
     }
 }
 
@@ -127,7 +130,10 @@
     type Addr = u64;
 
     fn renew(&self) -> Option<Self> {
-        Some(Member { number: self.number.checked_add(1)?, ..self.clone() })
+        Some(Member {
+            number: self.number.checked_add(1)?,
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> u64 {
@@ -253,10 +259,22 @@
         let kind = match header.message.clone() {
             Message::Ping(number) => Kind::Ping(number),
             Message::Ack(number) => Kind::Ack(number),
-            Message::PingReq { target, probe_number } => Kind::PingReq(target, probe_number),
-            Message::IndirectPing { origin, probe_number } => Kind::IndirectPing(origin, probe_number),
-            Message::IndirectAck { target, probe_number } => Kind::IndirectAck(target, probe_number),
-            Message::ForwardedAck { origin, probe_number } => Kind::ForwardedAck(origin, probe_number),
+            Message::PingReq {
+                target,
+                probe_number,
+            } => Kind::PingReq(target, probe_number),
+            Message::IndirectPing {
+                origin,
+                probe_number,
+            } => Kind::IndirectPing(origin, probe_number),
+            Message::IndirectAck {
+                target,
+                probe_number,
+            } => Kind::IndirectAck(target, probe_number),
+            Message::ForwardedAck {
+                origin,
+                probe_number,
+            } => Kind::ForwardedAck(origin, probe_number),
             Message::Announce => Kind::Announce,
             Message::Feed => Kind::Feed,
             Message::Gossip => Kind::Gossip,
@@ -264,22 +282,47 @@
             Message::TurnUndead => Kind::TurnUndead,
         };
         // Whom it is for: a name and a number say it, the rest is the receiver's own.
-        put(&(&header.src, header.src_incarnation, &header.dst.name, header.dst.number, kind), to)
+        put(
+            &(
+                &header.src,
+                header.src_incarnation,
+                &header.dst.name,
+                header.dst.number,
+                kind,
+            ),
+            to,
+        )
     }
 
     fn decode_header(&mut self, from: impl Buf) -> Result<Header<Member>, WireError> {
-        let (src, src_incarnation, name, number, kind): (Member, u16, Name, u64, Kind) = take(from)?;
-        let dst = Member { number, ..Member::unknown(&name, src.address) };
+        let (src, src_incarnation, name, number, kind): (Member, u16, Name, u64, Kind) =
+            take(from)?;
+        let dst = Member {
+            number,
+            ..Member::unknown(&name, src.address)
+        };
         if !src.sound() || !dst.sound() {
             return Err(WireError::Name);
         }
         let message = match kind {
             Kind::Ping(number) => Message::Ping(number),
             Kind::Ack(number) => Message::Ack(number),
-            Kind::PingReq(target, probe_number) => Message::PingReq { target, probe_number },
-            Kind::IndirectPing(origin, probe_number) => Message::IndirectPing { origin, probe_number },
-            Kind::IndirectAck(target, probe_number) => Message::IndirectAck { target, probe_number },
-            Kind::ForwardedAck(origin, probe_number) => Message::ForwardedAck { origin, probe_number },
+            Kind::PingReq(target, probe_number) => Message::PingReq {
+                target,
+                probe_number,
+            },
+            Kind::IndirectPing(origin, probe_number) => Message::IndirectPing {
+                origin,
+                probe_number,
+            },
+            Kind::IndirectAck(target, probe_number) => Message::IndirectAck {
+                target,
+                probe_number,
+            },
+            Kind::ForwardedAck(origin, probe_number) => Message::ForwardedAck {
+                origin,
+                probe_number,
+            },
             Kind::Announce => Message::Announce,
             Kind::Feed => Message::Feed,
             Kind::Gossip => Message::Gossip,
@@ -288,16 +331,27 @@
         };
         let third = match &message {
             Message::PingReq { target, .. } | Message::IndirectAck { target, .. } => Some(target),
-            Message::IndirectPing { origin, .. } | Message::ForwardedAck { origin, .. } => Some(origin),
+            Message::IndirectPing { origin, .. } | Message::ForwardedAck { origin, .. } => {
+                Some(origin)
+            }
             _ => None,
         };
         if third.is_some_and(|third| !third.sound()) {
             return Err(WireError::Name);
         }
-        Ok(Header { src, src_incarnation, dst, message })
+        Ok(Header {
+            src,
+            src_incarnation,
+            dst,
+            message,
+        })
     }
 
-    fn encode_member(&mut self, member: &foca::Member<Member>, to: impl BufMut) -> Result<(), WireError> {
+    fn encode_member(
+        &mut self,
+        member: &foca::Member<Member>,
+        to: impl BufMut,
+    ) -> Result<(), WireError> {
         put(&Entry::of(member), to)
     }
 
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -31,7 +31,13 @@
 impl Default for Network {
     fn default() -> Network {
         // The operators' halls: 1.4 to 2.6 ms one way.
-        Network { delay: (1.4, 2.6), loss: 0.0, duplicate: 0.0, damage: 0.0, replay: 0.0 }
+        Network {
+            delay: (1.4, 2.6),
+            loss: 0.0,
+            duplicate: 0.0,
+            damage: 0.0,
+            replay: 0.0,
+        }
     }
 }
 
@@ -158,7 +164,10 @@
 
     /// Starts a member, anew if it was there before.
     pub fn start(&mut self, seat: usize) {
-        let (number, life) = ((1_000_000.0 + self.now + self.clock_ahead) as u64, self.chance.random());
+        let (number, life) = (
+            (1_000_000.0 + self.now + self.clock_ahead) as u64,
+            self.chance.random(),
+        );
         let own = Member {
             number,
             life,
@@ -171,8 +180,14 @@
             .iter()
             .map(|other| Member::unknown(&self.names[*other], address(*other)))
             .collect();
-        let member =
-            Membership::new(self.now, own, told, self.times.clone(), self.size, self.chance.random());
+        let member = Membership::new(
+            self.now,
+            own,
+            told,
+            self.times.clone(),
+            self.size,
+            self.chance.random(),
+        );
         self.seats[seat].member = Some(member);
         self.seats[seat].stopped = None;
         self.seats[seat].waiting.clear();
@@ -211,7 +226,10 @@
                 .iter()
                 .enumerate()
                 .filter(|(other, _)| *other != number)
-                .flat_map(|(_, other)| part.iter().flat_map(move |i| other.iter().map(move |j| (*i, *j))))
+                .flat_map(|(_, other)| {
+                    part.iter()
+                        .flat_map(move |i| other.iter().map(move |j| (*i, *j)))
+                })
             {
                 self.cuts.insert((i, j));
             }
@@ -225,25 +243,46 @@
 
     /// Seats in which a member runs that takes part.
     pub fn running(&self) -> Vec<usize> {
-        let runs = |seat: &usize| self.seats[*seat].member.as_ref().is_some_and(|member| !member.gone());
+        let runs = |seat: &usize| {
+            self.seats[*seat]
+                .member
+                .as_ref()
+                .is_some_and(|member| !member.gone())
+        };
         (0..self.seats.len()).filter(runs).collect()
     }
 
     /// Whether each of these knows all of these to be present, and nobody else.
     pub fn agree(&self, seats: &[usize]) -> bool {
-        let names: BTreeSet<&str> = seats.iter().map(|seat| self.names[*seat].as_str()).collect();
+        let names: BTreeSet<&str> = seats
+            .iter()
+            .map(|seat| self.names[*seat].as_str())
+            .collect();
         seats.iter().all(|seat| {
             self.member(*seat).is_some_and(|member| {
-                member.view().present.keys().map(|name| &**name).eq(names.iter().copied())
+                member
+                    .view()
+                    .present
+                    .keys()
+                    .map(|name| &**name)
+                    .eq(names.iter().copied())
             })
         })
     }
 
     /// Datagrams and their bytes that all have sent.
     pub fn sent(&self) -> (u64, u64) {
-        let now = |seat: &Seat| seat.member.as_ref().map(Membership::counters).unwrap_or_default();
+        let now = |seat: &Seat| {
+            seat.member
+                .as_ref()
+                .map(Membership::counters)
+                .unwrap_or_default()
+        };
         self.seats.iter().fold((0, 0), |(sent, bytes), seat| {
-            (sent + seat.before.sent + now(seat).sent, bytes + seat.before.sent_bytes + now(seat).sent_bytes)
+            (
+                sent + seat.before.sent + now(seat).sent,
+                bytes + seat.before.sent_bytes + now(seat).sent_bytes,
+            )
         })
     }
 
@@ -277,7 +316,11 @@
     /// Plays until a time, or until this no longer holds; looked at every 250 ms. Tells whether it ended to hold.
     pub fn run_while(&mut self, end: f64, goes_on: impl Fn(&Sim) -> bool) -> bool {
         let mut look = self.now;
-        while let Some(at) = self.events.first_key_value().map(|((at, _), _)| f64::from_bits(*at)) {
+        while let Some(at) = self
+            .events
+            .first_key_value()
+            .map(|((at, _), _)| f64::from_bits(*at))
+        {
             if at > end {
                 break;
             }
@@ -317,7 +360,9 @@
 
     fn act(&mut self, seat: usize, what: What) {
         let now = self.now;
-        let Some(member) = &mut self.seats[seat].member else { return };
+        let Some(member) = &mut self.seats[seat].member else {
+            return;
+        };
         let effects = match what {
             What::Tick => member.tick(now),
             What::Datagram(bytes) => member.receive(now, &bytes),
@@ -334,7 +379,8 @@
     }
 
     fn delay(&mut self) -> f64 {
-        self.chance.random_range(self.network.delay.0..=self.network.delay.1)
+        self.chance
+            .random_range(self.network.delay.0..=self.network.delay.1)
     }
 
     fn send_compared(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
@@ -350,7 +396,11 @@
     fn carry_out(&mut self, seat: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Changed(change) => self.seen.push(Seen { at: self.now, by: seat, change }),
+                Effect::Changed(change) => self.seen.push(Seen {
+                    at: self.now,
+                    by: seat,
+                    change,
+                }),
                 Effect::Compare { with, bytes } => {
                     if let Some(to) = self.addresses.get(&with.address).copied() {
                         // The way checks the name of whom it reaches.
@@ -360,7 +410,9 @@
                     }
                 }
                 Effect::Send { to, bytes } => {
-                    let Some(to) = self.addresses.get(&to.address).copied() else { continue };
+                    let Some(to) = self.addresses.get(&to.address).copied() else {
+                        continue;
+                    };
                     self.datagram(seat, to, bytes.to_vec());
                 }
             }
--- a/crates/membership/src/times.rs
+++ b/crates/membership/src/times.rs
@@ -59,7 +59,8 @@
     }
 
     pub(crate) fn foca(&self, size: u32) -> foca::Config {
-        let ms = |ms: f64| Duration::try_from_secs_f64(ms / 1000.0).unwrap_or(Duration::from_secs(1));
+        let ms =
+            |ms: f64| Duration::try_from_secs_f64(ms / 1000.0).unwrap_or(Duration::from_secs(1));
         let some = |count: usize| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
         let mut config = foca::Config::new_lan(NonZeroU32::new(size).unwrap_or(NonZeroU32::MIN));
         config.probe_period = ms(self.probe);
@@ -71,8 +72,10 @@
         config.notify_down_members = true;
         config.periodic_announce = None;
         config.periodic_announce_to_down_members = None;
-        config.periodic_gossip =
-            Some(foca::PeriodicParams { frequency: ms(self.gossip), num_members: some(self.gossip_to) });
+        config.periodic_gossip = Some(foca::PeriodicParams {
+            frequency: ms(self.gossip),
+            num_members: some(self.gossip_to),
+        });
         config
     }
 }
--- a/crates/record/src/bin/cometspool-record.rs
+++ b/crates/record/src/bin/cometspool-record.rs
@@ -27,30 +27,51 @@
         for disk in DISKS {
             let rows: Vec<[f64; 3]> = (0..seeds).map(|seed| commit(link, disk, seed)).collect();
             let cell = |i: usize| spread(rows.iter().map(|row| row[i]).collect());
-            println!("| {link} | {disk} | {} | {} | {} |", cell(0), cell(1), cell(2));
+            println!(
+                "| {link} | {disk} | {} | {} | {} |",
+                cell(0),
+                cell(1),
+                cell(2)
+            );
         }
     }
     println!("\n| what | ms |\n| --- | --- |");
     for keepers in [3, 5] {
-        let gaps: Vec<f64> = (0..seeds * 4).map(|seed| without_leader(keepers, seed)).collect();
-        println!("| {keepers} keepers: from the leader's death to the next promise | {} |", spread(gaps));
+        let gaps: Vec<f64> = (0..seeds * 4)
+            .map(|seed| without_leader(keepers, seed))
+            .collect();
+        println!(
+            "| {keepers} keepers: from the leader's death to the next promise | {} |",
+            spread(gaps)
+        );
     }
     for entries in [1_000, 10_000, 50_000] {
         let fills: Vec<f64> = (0..seeds.min(3)).map(|seed| fill(entries, seed)).collect();
-        println!("| from an empty keeper's start to its seat, {entries} writes kept | {} |", spread(fills));
+        println!(
+            "| from an empty keeper's start to its seat, {entries} writes kept | {} |",
+            spread(fills)
+        );
     }
     ExitCode::SUCCESS
 }
 
 fn spread(mut of: Vec<f64>) -> String {
     of.sort_by(f64::total_cmp);
-    let (Some(least), Some(most)) = (of.first(), of.last()) else { return String::new() };
-    format!("{:.2} ({least:.2} to {most:.2})", of.iter().sum::<f64>() / of.len() as f64)
+    let (Some(least), Some(most)) = (of.first(), of.last()) else {
+        return String::new();
+    };
+    format!(
+        "{:.2} ({least:.2} to {most:.2})",
+        of.iter().sum::<f64>() / of.len() as f64
+    )
 }
 
 fn group(keepers: usize, clients: usize, durable: bool, link: f64, seed: u64) -> Sim {
     let mut sim = Sim::new(keepers, keepers, clients, durable, Times::default(), seed);
-    sim.network = Network { delay: (link, link), ..Network::default() };
+    sim.network = Network {
+        delay: (link, link),
+        ..Network::default()
+    };
     sim.run_while(60_000.0, |sim| sim.leading().is_none());
     sim
 }
@@ -64,7 +85,9 @@
     sim.ask(1000.0, 50.0);
     let (bytes, first) = (sim.acted.bytes, sim.writes.len());
     sim.ask(WRITES as f64 * 50.0, 50.0);
-    let took = sim.writes[first..].iter().filter_map(|write| Some(write.ended.as_ref()?.0 - write.from));
+    let took = sim.writes[first..]
+        .iter()
+        .filter_map(|write| Some(write.ended.as_ref()?.0 - write.from));
     let mut took: Vec<f64> = took.map(|took| took - 2.0 * link).collect();
     took.sort_by(f64::total_cmp);
     let each = (sim.acted.bytes - bytes) as f64 / WRITES as f64;
@@ -94,7 +117,9 @@
         (0..4).for_each(|client| (0..25).for_each(|_| sim.write(client)));
         sim.run_to(sim.now + 20.0);
     }
-    let third = (0..3).find(|seat| Some(*seat) != sim.leading()).unwrap_or_default();
+    let third = (0..3)
+        .find(|seat| Some(*seat) != sim.leading())
+        .unwrap_or_default();
     sim.kill(third);
     sim.wipe(third);
     sim.start(third);
--- a/crates/record/src/client.rs
+++ b/crates/record/src/client.rs
@@ -84,7 +84,14 @@
         }
         let number = self.next;
         self.next += 1;
-        self.open.insert(number, Open { bytes, sent: f64::NEG_INFINITY, times: 0 });
+        self.open.insert(
+            number,
+            Open {
+                bytes,
+                sent: f64::NEG_INFINITY,
+                times: 0,
+            },
+        );
         Some((number, self.tick(now)))
     }
 
@@ -101,7 +108,9 @@
     }
 
     fn below(&self) -> u64 {
-        self.open.first_key_value().map_or(self.next, |(number, _)| *number)
+        self.open
+            .first_key_value()
+            .map_or(self.next, |(number, _)| *number)
     }
 
     /// Sends what is due.
@@ -124,13 +133,26 @@
             return effects;
         };
         let patience = self.patience;
-        if self.open.values().any(|open| open.sent.is_finite() && late(open.sent, patience)) {
+        if self
+            .open
+            .values()
+            .any(|open| open.sent.is_finite() && late(open.sent, patience))
+        {
             self.asks += 1;
         }
         let (whom, below) = (self.whom(), self.below());
-        for (number, open) in self.open.iter_mut().filter(|(_, open)| late(open.sent, patience)) {
+        for (number, open) in self
+            .open
+            .iter_mut()
+            .filter(|(_, open)| late(open.sent, patience))
+        {
             (open.sent, open.times) = (now, open.times + 1);
-            let command = Command { session, number: *number, below, bytes: open.bytes.clone() };
+            let command = Command {
+                session,
+                number: *number,
+                below,
+                bytes: open.bytes.clone(),
+            };
             effects.push(ClientEffect::Send(whom.clone(), Request::Write(command)));
         }
         effects
@@ -141,7 +163,10 @@
         if self.session.is_none() {
             return (!self.open.is_empty()).then_some(self.asked + self.patience);
         }
-        self.open.values().map(|open| open.sent + self.patience).min_by(f64::total_cmp)
+        self.open
+            .values()
+            .map(|open| open.sent + self.patience)
+            .min_by(f64::total_cmp)
     }
 
     fn whom(&self) -> String {
@@ -155,34 +180,39 @@
             Answer::Opened(drawn, session) if drawn == self.drawn && self.session.is_none() => {
                 self.session = session;
             }
-            Answer::Written(session, number, outcome) if Some(session) == self.session => match outcome {
-                Outcome::Done(bytes) => {
-                    if self.open.remove(&number).is_some() {
-                        effects.push(ClientEffect::Ended(number, Ended::Done(bytes)));
+            Answer::Written(session, number, outcome) if Some(session) == self.session => {
+                match outcome {
+                    Outcome::Done(bytes) => {
+                        if self.open.remove(&number).is_some() {
+                            effects.push(ClientEffect::Ended(number, Ended::Done(bytes)));
+                        }
                     }
-                }
-                Outcome::Expired => {
-                    self.session = None;
-                    self.asked = f64::NEG_INFINITY;
-                    // What was sent once and refused was not carried out: it goes into the next session. Of what was sent more
-                    // often, or has no answer yet, an earlier word may have been heeded.
-                    let over = |(other, open): (&u64, &Open)| {
-                        (open.times > 1 || (open.times == 1 && *other != number)).then_some(*other)
-                    };
-                    let unknown: Vec<u64> = self.open.iter().filter_map(over).collect();
-                    for number in unknown {
-                        self.open.remove(&number);
-                        effects.push(ClientEffect::Ended(number, Ended::Unknown));
+                    Outcome::Expired => {
+                        self.session = None;
+                        self.asked = f64::NEG_INFINITY;
+                        // What was sent once and refused was not carried out: it goes into the next session. Of what was sent more
+                        // often, or has no answer yet, an earlier word may have been heeded.
+                        let over = |(other, open): (&u64, &Open)| {
+                            (open.times > 1 || (open.times == 1 && *other != number))
+                                .then_some(*other)
+                        };
+                        let unknown: Vec<u64> = self.open.iter().filter_map(over).collect();
+                        for number in unknown {
+                            self.open.remove(&number);
+                            effects.push(ClientEffect::Ended(number, Ended::Unknown));
+                        }
+                        self.open
+                            .values_mut()
+                            .for_each(|open| (open.sent, open.times) = (f64::NEG_INFINITY, 0));
                     }
-                    self.open.values_mut().for_each(|open| (open.sent, open.times) = (f64::NEG_INFINITY, 0));
-                }
-                // Too many are open, or it was answered long ago and the answer was lost with it.
-                Outcome::Refused => {
-                    if self.open.remove(&number).is_some() {
-                        effects.push(ClientEffect::Ended(number, Ended::Unknown));
+                    // Too many are open, or it was answered long ago and the answer was lost with it.
+                    Outcome::Refused => {
+                        if self.open.remove(&number).is_some() {
+                            effects.push(ClientEffect::Ended(number, Ended::Unknown));
+                        }
                     }
                 }
-            },
+            }
             Answer::Elsewhere(Some(leader)) => {
                 // Each of many writes brings such an answer, and two keepers may each take the other for the leader: only now and
                 // then one is followed, or all that is open would go to and fro without end.
@@ -191,14 +221,22 @@
                     // The group has changed since it was told of it.
                     self.keepers.push(leader.clone());
                 }
-                let place = self.keepers.iter().position(|keeper| *keeper == leader).filter(|_| !soon);
-                if let Some(place) = place.filter(|place| *place != self.asks % self.keepers.len().max(1)) {
+                let place = self
+                    .keepers
+                    .iter()
+                    .position(|keeper| *keeper == leader)
+                    .filter(|_| !soon);
+                if let Some(place) =
+                    place.filter(|place| *place != self.asks % self.keepers.len().max(1))
+                {
                     self.moved = now;
                     // What went to another is sent to the leader at once; it counts as sent again, which only makes an end
                     // in doubt more likely, and never a wrong one.
                     self.asks = place;
                     self.asked = f64::NEG_INFINITY;
-                    self.open.values_mut().for_each(|open| open.sent = f64::NEG_INFINITY);
+                    self.open
+                        .values_mut()
+                        .for_each(|open| open.sent = f64::NEG_INFINITY);
                 }
             }
             Answer::Opened(..) | Answer::Written(..) | Answer::Elsewhere(None) | Answer::Busy => {}
--- a/crates/record/src/entry.rs
+++ b/crates/record/src/entry.rs
@@ -25,12 +25,16 @@
 impl Config {
     /// The seat of a keeper.
     pub fn seat(&self, id: &Id) -> Option<u64> {
-        self.keepers.iter().position(|keeper| keeper == id).map(|place| place as u64 + 1)
+        self.keepers
+            .iter()
+            .position(|keeper| keeper == id)
+            .map(|place| place as u64 + 1)
     }
 
     /// Who has a seat.
     pub fn at(&self, seat: u64) -> Option<&Id> {
-        self.keepers.get(usize::try_from(seat).ok()?.checked_sub(1)?)
+        self.keepers
+            .get(usize::try_from(seat).ok()?.checked_sub(1)?)
     }
 
     /// How many make a majority.
@@ -40,7 +44,9 @@
 }
 
 /// A place in the record: the configuration, and how many of its entries come before.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Position {
     /// The configuration's number.
     pub config: u32,
@@ -61,7 +67,11 @@
 
 impl Office {
     pub(crate) fn of(ballot: &Ballot) -> Office {
-        Office { config: ballot.config_id, ballot: ballot.n, seat: ballot.pid }
+        Office {
+            config: ballot.config_id,
+            ballot: ballot.n,
+            seat: ballot.pid,
+        }
     }
 }
 
--- a/crates/record/src/keeper/agree.rs
+++ b/crates/record/src/keeper/agree.rs
@@ -4,17 +4,28 @@
 
 impl<M: Machine> Keeper<M> {
     pub(super) fn agree(&mut self, from: &Id, config: u32, mut message: Message<Entry>) {
-        let (Some(own), Some(seat)) = (self.config.as_ref(), self.seat_of(from)) else { return };
+        let (Some(own), Some(seat)) = (self.config.as_ref(), self.seat_of(from)) else {
+            return;
+        };
         let (own, own_seat) = (own.number, self.seat_of(&self.id));
-        if config != own || message.get_sender() != seat || Some(message.get_receiver()) != own_seat {
+        if config != own || message.get_sender() != seat || Some(message.get_receiver()) != own_seat
+        {
             return;
         }
         self.witness(from, &message);
         let (cut, length, decided, accepted, ended) = {
             let log = self.log.0.borrow();
-            (log.cut, log.length(), log.decided, log.accepted, log.stop.is_some())
+            (
+                log.cut,
+                log.length(),
+                log.decided,
+                log.accepted,
+                log.stop.is_some(),
+            )
+        };
+        let Phase::Seated(paxos) = &mut self.phase else {
+            return;
         };
-        let Phase::Seated(paxos) = &mut self.phase else { return };
         if let Message::SequencePaxos(message) = &message {
             // What is cut off cannot be sent as entries: whoever lacks it fetches first, and then says this again.
             let lacks = match &message.msg {
@@ -27,17 +38,26 @@
                 return;
             }
         }
-        if let Message::SequencePaxos(PaxosMessage { msg: PaxosMsg::Promise(promise), .. }) = &mut message {
+        if let Message::SequencePaxos(PaxosMessage {
+            msg: PaxosMsg::Promise(promise),
+            ..
+        }) = &mut message
+        {
             // One that promises after the majority did, and accepted last in the ballot that the majority's longest log is of,
             // would be sent entries from where that log ended. Its state may have been fetched and reach further, and this log
             // be cut off beyond: it is sent what comes after its decided entries, as one of any other ballot is.
             let ballot = paxos.get_promise();
-            let led = paxos.get_current_leader() == Some((paxos.get_pid(), true)) && promise.n == ballot;
+            let led =
+                paxos.get_current_leader() == Some((paxos.get_pid(), true)) && promise.n == ballot;
             if led && promise.n_accepted != ballot {
                 promise.n_accepted = Ballot::with(0, 0, 2, 0);
             }
         }
-        if let Message::SequencePaxos(PaxosMessage { msg: PaxosMsg::AcceptSync(sync), .. }) = &mut message {
+        if let Message::SequencePaxos(PaxosMessage {
+            msg: PaxosMsg::AcceptSync(sync),
+            ..
+        }) = &mut message
+        {
             // The library counts an accepted end as an entry, and then begins one after it, so that the end is counted twice and
             // what was accepted seems one longer than it is (0.2.4, `send_accsync`): it could never be decided.
             if sync.log_sync.suffix.is_empty() {
@@ -64,21 +84,40 @@
 
     /// Keeps what a message tells of its sender's promises.
     pub(super) fn witness(&mut self, from: &Id, message: &Message<Entry>) {
-        let Message::SequencePaxos(message) = message else { return };
+        let Message::SequencePaxos(message) = message else {
+            return;
+        };
         let config = self.config.as_ref().map_or(0, |config| config.number);
         let (promised, accepted) = match &message.msg {
-            PaxosMsg::Promise(promise) => (promise.n, (promise.n_accepted, promise.accepted_idx as u64)),
-            PaxosMsg::Prepare(prepare) => (prepare.n, (prepare.n_accepted, prepare.accepted_idx as u64)),
-            PaxosMsg::Accepted(accepted) => (accepted.n, (accepted.n, accepted.accepted_idx as u64)),
+            PaxosMsg::Promise(promise) => {
+                (promise.n, (promise.n_accepted, promise.accepted_idx as u64))
+            }
+            PaxosMsg::Prepare(prepare) => {
+                (prepare.n, (prepare.n_accepted, prepare.accepted_idx as u64))
+            }
+            PaxosMsg::Accepted(accepted) => {
+                (accepted.n, (accepted.n, accepted.accepted_idx as u64))
+            }
             PaxosMsg::NotAccepted(not) => (not.n, Default::default()),
             _ => return,
         };
-        self.note_seen(from, Seen { config, promised, accepted });
+        self.note_seen(
+            from,
+            Seen {
+                config,
+                promised,
+                accepted,
+            },
+        );
     }
 
     pub(super) fn note_seen(&mut self, of: &Id, seen: Seen) {
         if let Some(known) = self.known.get_mut(of) {
-            known.seen = if seen.config > known.seen.config { seen } else { most(known.seen, seen) };
+            known.seen = if seen.config > known.seen.config {
+                seen
+            } else {
+                most(known.seen, seen)
+            };
         }
     }
 
@@ -89,7 +128,9 @@
             return;
         }
         let waits = self.in_hand() >= self.times.in_hand;
-        let Phase::Seated(paxos) = &mut self.phase else { return };
+        let Phase::Seated(paxos) = &mut self.phase else {
+            return;
+        };
         let office = Office::of(&paxos.get_promise());
         // A change that is under way refuses entries: then there is nothing to do here but to wait.
         if self.asked != office {
@@ -113,7 +154,9 @@
     /// second one before the first is done.
     pub(super) fn replace(&mut self, now: f64) {
         let at = self.position();
-        let (Some(config), Phase::Seated(paxos)) = (&self.config, &mut self.phase) else { return };
+        let (Some(config), Phase::Seated(paxos)) = (&self.config, &mut self.phase) else {
+            return;
+        };
         let near = |position: &Position| {
             position.config == at.config && position.index + self.times.tail / 2 >= at.index
         };
@@ -129,28 +172,49 @@
             return;
         }
         let silent = |id: &&Id| {
-            **id != self.id && self.known.get(id).is_none_or(|known| now - known.heard > self.times.replace)
+            **id != self.id
+                && self
+                    .known
+                    .get(id)
+                    .is_none_or(|known| now - known.heard > self.times.replace)
         };
         // Somebody else under its name: the one that had the seat has forgotten, or is on another machine.
         let successor = |id: &Id| ready.iter().find(|other| other.name == id.name).copied();
-        let renamed =
-            config.keepers.iter().filter(|id| **id != self.id).find_map(|id| Some((id, successor(id)?)));
+        let renamed = config
+            .keepers
+            .iter()
+            .filter(|id| **id != self.id)
+            .find_map(|id| Some((id, successor(id)?)));
         let change = renamed.or_else(|| {
             let lost = config.keepers.iter().find(silent)?;
             let zone = |id: &Id| self.zones.get(&id.name);
             let rest = || config.keepers.iter().filter(|id| *id != lost);
             let free = |id: &&&Id| rest().all(|other| other.name != id.name);
             let apart = |id: &Id| rest().all(|other| zone(other) != zone(id));
-            ready.iter().filter(free).max_by_key(|id| apart(id)).map(|id| (lost, *id))
+            ready
+                .iter()
+                .filter(free)
+                .max_by_key(|id| apart(id))
+                .map(|id| (lost, *id))
         });
         let Some((lost, new)) = change else { return };
         let swap = |id: &Id| if id == lost { new.clone() } else { id.clone() };
         // A majority of those that are to be must be there, or the change would end what still goes.
         let there = |id: &&Id| **id == self.id || self.known.get(id).is_some_and(recent);
-        if config.keepers.iter().map(swap).filter(|id| there(&id)).count() < config.majority() {
+        if config
+            .keepers
+            .iter()
+            .map(swap)
+            .filter(|id| there(&id))
+            .count()
+            < config.majority()
+        {
             return;
         }
-        let next = Config { number: config.number + 1, keepers: config.keepers.iter().map(swap).collect() };
+        let next = Config {
+            number: config.number + 1,
+            keepers: config.keepers.iter().map(swap).collect(),
+        };
         if let Ok(told) = postcard::to_stdvec(&next) {
             // One that is under way already refuses another.
             let _ = paxos.reconfigure(cluster(&next), Some(told));
--- a/crates/record/src/keeper/begin.rs
+++ b/crates/record/src/keeper/begin.rs
@@ -8,7 +8,10 @@
         let own = self.id.name.clone();
         for name in names.iter().filter(|name| **name != own) {
             // Whoever has the name answers.
-            let to = Id { name: name.clone(), life: 0 };
+            let to = Id {
+                name: name.clone(),
+                life: 0,
+            };
             self.say(&to, Body::Empty(names.clone()));
         }
     }
@@ -51,7 +54,10 @@
 
     /// Takes a seat of a configuration, from a position on whose state is in the replica. It has never voted there.
     pub(super) fn begin(&mut self, config: Config, index: u64) {
-        let at = Position { config: config.number, index };
+        let at = Position {
+            config: config.number,
+            index,
+        };
         let state = self.replica.write();
         self.image = Some(Image::new(at, config.clone(), state.clone()));
         let note = Note::Begin(self.record, config.clone(), at, state);
@@ -74,7 +80,9 @@
     /// Takes part in the agreement from what the log has.
     pub(super) fn sit(&mut self) {
         let Some(config) = &self.config else { return };
-        let Some(seat) = config.seat(&self.id) else { return };
+        let Some(seat) = config.seat(&self.id) else {
+            return;
+        };
         let cluster = cluster(config);
         let server = ServerConfig {
             pid: seat,
@@ -101,14 +109,28 @@
     /// What is known here of another's promises: what it said, and what follows from this log, as a leader has accepted all that
     /// is decided in its ballot.
     pub(super) fn seen_of(&self, other: &Id) -> Seen {
-        let seen = self.known.get(other).map(|known| known.seen).unwrap_or_default();
+        let seen = self
+            .known
+            .get(other)
+            .map(|known| known.seen)
+            .unwrap_or_default();
         let own = self.own_seen();
-        let led = self.seat_of(other).is_some_and(|seat| seat == own.accepted.0.pid);
+        let led = self
+            .seat_of(other)
+            .is_some_and(|seat| seat == own.accepted.0.pid);
         if led && seen.config <= own.config {
             // Entries go out before their leader has written them, but not that they are decided.
             let decided = self.log.0.borrow().decided;
-            let implied = Seen { promised: own.accepted.0, accepted: (own.accepted.0, decided), ..own };
-            return if seen.config < own.config { implied } else { most(seen, implied) };
+            let implied = Seen {
+                promised: own.accepted.0,
+                accepted: (own.accepted.0, decided),
+                ..own
+            };
+            return if seen.config < own.config {
+                implied
+            } else {
+                most(seen, implied)
+            };
         }
         seen
     }
@@ -117,7 +139,9 @@
     /// answer for a while: without them it could do nothing, and waiting for all would stop a group that has lost one. It goes on
     /// asking the rest.
     pub(super) fn take_seat(&mut self, now: f64) {
-        let (Phase::Doubt(saw), Some(config)) = (&self.phase, &self.config) else { return };
+        let (Phase::Doubt(saw), Some(config)) = (&self.phase, &self.config) else {
+            return;
+        };
         let waited = now - self.born >= self.times.patience;
         if saw.len() + 1 >= config.keepers.len() || (waited && saw.len() + 1 >= config.majority()) {
             self.sit();
@@ -125,7 +149,11 @@
     }
 
     pub(super) fn was_seen(&mut self, now: f64, from: &Id, seen: Seen, effects: &mut Vec<Effect>) {
-        let (own, seat, decided) = (self.own_seen(), self.seat_of(from), self.log.0.borrow().decided);
+        let (own, seat, decided) = (
+            self.own_seen(),
+            self.seat_of(from),
+            self.log.0.borrow().decided,
+        );
         let Some(seat) = seat else { return };
         self.unheard.remove(from);
         // What lies within what it knows to be decided is there, in whatever ballot it was accepted.
@@ -137,7 +165,9 @@
             effects.push(Effect::Forgotten);
             return;
         }
-        let Phase::Doubt(saw) = &mut self.phase else { return };
+        let Phase::Doubt(saw) = &mut self.phase else {
+            return;
+        };
         saw.insert(seat);
         self.take_seat(now);
     }
--- a/crates/record/src/keeper/catch_up.rs
+++ b/crates/record/src/keeper/catch_up.rs
@@ -30,7 +30,12 @@
                 }
             }
         }
-        let Some((from, _)) = self.fetching.from.clone().filter(|_| now >= self.fetching.next) else {
+        let Some((from, _)) = self
+            .fetching
+            .from
+            .clone()
+            .filter(|_| now >= self.fetching.next)
+        else {
             return;
         };
         let body = match &self.fetching.incoming {
@@ -47,13 +52,18 @@
         let here = matches!(self.phase, Phase::Seated(_)) && log.cut <= self.applied;
         let answer = match (position, &self.before) {
             (Some(at), _)
-                if here && at.config == config.number && (log.cut..=self.applied).contains(&at.index) =>
+                if here
+                    && at.config == config.number
+                    && (log.cut..=self.applied).contains(&at.index) =>
             {
                 let entries = self.some_of(log.decided_from(at.index));
                 Some(Body::Tail(at, entries, None))
             }
             (Some(at), Some(before)) if at.config == before.config && at.index >= before.from => {
-                let rest = before.entries.get((at.index - before.from) as usize..).unwrap_or_default();
+                let rest = before
+                    .entries
+                    .get((at.index - before.from) as usize..)
+                    .unwrap_or_default();
                 let entries = self.some_of(rest);
                 let next = (entries.len() == rest.len()).then(|| before.next.clone());
                 Some(Body::Tail(at, entries, next))
@@ -96,7 +106,10 @@
         if elsewhere || matches!(self.phase, Phase::Empty | Phase::Doubt(_)) {
             return;
         }
-        self.fetching = Fetching { next: now + self.times.patience / 2.0, ..Fetching::default() };
+        self.fetching = Fetching {
+            next: now + self.times.patience / 2.0,
+            ..Fetching::default()
+        };
         let more = !entries.is_empty();
         for entry in &entries {
             self.replica.apply(entry);
@@ -118,9 +131,18 @@
     }
 
     /// Puts the state of a snapshot in the place of its own.
-    pub(super) fn install(&mut self, at: Position, config: Config, replica: Replica<M>, state: Vec<u8>) {
+    pub(super) fn install(
+        &mut self,
+        at: Position,
+        config: Config,
+        replica: Replica<M>,
+        state: Vec<u8>,
+    ) {
         let own = self.position();
-        let same = self.config.as_ref().is_some_and(|own| own.number == at.config);
+        let same = self
+            .config
+            .as_ref()
+            .is_some_and(|own| own.number == at.config);
         if self.config.is_some() && at <= own {
             return;
         }
@@ -163,20 +185,36 @@
     pub(super) fn go_on(&mut self, next: Config) {
         {
             let log = self.log.0.borrow();
-            if let Some(config) = self.config.as_ref().filter(|_| matches!(self.phase, Phase::Seated(_))) {
+            if let Some(config) = self
+                .config
+                .as_ref()
+                .filter(|_| matches!(self.phase, Phase::Seated(_)))
+            {
                 let (config, from) = (config.number, log.cut);
                 let mut entries = log.entries.clone();
                 if Fault::ForgetTail.is_in() {
                     entries.pop();
                 }
-                self.before = Some(Before { config, from, entries, next: next.clone() });
+                self.before = Some(Before {
+                    config,
+                    from,
+                    entries,
+                    next: next.clone(),
+                });
             }
         }
         if next.seat(&self.id).is_some() {
             self.begin(next, 0);
         } else {
             self.applied = 0;
-            self.follow(Position { config: next.number, index: 0 }, next, self.replica.write());
+            self.follow(
+                Position {
+                    config: next.number,
+                    index: 0,
+                },
+                next,
+                self.replica.write(),
+            );
             self.log.0.borrow_mut().notes.clear();
         }
     }
--- a/crates/record/src/keeper/mod.rs
+++ b/crates/record/src/keeper/mod.rs
@@ -241,7 +241,12 @@
             times,
         };
         let mut effects = Vec::new();
-        if let Some(Found { begun: Some((record, config, at, state)), log, .. }) = found {
+        if let Some(Found {
+            begun: Some((record, config, at, state)),
+            log,
+            ..
+        }) = found
+        {
             keeper.log.0.replace(log);
             keeper.record = record;
             match Replica::read(&state) {
@@ -257,7 +262,12 @@
                 _ => effects.push(Effect::Forgotten),
             }
         }
-        keeper.log.0.borrow_mut().notes.push(Note::Start(keeper.starts));
+        keeper
+            .log
+            .0
+            .borrow_mut()
+            .notes
+            .push(Note::Start(keeper.starts));
         keeper.settle(now, &mut effects);
         (keeper, effects)
     }
@@ -290,7 +300,10 @@
 
     /// How far its copy is.
     pub fn position(&self) -> Position {
-        Position { config: self.config.as_ref().map_or(0, |config| config.number), index: self.applied }
+        Position {
+            config: self.config.as_ref().map_or(0, |config| config.number),
+            index: self.applied,
+        }
     }
 
     /// Its copy of all that the log comes to: as old as its position.
@@ -300,7 +313,9 @@
 
     /// Who leads, as far as it knows.
     pub fn leader(&self) -> Option<&str> {
-        let Phase::Seated(paxos) = &self.phase else { return None };
+        let Phase::Seated(paxos) = &self.phase else {
+            return None;
+        };
         let (seat, _) = paxos.get_current_leader()?;
         self.config.as_ref()?.at(seat).map(|id| &*id.name)
     }
@@ -311,7 +326,9 @@
     }
 
     fn leads(&self) -> bool {
-        let Phase::Seated(paxos) = &self.phase else { return false };
+        let Phase::Seated(paxos) = &self.phase else {
+            return false;
+        };
         paxos.get_current_leader() == Some((paxos.get_pid(), true))
     }
 
@@ -321,7 +338,10 @@
 
     fn others(&self) -> Vec<Id> {
         let keepers = self.config.iter().flat_map(|config| &config.keepers);
-        keepers.filter(|keeper| **keeper != self.id).cloned().collect()
+        keepers
+            .filter(|keeper| **keeper != self.id)
+            .cloned()
+            .collect()
     }
 
     /// The disk has all writes up to this number.
@@ -356,13 +376,18 @@
             Phase::Empty if often => self.look_for_others(),
             Phase::Learner if often && self.config.is_some() => {
                 let at = self.position();
-                self.others().iter().for_each(|other| self.say(other, Body::StandsBy(at)));
+                self.others()
+                    .iter()
+                    .for_each(|other| self.say(other, Body::StandsBy(at)));
             }
             Phase::Doubt(_) | Phase::Empty | Phase::Learner => {}
         }
         self.take_seat(now);
         if often {
-            self.unheard.clone().iter().for_each(|other| self.say(other, Body::Doubt));
+            self.unheard
+                .clone()
+                .iter()
+                .for_each(|other| self.say(other, Body::Doubt));
         }
         self.fetch(now);
         self.settle(now, &mut effects);
@@ -372,7 +397,14 @@
     /// Somebody's word has come.
     pub fn receive(&mut self, now: f64, envelope: Envelope) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let Envelope { record, config, from, number, horizon, body } = envelope;
+        let Envelope {
+            record,
+            config,
+            from,
+            number,
+            horizon,
+            body,
+        } = envelope;
         if self.forgotten || from == self.id {
             return effects;
         }
@@ -400,7 +432,8 @@
     pub fn request(&mut self, now: f64, client: &str, request: Request) -> Vec<Effect> {
         let mut effects = Vec::new();
         if let Some(answer) = self.ask(client, request) {
-            self.held.push((self.writes, Held::Answer(client.to_owned(), answer)));
+            self.held
+                .push((self.writes, Held::Answer(client.to_owned(), answer)));
         }
         self.settle(now, &mut effects);
         effects
@@ -414,7 +447,9 @@
         }
         let elsewhere = Answer::Elsewhere(self.leader().map(str::to_owned));
         let (leads, in_hand) = (self.leads(), self.in_hand());
-        let Phase::Seated(paxos) = &mut self.phase else { return Some(elsewhere) };
+        let Phase::Seated(paxos) = &mut self.phase else {
+            return Some(elsewhere);
+        };
         if !leads || paxos.is_reconfigured().is_some() {
             return Some(elsewhere);
         }
@@ -446,9 +481,13 @@
         const MOST: usize = 1_024;
         while self.known.len() > MOST {
             let config = self.config.as_ref();
-            let spare =
-                self.known.iter().filter(|(id, _)| config.is_none_or(|config| config.seat(id).is_none()));
-            let Some(oldest) = spare.min_by(|a, b| a.1.heard.total_cmp(&b.1.heard)).map(|(id, _)| id.clone())
+            let spare = self
+                .known
+                .iter()
+                .filter(|(id, _)| config.is_none_or(|config| config.seat(id).is_none()));
+            let Some(oldest) = spare
+                .min_by(|a, b| a.1.heard.total_cmp(&b.1.heard))
+                .map(|(id, _)| id.clone())
             else {
                 return;
             };
@@ -458,7 +497,9 @@
 
     /// Sees from a word of the agreement's whether its sender is ahead by a change, or past what it has cut off.
     fn compare(&mut self, now: f64, from: &Id, config: u32, horizon: u64) {
-        let Some(own) = self.config.as_ref().map(|config| config.number) else { return };
+        let Some(own) = self.config.as_ref().map(|config| config.number) else {
+            return;
+        };
         let behind = config == own && horizon > self.log.0.borrow().decided;
         if config > own || (behind && matches!(self.phase, Phase::Seated(_))) {
             self.fetch_from(now, from);
@@ -467,7 +508,15 @@
         }
     }
 
-    fn take(&mut self, now: f64, from: Id, config: u32, record: u64, body: Body, effects: &mut Vec<Effect>) {
+    fn take(
+        &mut self,
+        now: f64,
+        from: Id,
+        config: u32,
+        record: u64,
+        body: Body,
+        effects: &mut Vec<Effect>,
+    ) {
         match body {
             Body::Paxos(message) => self.agree(&from, config, message),
             Body::Doubt => {
@@ -504,13 +553,24 @@
             }
             Body::Want(at, offset) => {
                 let Some(image) = &self.image else { return };
-                let body = if image.at == at { image.piece(offset, self.times.piece) } else { image.offer() };
+                let body = if image.at == at {
+                    image.piece(offset, self.times.piece)
+                } else {
+                    image.offer()
+                };
                 self.say(&from, body);
             }
             Body::Tail(at, entries, next) => self.tail(now, from, at, entries, next),
             Body::Offer(at, length, sum, config) => {
                 if at > self.position() || self.config.is_none() {
-                    self.fetching.offered(now - 4.0 * self.times.patience, now, at, length, sum, config);
+                    self.fetching.offered(
+                        now - 4.0 * self.times.patience,
+                        now,
+                        at,
+                        length,
+                        sum,
+                        config,
+                    );
                     (self.fetching.from, self.fetching.next) =
                         (Some((from, now)), now + self.times.piece_gap);
                 }
--- a/crates/record/src/keeper/out.rs
+++ b/crates/record/src/keeper/out.rs
@@ -5,7 +5,8 @@
 impl<M: Machine> Keeper<M> {
     pub(super) fn say(&mut self, to: &Id, body: Body) {
         let config = self.config.as_ref().map_or(0, |config| config.number);
-        self.held.push((self.writes, Held::Send(to.clone(), config, body)));
+        self.held
+            .push((self.writes, Held::Send(to.clone(), config, body)));
     }
 
     /// Tells somebody who is not as far, or has no seat, how far the record is here.
@@ -32,15 +33,22 @@
         }
         let all = Fault::SayBeforeWritten.is_in();
         let due = |(number, _): &(u64, Held)| *number <= self.synced || all;
-        let (ready, held): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held).into_iter().partition(due);
+        let (ready, held): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.held).into_iter().partition(due);
         self.held = held;
-        ready.into_iter().for_each(|(_, held)| self.release(held, effects));
+        ready
+            .into_iter()
+            .for_each(|(_, held)| self.release(held, effects));
     }
 
     pub(super) fn note(&mut self, effects: &mut Vec<Effect>) {
         let mut log = self.log.0.borrow_mut();
         // How much is decided is learnt again from others: nothing waits for it, and it goes with what is written next.
-        if log.notes.iter().all(|note| matches!(note, Note::Decided(_))) {
+        if log
+            .notes
+            .iter()
+            .all(|note| matches!(note, Note::Decided(_)))
+        {
             let last = log.notes.pop();
             log.notes.clear();
             log.notes.extend(last);
@@ -52,36 +60,47 @@
             self.writes += 1;
             // A store that begins anew is written anew.
             let anew = notes.iter().any(|note| matches!(note, Note::Begin(..)));
-            let write =
-                if anew { Effect::Rewrite(self.writes, notes) } else { Effect::Write(self.writes, notes) };
+            let write = if anew {
+                Effect::Rewrite(self.writes, notes)
+            } else {
+                Effect::Write(self.writes, notes)
+            };
             effects.push(write);
         }
     }
 
     /// Takes the library's messages. They are held until what they rest on is written.
     pub(super) fn gather(&mut self) {
-        let Phase::Seated(paxos) = &mut self.phase else { return };
+        let Phase::Seated(paxos) = &mut self.phase else {
+            return;
+        };
         let mut messages = Vec::new();
         paxos.take_outgoing_messages(&mut messages);
         let Some(config) = &self.config else { return };
         for message in messages {
-            let Some(to) = config.at(message.get_receiver()) else { continue };
+            let Some(to) = config.at(message.get_receiver()) else {
+                continue;
+            };
             let waits = |(number, held): &(u64, Held)| {
                 *number > self.synced && matches!(held, Held::Send(id, ..) if id == to)
             };
             // New entries go out while this disk still writes them, so that all disks write at once: a leader may lose what it has
             // only proposed. What it counts itself in for is told once it is written.
             let early = match &message {
-                Message::SequencePaxos(PaxosMessage { msg: PaxosMsg::AcceptDecide(accept), .. }) => {
-                    accept.decided_idx as u64 <= self.decided_through
-                }
+                Message::SequencePaxos(PaxosMessage {
+                    msg: PaxosMsg::AcceptDecide(accept),
+                    ..
+                }) => accept.decided_idx as u64 <= self.decided_through,
                 _ => false,
             };
             // Who is there and would lead promises nothing.
-            let free = matches!(message, Message::BLE(_)) || (early && !self.held.iter().any(waits));
+            let free =
+                matches!(message, Message::BLE(_)) || (early && !self.held.iter().any(waits));
             let number = if free { self.synced } else { self.writes };
-            self.held
-                .push((number.min(self.writes), Held::Send(to.clone(), config.number, Body::Paxos(message))));
+            self.held.push((
+                number.min(self.writes),
+                Held::Send(to.clone(), config.number, Body::Paxos(message)),
+            ));
         }
     }
 
@@ -114,7 +133,8 @@
                 Done::Nothing => continue,
             };
             for client in self.waiting.remove(&key).unwrap_or_default() {
-                self.held.push((self.writes, Held::Answer(client, answer.clone())));
+                self.held
+                    .push((self.writes, Held::Answer(client, answer.clone())));
             }
         }
         let next = stop.and_then(|stop| postcard::from_bytes::<Config>(&stop.metadata?).ok());
@@ -135,7 +155,9 @@
             (log.cut, log.length())
         };
         let to = self.applied.saturating_sub(self.times.tail);
-        let (Phase::Seated(paxos), Some(config)) = (&mut self.phase, &self.config) else { return };
+        let (Phase::Seated(paxos), Some(config)) = (&mut self.phase, &self.config) else {
+            return;
+        };
         if length - cut < self.times.log_entries || to <= cut {
             return;
         }
@@ -143,7 +165,10 @@
         if paxos.snapshot(Some(to as usize), true).is_err() {
             return;
         }
-        let at = Position { config: config.number, index: self.applied };
+        let at = Position {
+            config: config.number,
+            index: self.applied,
+        };
         self.image = Some(Image::new(at, config.clone(), self.replica.write()));
         self.rewrite();
     }
@@ -152,7 +177,12 @@
     pub(super) fn rewrite(&mut self) {
         let Some(image) = &self.image else { return };
         let mut log = self.log.0.borrow_mut();
-        let begin = Note::Begin(self.record, image.config.clone(), image.at, image.bytes.to_vec());
+        let begin = Note::Begin(
+            self.record,
+            image.config.clone(),
+            image.at,
+            image.bytes.to_vec(),
+        );
         log.notes = vec![begin, Note::Start(self.starts)];
         let whole = log.whole();
         log.notes.extend(whole);
--- a/crates/record/src/log.rs
+++ b/crates/record/src/log.rs
@@ -94,7 +94,11 @@
     pub fn learn(&mut self, from: u64, entries: Vec<Entry>) {
         let to = from + entries.len() as u64;
         // What this one accepted beyond them stays.
-        let beyond = self.entries.get(to.saturating_sub(self.cut) as usize..).unwrap_or_default().to_vec();
+        let beyond = self
+            .entries
+            .get(to.saturating_sub(self.cut) as usize..)
+            .unwrap_or_default()
+            .to_vec();
         if to > self.length() {
             self.note(Note::Stop(None));
             self.accept_by_state();
@@ -115,7 +119,13 @@
     /// Takes a note up as it was made.
     pub fn replay(&mut self, note: Note) {
         match note {
-            Note::Begin(_, _, at, _) => *self = Log { cut: at.index, decided: at.index, ..Log::default() },
+            Note::Begin(_, _, at, _) => {
+                *self = Log {
+                    cut: at.index,
+                    decided: at.index,
+                    ..Log::default()
+                }
+            }
             Note::Start(_) => {}
             Note::Promise(ballot) => self.promise = Some(ballot),
             Note::Accepted(ballot) => self.accepted = Some(ballot),
@@ -176,7 +186,9 @@
     }
 
     fn append_on_prefix(&mut self, from: usize, entries: Vec<Entry>) -> StorageResult<()> {
-        self.0.borrow_mut().note(Note::Entries(from as u64, entries));
+        self.0
+            .borrow_mut()
+            .note(Note::Entries(from as u64, entries));
         Ok(())
     }
 
--- a/crates/record/src/machine.rs
+++ b/crates/record/src/machine.rs
@@ -68,7 +68,14 @@
 impl<M: Machine> Replica<M> {
     /// The copy at a record's beginning.
     pub fn new(session_ms: u64) -> Replica<M> {
-        Replica { frame: Frame { next_session: 1, session_ms, ..Frame::default() }, machine: M::default() }
+        Replica {
+            frame: Frame {
+                next_session: 1,
+                session_ms,
+                ..Frame::default()
+            },
+            machine: M::default(),
+        }
     }
 
     /// The record's time, ms: the sum of what leaders measured in office, so it never runs ahead of any steady clock by more
@@ -94,14 +101,18 @@
             let over = session != 0 && session < self.frame.next_session;
             return (over && !Fault::LateWrites.is_in()).then_some(Outcome::Expired);
         };
-        open.answers.get(&number).map(|answer| Outcome::Done(answer.clone()))
+        open.answers
+            .get(&number)
+            .map(|answer| Outcome::Done(answer.clone()))
     }
 
     /// Carries out one entry.
     pub fn apply(&mut self, entry: &Entry) -> Done {
         match entry {
             Entry::Open(drawn) => Done::Opened(*drawn, self.open()),
-            Entry::Write(command) => Done::Written(command.session, command.number, self.carry_out(command)),
+            Entry::Write(command) => {
+                Done::Written(command.session, command.number, self.carry_out(command))
+            }
             Entry::Office(office) => {
                 self.frame.office = *office;
                 Done::Office(*office)
@@ -122,7 +133,13 @@
         }
         let number = self.frame.next_session;
         self.frame.next_session += 1;
-        self.frame.sessions.insert(number, Session { heard: self.frame.now, ..Session::default() });
+        self.frame.sessions.insert(
+            number,
+            Session {
+                heard: self.frame.now,
+                ..Session::default()
+            },
+        );
         Some(number)
     }
 
@@ -131,11 +148,17 @@
         if Fault::LateWrites.is_in() {
             self.frame.sessions.entry(command.session).or_default();
         }
-        let Some(session) = self.frame.sessions.get_mut(&command.session) else { return Outcome::Expired };
+        let Some(session) = self.frame.sessions.get_mut(&command.session) else {
+            return Outcome::Expired;
+        };
         session.heard = now;
         session.below = session.below.max(command.below);
         session.answers = session.answers.split_off(&session.below);
-        if let Some(answer) = session.answers.get(&command.number).filter(|_| !Fault::NoSessions.is_in()) {
+        if let Some(answer) = session
+            .answers
+            .get(&command.number)
+            .filter(|_| !Fault::NoSessions.is_in())
+        {
             return Outcome::Done(answer.clone());
         }
         if command.number < session.below || command.number >= session.below + WINDOW {
@@ -149,7 +172,9 @@
     fn pass(&mut self, ms: u64) {
         self.frame.now = self.frame.now.saturating_add(ms);
         let (now, after) = (self.frame.now, self.frame.session_ms);
-        self.frame.sessions.retain(|_, session| session.heard.saturating_add(after) > now);
+        self.frame
+            .sessions
+            .retain(|_, session| session.heard.saturating_add(after) > now);
         self.machine.passed(now);
     }
 
@@ -157,7 +182,10 @@
     pub fn write(&self) -> Vec<u8> {
         if Fault::StateWithoutSessions.is_in() {
             let mut frame = self.frame.clone();
-            frame.sessions.values_mut().for_each(|session| session.answers.clear());
+            frame
+                .sessions
+                .values_mut()
+                .for_each(|session| session.answers.clear());
             return postcard::to_stdvec(&(&frame, self.machine.write())).unwrap_or_default();
         }
         // A vector takes any bytes.
@@ -167,6 +195,9 @@
     /// From such bytes, if they are sound.
     pub fn read(bytes: &[u8]) -> Option<Replica<M>> {
         let (frame, rest): (Frame, Vec<u8>) = postcard::from_bytes(bytes).ok()?;
-        Some(Replica { frame, machine: M::read(&rest)? })
+        Some(Replica {
+            frame,
+            machine: M::read(&rest)?,
+        })
     }
 }
--- a/crates/record/src/sim.rs
+++ b/crates/record/src/sim.rs
@@ -31,7 +31,12 @@
 
 impl Default for Network {
     fn default() -> Network {
-        Network { delay: (1.4, 2.6), loss: 0.0, duplicate: 0.0, straggle: (0.0, 0.0) }
+        Network {
+            delay: (1.4, 2.6),
+            loss: 0.0,
+            duplicate: 0.0,
+            straggle: (0.0, 0.0),
+        }
     }
 }
 
@@ -173,7 +178,9 @@
         let mut chance = StdRng::seed_from_u64(seed);
         let names: Vec<String> = (0..founders).map(name).collect();
         let count = clients;
-        let clients = (0..clients).map(|_| Client::new(names.clone(), 300.0, chance.random())).collect();
+        let clients = (0..clients)
+            .map(|_| Client::new(names.clone(), 300.0, chance.random()))
+            .collect();
         let seat = |_| Seat {
             keeper: None,
             disk: Disk::default(),
@@ -215,7 +222,9 @@
 
     /// Starts a keeper with what its disk holds.
     pub fn start(&mut self, seat: usize) {
-        let zones = (0..self.seats.len()).map(|seat| (name(seat), format!("zone-{}", seat % 3))).collect();
+        let zones = (0..self.seats.len())
+            .map(|seat| (name(seat), format!("zone-{}", seat % 3)))
+            .collect();
         let own = &mut self.seats[seat];
         own.run += 1;
         own.planned = self.now;
@@ -241,16 +250,28 @@
                 let own = &mut self.seats[seat];
                 own.lives += 1;
                 own.disk.file = format!("{seat}/{}", own.lives);
-                let mut id = Id { name: name(seat), life: self.chance.random() };
+                let mut id = Id {
+                    name: name(seat),
+                    life: self.chance.random(),
+                };
                 if Fault::VoteAfterAmnesia.is_in() {
                     id.life = seat as u64 + 1;
                 }
-                own.disk.sound = store::head(&Kept { id: id.clone(), file: own.disk.file.clone() });
+                own.disk.sound = store::head(&Kept {
+                    id: id.clone(),
+                    file: own.disk.file.clone(),
+                });
                 Start::Empty(id, self.names())
             }
         };
-        let (keeper, effects) =
-            Keeper::new(self.now, start, self.times.clone(), self.durable, zones, self.chance.random());
+        let (keeper, effects) = Keeper::new(
+            self.now,
+            start,
+            self.times.clone(),
+            self.durable,
+            zones,
+            self.chance.random(),
+        );
         self.seats[seat].keeper = Some(keeper);
         self.push(self.now, seat, What::Tick);
         self.carry_out(seat, effects);
@@ -330,7 +351,8 @@
     pub fn split(&mut self, parts: &[&[usize]]) {
         for (number, part) in parts.iter().enumerate() {
             for other in &parts[number + 1..] {
-                part.iter().for_each(|a| other.iter().for_each(|b| self.cut(*a, *b)));
+                part.iter()
+                    .for_each(|a| other.iter().for_each(|b| self.cut(*a, *b)));
             }
         }
     }
@@ -349,7 +371,11 @@
     pub fn leading(&self) -> Option<usize> {
         let leads = |seat: &usize| {
             let own = &self.seats[*seat];
-            own.stopped.is_none() && own.keeper.as_ref().is_some_and(|k| k.standing() == Standing::Leader)
+            own.stopped.is_none()
+                && own
+                    .keeper
+                    .as_ref()
+                    .is_some_and(|k| k.standing() == Standing::Leader)
         };
         (0..self.seats.len())
             .filter(leads)
@@ -361,7 +387,11 @@
         let number = self.writes.len() as u64;
         let bytes = postcard::to_stdvec(&(client as u64, number)).unwrap_or_default();
         if let Some((own, effects)) = self.clients[client].write(self.now, bytes) {
-            self.writes.push(Write { of: (client, own), from: self.now, ended: None });
+            self.writes.push(Write {
+                of: (client, own),
+                from: self.now,
+                ended: None,
+            });
             self.client_effects(client, effects);
         }
     }
@@ -377,12 +407,16 @@
 
     /// Writes that were promised.
     pub fn promised(&self) -> usize {
-        self.writes.iter().filter(|write| matches!(write.ended, Some((_, Ended::Done(_))))).count()
+        self.writes
+            .iter()
+            .filter(|write| matches!(write.ended, Some((_, Ended::Done(_)))))
+            .count()
     }
 
     fn push(&mut self, at: f64, to: usize, what: What) {
         self.order += 1;
-        self.events.insert((at.max(0.0).to_bits(), self.order), (to, what));
+        self.events
+            .insert((at.max(0.0).to_bits(), self.order), (to, what));
     }
 
     /// Plays until a time.
@@ -392,7 +426,10 @@
 
     /// Plays until a time, or until this no longer holds; tells whether it ended to hold.
     pub fn run_while(&mut self, end: f64, goes_on: impl Fn(&Sim) -> bool) -> bool {
-        while let Some(first) = self.events.first_entry().filter(|first| f64::from_bits(first.key().0) <= end)
+        while let Some(first) = self
+            .events
+            .first_entry()
+            .filter(|first| f64::from_bits(first.key().0) <= end)
         {
             let ((at, _), (to, what)) = first.remove_entry();
             self.now = self.now.max(f64::from_bits(at));
@@ -430,7 +467,9 @@
             }
             self.seats[seat].stopped = None;
             let waiting = std::mem::take(&mut self.seats[seat].waiting);
-            waiting.into_iter().for_each(|what| self.keeper_event(seat, what));
+            waiting
+                .into_iter()
+                .for_each(|what| self.keeper_event(seat, what));
         }
         let (now, run) = (self.now, self.seats[seat].run);
         if let What::Written(of, _, bytes) = &what {
@@ -444,7 +483,9 @@
         if ticked && now < self.seats[seat].planned {
             return;
         }
-        let Some(keeper) = &mut self.seats[seat].keeper else { return };
+        let Some(keeper) = &mut self.seats[seat].keeper else {
+            return;
+        };
         let effects = match what {
             What::Tick => keeper.tick(now),
             What::Word(envelope) => keeper.receive(now, *envelope),
@@ -464,12 +505,19 @@
 
     /// Holds what a keeper has applied against what others had.
     fn look(&mut self, seat: usize) {
-        let Some(keeper) = &self.seats[seat].keeper else { return };
+        let Some(keeper) = &self.seats[seat].keeper else {
+            return;
+        };
         let list = &keeper.replica().machine.0;
         let known = self.seen.len().min(list.len());
         // Only the last ones can be new; all are compared at the end.
         if known > 0 && self.seen[known - 1] != list[known - 1] {
-            self.diverged.push(format!("{} at {}: place {}", name(seat), self.now, known - 1));
+            self.diverged.push(format!(
+                "{} at {}: place {}",
+                name(seat),
+                self.now,
+                known - 1
+            ));
         }
         let more = list[known..].to_vec();
         let config = keeper.config().map_or(1, |config| config.number);
@@ -486,7 +534,8 @@
     }
 
     fn delay(&mut self) -> f64 {
-        self.chance.random_range(self.network.delay.0..=self.network.delay.1)
+        self.chance
+            .random_range(self.network.delay.0..=self.network.delay.1)
     }
 
     fn carry_out(&mut self, seat: usize, effects: Vec<Effect>) {
@@ -496,7 +545,9 @@
                 Effect::Rewrite(number, notes) => self.written(seat, number, &notes, true),
                 Effect::Send(to, envelope) => self.send(seat, &to, envelope),
                 Effect::Answer(client, answer) => {
-                    let Ok(client) = client.parse::<usize>() else { continue };
+                    let Ok(client) = client.parse::<usize>() else {
+                        continue;
+                    };
                     let at = self.now + self.delay();
                     if !self.by_chance(self.network.loss) {
                         self.push(at, 0, What::Answer(client, answer));
@@ -521,7 +572,10 @@
             // A new file is put in the place of the old one by a rename: one or the other is there. What was on its way into
             // the old one is in the new one.
             let Some(keeper) = &own.keeper else { return };
-            own.disk.sound = store::head(&Kept { id: keeper.id().clone(), file: own.disk.file.clone() });
+            own.disk.sound = store::head(&Kept {
+                id: keeper.id().clone(),
+                file: own.disk.file.clone(),
+            });
             own.disk.sound.extend(bytes);
             own.disk.loose.clear();
             loose = 0;
@@ -537,20 +591,32 @@
     }
 
     fn send(&mut self, from: usize, to: &str, envelope: Box<Envelope>) {
-        let Some(to) = to.strip_prefix('k').and_then(|seat| seat.parse::<usize>().ok()) else { return };
+        let Some(to) = to
+            .strip_prefix('k')
+            .and_then(|seat| seat.parse::<usize>().ok())
+        else {
+            return;
+        };
         if to >= self.seats.len() || self.cuts.contains(&(from, to)) {
             return;
         }
-        let (loss, double, (part, most)) = (self.network.loss, self.network.duplicate, self.network.straggle);
+        let (loss, double, (part, most)) = (
+            self.network.loss,
+            self.network.duplicate,
+            self.network.straggle,
+        );
         if self.by_chance(loss) {
             self.acted.lost += 1;
             return;
         }
         // It goes as bytes, as it would between processes.
-        let Ok(bytes) = postcard::to_stdvec(&*envelope) else { return };
+        let Ok(bytes) = postcard::to_stdvec(&*envelope) else {
+            return;
+        };
         self.acted.bytes += bytes.len() as u64;
         let Ok(envelope) = postcard::from_bytes::<Envelope>(&bytes) else {
-            self.diverged.push(format!("a word that cannot be read: {:?}", envelope.body));
+            self.diverged
+                .push(format!("a word that cannot be read: {:?}", envelope.body));
             return;
         };
         let mut at = self.now + self.delay();
@@ -575,8 +641,12 @@
         for effect in effects {
             match effect {
                 ClientEffect::Send(keeper, request) => {
-                    let seat = keeper.strip_prefix('k').and_then(|seat| seat.parse::<usize>().ok());
-                    let Some(seat) = seat.filter(|seat| *seat < self.seats.len()) else { continue };
+                    let seat = keeper
+                        .strip_prefix('k')
+                        .and_then(|seat| seat.parse::<usize>().ok());
+                    let Some(seat) = seat.filter(|seat| *seat < self.seats.len()) else {
+                        continue;
+                    };
                     let at = self.now + self.delay();
                     let loss = self.network.loss;
                     if self.by_chance(loss) {
@@ -590,7 +660,10 @@
                 }
                 ClientEffect::Ended(number, ended) => {
                     let now = self.now;
-                    let write = self.writes.iter_mut().find(|write| write.of == (client, number));
+                    let write = self
+                        .writes
+                        .iter_mut()
+                        .find(|write| write.of == (client, number));
                     if let Some(write) = write {
                         write.ended = Some((now, ended));
                     }
@@ -612,8 +685,13 @@
         let mut broken = self.diverged.clone();
         for seat in 0..self.seats.len() {
             let list = self.keeper(seat).map(|keeper| &keeper.replica().machine.0);
-            if let Some(place) = list.and_then(|list| list.iter().zip(&self.seen).position(|(a, b)| a != b)) {
-                broken.push(format!("{} has something else at place {place}", name(seat)));
+            if let Some(place) =
+                list.and_then(|list| list.iter().zip(&self.seen).position(|(a, b)| a != b))
+            {
+                broken.push(format!(
+                    "{} has something else at place {place}",
+                    name(seat)
+                ));
             }
         }
         let mut places: BTreeMap<&[u8], usize> = BTreeMap::new();
@@ -624,18 +702,24 @@
         }
         let mut promised: Vec<(f64, f64, u64)> = Vec::new();
         for (number, write) in self.writes.iter().enumerate() {
-            let bytes = postcard::to_stdvec(&(write.of.0 as u64, number as u64)).unwrap_or_default();
+            let bytes =
+                postcard::to_stdvec(&(write.of.0 as u64, number as u64)).unwrap_or_default();
             let place = places.get(&bytes[..]).copied();
             if let Some((at, Ended::Done(answer))) = &write.ended {
                 let told = answer[..].try_into().map(u64::from_le_bytes).ok();
                 if place.map(|place| place as u64) != told {
-                    broken.push(format!("write {number} was promised at {told:?} and is at {place:?}"));
+                    broken.push(format!(
+                        "write {number} was promised at {told:?} and is at {place:?}"
+                    ));
                 }
                 promised.push((write.from, *at, told.unwrap_or_default()));
             }
         }
         // Linearizable: sorted by when they were asked for, no earlier place than any that was promised before that.
-        let mut by_end: Vec<(f64, u64)> = promised.iter().map(|(_, end, place)| (*end, *place)).collect();
+        let mut by_end: Vec<(f64, u64)> = promised
+            .iter()
+            .map(|(_, end, place)| (*end, *place))
+            .collect();
         by_end.sort_by(|a, b| a.0.total_cmp(&b.0));
         promised.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (mut done, mut highest) = (0, None);
@@ -645,7 +729,9 @@
                 done += 1;
             }
             if highest.is_some_and(|highest| place < highest) {
-                broken.push(format!("place {place} was asked for after place {highest:?} was promised"));
+                broken.push(format!(
+                    "place {place} was asked for after place {highest:?} was promised"
+                ));
             }
         }
         broken
@@ -659,7 +745,13 @@
     let founders = if chance.random_bool(0.7) { 3 } else { 5 };
     let keepers = founders + chance.random_range(0..=1);
     let (durable, clients) = (chance.random_bool(0.8), 4);
-    let times = Times { replace: 3000.0, log_entries: 64, tail: 16, piece: 256, ..Times::default() };
+    let times = Times {
+        replace: 3000.0,
+        log_entries: 64,
+        tail: 16,
+        piece: 256,
+        ..Times::default()
+    };
     let mut sim = Sim::new(keepers, founders, clients, durable, times, chance.random());
     sim.run_while(20_000.0, |sim| sim.leading().is_none());
     let end = sim.now + 30_000.0;
@@ -679,7 +771,9 @@
         .collect::<Vec<_>>()
         .into_iter()
         .for_each(|seat| sim.start(seat));
-    sim.run_while(sim.now + 120_000.0, |sim| sim.writes.iter().any(|write| write.ended.is_none()));
+    sim.run_while(sim.now + 120_000.0, |sim| {
+        sim.writes.iter().any(|write| write.ended.is_none())
+    });
     sim.run_to(sim.now + 5000.0);
     sim
 }
@@ -687,17 +781,25 @@
 fn fault(sim: &mut Sim, chance: &mut StdRng, keepers: usize, founders: usize) {
     let seat = chance.random_range(0..keepers);
     // Whether every seat of the group has a keeper that runs and takes part: a disk may go then, and no second one.
-    let whole =
-        sim.leading().and_then(|leader| sim.keeper(leader)?.config().cloned()).is_some_and(|config| {
+    let whole = sim
+        .leading()
+        .and_then(|leader| sim.keeper(leader)?.config().cloned())
+        .is_some_and(|config| {
             let sits = |id: &Id| {
-                (0..keepers).filter_map(|seat| sim.keeper(seat)).any(|keeper| {
-                    keeper.id() == id
-                        && keeper.config().is_some_and(|own| own.number == config.number)
-                        && matches!(keeper.standing(), Standing::Leader | Standing::Follower)
-                })
+                (0..keepers)
+                    .filter_map(|seat| sim.keeper(seat))
+                    .any(|keeper| {
+                        keeper.id() == id
+                            && keeper
+                                .config()
+                                .is_some_and(|own| own.number == config.number)
+                            && matches!(keeper.standing(), Standing::Leader | Standing::Follower)
+                    })
             };
             // Its loss has to be one of the group's: one that stands by may be about to take a seat.
-            let own = sim.keeper(seat).is_some_and(|keeper| config.seat(keeper.id()).is_some());
+            let own = sim
+                .keeper(seat)
+                .is_some_and(|keeper| config.seat(keeper.id()).is_some());
             own && config.keepers.len() == founders && config.keepers.iter().all(sits)
         });
     match chance.random_range(0..16) {
@@ -719,7 +821,8 @@
             }
         }
         4 => {
-            let (some, rest): (Vec<usize>, Vec<usize>) = (0..keepers).partition(|_| chance.random_bool(0.5));
+            let (some, rest): (Vec<usize>, Vec<usize>) =
+                (0..keepers).partition(|_| chance.random_bool(0.5));
             sim.split(&[&some, &rest]);
         }
         5 => sim.stop(seat, chance.random_range(100.0..8000.0)),
--- a/crates/record/src/store.rs
+++ b/crates/record/src/store.rs
@@ -93,11 +93,21 @@
     if rest.is_empty() {
         return Next::End;
     }
-    let word = |from: usize| rest.get(from..from + 4).and_then(|b| b.try_into().ok()).map(u32::from_le_bytes);
-    let (Some(length), Some(sum), Some(check)) = (word(0), word(4), word(8)) else { return Next::Torn };
+    let word = |from: usize| {
+        rest.get(from..from + 4)
+            .and_then(|b| b.try_into().ok())
+            .map(u32::from_le_bytes)
+    };
+    let (Some(length), Some(sum), Some(check)) = (word(0), word(4), word(8)) else {
+        return Next::Torn;
+    };
     if crc32c::crc32c(&rest[..8]) != check {
         // A crash may leave room that was never written to; it does not change what was.
-        return if rest.iter().all(|byte| *byte == 0) { Next::Torn } else { Next::Damaged };
+        return if rest.iter().all(|byte| *byte == 0) {
+            Next::Torn
+        } else {
+            Next::Damaged
+        };
     }
     let end = HEAD + length as usize;
     match rest.get(HEAD..end) {
@@ -105,21 +115,28 @@
         Some(body) if crc32c::crc32c(body) == sum => Next::Frame(body, at + end),
         // Of the last write a crash may have left room and no bytes; what has bytes to its end was whole once. Where it cannot be
         // told, it is damage: its keeper becomes somebody else, which costs a change and breaks nothing.
-        Some(body) if rest.len() == end && body.iter().rev().take(8).all(|byte| *byte == 0) => Next::Torn,
+        Some(body) if rest.len() == end && body.iter().rev().take(8).all(|byte| *byte == 0) => {
+            Next::Torn
+        }
         Some(_) => Next::Damaged,
     }
 }
 
 /// Reads a store. `file` is what the driver tells this file by.
 pub fn decode(bytes: &[u8], file: &str) -> Result<Found, Damage> {
-    let (mark, version) = (bytes.get(..5).ok_or(Damage::Mark)?, *bytes.get(5).ok_or(Damage::Mark)?);
+    let (mark, version) = (
+        bytes.get(..5).ok_or(Damage::Mark)?,
+        *bytes.get(5).ok_or(Damage::Mark)?,
+    );
     if mark != MARK {
         return Err(Damage::Mark);
     }
     if version > VERSION {
         return Err(Damage::Newer(version));
     }
-    let Next::Frame(body, mut at) = next(bytes, 6) else { return Err(Damage::Mark) };
+    let Next::Frame(body, mut at) = next(bytes, 6) else {
+        return Err(Damage::Mark);
+    };
     let kept: Kept = postcard::from_bytes(body).map_err(|_| Damage::Mark)?;
     if kept.file != file {
         return Err(Damage::Copy);
@@ -148,5 +165,12 @@
             }
         }
     };
-    Ok(Found { kept, begun, log, starts, sound: at, torn })
+    Ok(Found {
+        kept,
+        begun,
+        log,
+        starts,
+        sound: at,
+        torn,
+    })
 }
--- a/crates/record/src/transfer.rs
+++ b/crates/record/src/transfer.rs
@@ -16,11 +16,21 @@
 impl Image {
     pub fn new(at: Position, config: Config, bytes: Vec<u8>) -> Image {
         let sum = crc32c::crc32c(&bytes);
-        Image { at, config, bytes: Arc::new(bytes), sum }
+        Image {
+            at,
+            config,
+            bytes: Arc::new(bytes),
+            sum,
+        }
     }
 
     pub fn offer(&self) -> Body {
-        Body::Offer(self.at, self.bytes.len() as u64, self.sum, self.config.clone())
+        Body::Offer(
+            self.at,
+            self.bytes.len() as u64,
+            self.sum,
+            self.config.clone(),
+        )
     }
 
     /// The piece at an offset, of at most so many bytes.
@@ -66,17 +76,39 @@
 impl Fetching {
     /// Takes an offer up, at `now`. What is there of the same one stays, and one that is on its way gives way only to a later one,
     /// unless nothing of it has come since `stalled`: else two who have different ones would take turns for ever.
-    pub fn offered(&mut self, stalled: f64, now: f64, at: Position, length: u64, sum: u32, config: Config) {
+    pub fn offered(
+        &mut self,
+        stalled: f64,
+        now: f64,
+        at: Position,
+        length: u64,
+        sum: u32,
+        config: Config,
+    ) {
         let same = |here: &Incoming| here.at == at && here.sum == sum && here.length == length;
         let better = |here: &Incoming| here.at > at && here.moved > stalled;
-        if !self.incoming.as_ref().is_some_and(|here| same(here) || better(here)) {
-            self.incoming = Some(Incoming { at, config, length, sum, bytes: Vec::new(), moved: now });
+        if !self
+            .incoming
+            .as_ref()
+            .is_some_and(|here| same(here) || better(here))
+        {
+            self.incoming = Some(Incoming {
+                at,
+                config,
+                length,
+                sum,
+                bytes: Vec::new(),
+                moved: now,
+            });
         }
     }
 
     /// Takes a piece in. All of it, once it is there and whole; what is not whole is dropped, to be asked for anew.
     pub fn piece(&mut self, now: f64, at: Position, offset: u64, bytes: &[u8]) -> Option<Incoming> {
-        let incoming = self.incoming.as_mut().filter(|incoming| incoming.at == at)?;
+        let incoming = self
+            .incoming
+            .as_mut()
+            .filter(|incoming| incoming.at == at)?;
         let room = incoming.length.saturating_sub(incoming.bytes.len() as u64);
         if offset != incoming.bytes.len() as u64 || bytes.len() as u64 > room {
             return None;
@@ -86,6 +118,8 @@
         if (incoming.bytes.len() as u64) < incoming.length {
             return None;
         }
-        self.incoming.take().filter(|whole| crc32c::crc32c(&whole.bytes) == whole.sum)
+        self.incoming
+            .take()
+            .filter(|whole| crc32c::crc32c(&whole.bytes) == whole.sum)
     }
 }
--- a/crates/record/tests/cases.rs
+++ b/crates/record/tests/cases.rs
@@ -4,7 +4,13 @@
 use cometspool_record::{Standing, Times};
 
 fn times() -> Times {
-    Times { replace: 5000.0, log_entries: 64, tail: 16, piece: 256, ..Times::default() }
+    Times {
+        replace: 5000.0,
+        log_entries: 64,
+        tail: 16,
+        piece: 256,
+        ..Times::default()
+    }
 }
 
 /// Three keepers, of more that stand by, and as many clients as told.
@@ -16,8 +22,9 @@
 }
 
 fn settle(sim: &mut Sim) {
-    let ended =
-        sim.run_while(sim.now + 120_000.0, |sim| sim.writes.iter().any(|write| write.ended.is_none()));
+    let ended = sim.run_while(sim.now + 120_000.0, |sim| {
+        sim.writes.iter().any(|write| write.ended.is_none())
+    });
     assert!(
         ended,
         "all writes were due to end: {} open",
@@ -87,12 +94,18 @@
             back,
             "round {round}: {:?}",
             (0..3)
-                .map(|s| sim.keeper(s).map(|k| (k.standing(), k.position(), k.id().clone())))
+                .map(|s| sim
+                    .keeper(s)
+                    .map(|k| (k.standing(), k.position(), k.id().clone())))
                 .collect::<Vec<_>>()
         );
     }
     settle(&mut sim);
-    assert!(sim.acted.changes >= 8 && sim.acted.dropped >= 4, "{:?}", sim.acted);
+    assert!(
+        sim.acted.changes >= 8 && sim.acted.dropped >= 4,
+        "{:?}",
+        sim.acted
+    );
 }
 
 /// Guards the seat of one that is gone for good: a keeper that stands by takes it, in another zone than the rest's.
@@ -106,8 +119,14 @@
     assert!(replaced, "a change of the group");
     sim.ask(1000.0, 10.0);
     // The fifth keeper is in the lost one's zone, the fourth in the first one's.
-    let config = sim.leading().and_then(|seat| sim.keeper(seat)?.config().cloned()).expect("a leader");
-    assert!(config.keepers.iter().any(|id| id.name == "k4"), "{config:?}");
+    let config = sim
+        .leading()
+        .and_then(|seat| sim.keeper(seat)?.config().cloned())
+        .expect("a leader");
+    assert!(
+        config.keepers.iter().any(|id| id.name == "k4"),
+        "{config:?}"
+    );
     settle(&mut sim);
 }
 
@@ -123,17 +142,25 @@
             5,
             &[(1, 2), (1, 3), (1, 4), (2, 3), (2, 4), (3, 4)],
         ),
-        ("one other that alone hears a majority", 5, &[(0, 2), (0, 3), (0, 4), (2, 3), (2, 4), (3, 4)]),
+        (
+            "one other that alone hears a majority",
+            5,
+            &[(0, 2), (0, 3), (0, 4), (2, 3), (2, 4), (3, 4)],
+        ),
         ("a leader alone", 5, &[(0, 1), (0, 2), (0, 3), (0, 4)]),
     ];
     for (shape, count, cuts) in shapes {
         for seed in 0..5 {
             let mut sim = Sim::new(count, count, 2, true, times(), seed);
-            assert!(sim.run_while(20_000.0, |sim| sim.leading().is_none()), "{shape}: a leader");
+            assert!(
+                sim.run_while(20_000.0, |sim| sim.leading().is_none()),
+                "{shape}: a leader"
+            );
             sim.ask(500.0, 10.0);
             let leader = sim.leading().expect("a leader");
-            let seats: Vec<usize> =
-                std::iter::once(leader).chain((0..count).filter(|s| *s != leader)).collect();
+            let seats: Vec<usize> = std::iter::once(leader)
+                .chain((0..count).filter(|s| *s != leader))
+                .collect();
             cuts.iter().for_each(|(a, b)| sim.cut(seats[*a], seats[*b]));
             let before = sim.promised();
             sim.write(0);
@@ -148,11 +175,18 @@
         let mut sim = group(3, 2, true, 7);
         let leader = sim.leading().expect("a leader");
         for other in (0..3).filter(|seat| *seat != leader) {
-            sim.cuts.insert(if heard { (other, leader) } else { (leader, other) });
+            sim.cuts.insert(if heard {
+                (other, leader)
+            } else {
+                (leader, other)
+            });
         }
         let before = sim.promised();
         sim.write(0);
-        assert!(sim.run_while(sim.now + 5000.0, |sim| sim.promised() == before), "one way, heard {heard}");
+        assert!(
+            sim.run_while(sim.now + 5000.0, |sim| sim.promised() == before),
+            "one way, heard {heard}"
+        );
         sim.cuts.clear();
         settle(&mut sim);
     }
@@ -175,7 +209,10 @@
     assert_eq!((sim.promised(), sim.acted.changes), (before, 0));
     for seat in [1, 2] {
         let keeper = sim.keeper(seat).expect("it runs");
-        assert!(keeper.record() == 0 || Some(keeper.record()) == record, "a record of its own");
+        assert!(
+            keeper.record() == 0 || Some(keeper.record()) == record,
+            "a record of its own"
+        );
         assert!(
             !matches!(keeper.standing(), Standing::Leader | Standing::Follower),
             "{:?}",
@@ -201,8 +238,14 @@
 /// Guards the promises under everything at once, drawn from a seed.
 #[test]
 fn drawn_faults_break_nothing() {
-    let seeds: u64 = std::env::var("RECORD_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(60);
-    let from: u64 = std::env::var("RECORD_FROM").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
+    let seeds: u64 = std::env::var("RECORD_SEEDS")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(60);
+    let from: u64 = std::env::var("RECORD_FROM")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0);
     let mut sums = [0; 6];
     for seed in from..from + seeds {
         let sim = cometspool_record::sim::drawn(seed);
@@ -218,10 +261,21 @@
         ]) {
             *sum += more;
         }
-        let open = sim.writes.iter().filter(|write| write.ended.is_none()).count();
-        assert!(sim.promised() > 0 && open == 0, "seed {seed}: {} promised, {open} open", sim.promised());
+        let open = sim
+            .writes
+            .iter()
+            .filter(|write| write.ended.is_none())
+            .count();
+        assert!(
+            sim.promised() > 0 && open == 0,
+            "seed {seed}: {} promised, {open} open",
+            sim.promised()
+        );
     }
-    assert!(sums.iter().all(|sum| *sum >= seeds / 8), "faults that did not act: {sums:?}");
+    assert!(
+        sums.iter().all(|sum| *sum >= seeds / 8),
+        "faults that did not act: {sums:?}"
+    );
     println!("{seeds} seeds: lost, leaders, kills, wipes, dropped, changes: {sums:?}");
 }
 
--- a/crates/record/tests/faults.rs
+++ b/crates/record/tests/faults.rs
@@ -14,7 +14,18 @@
 
 /// Sessions that end soon, and words that come much later.
 fn late(seed: u64) -> Sim {
-    let mut sim = Sim::new(3, 3, 4, true, Times { session: 200, passed: 200.0, ..Times::default() }, seed);
+    let mut sim = Sim::new(
+        3,
+        3,
+        4,
+        true,
+        Times {
+            session: 200,
+            passed: 200.0,
+            ..Times::default()
+        },
+        seed,
+    );
     sim.run_while(20_000.0, |sim| sim.leading().is_none());
     sim.network.duplicate = 0.5;
     for _ in 0..10 {
@@ -26,7 +37,17 @@
 
 /// Two of three lose their disks at once, and are not heard by the third, whom they hear.
 fn lost(seed: u64) -> Sim {
-    let mut sim = Sim::new(3, 3, 4, true, Times { replace: 5000.0, ..Times::default() }, seed);
+    let mut sim = Sim::new(
+        3,
+        3,
+        4,
+        true,
+        Times {
+            replace: 5000.0,
+            ..Times::default()
+        },
+        seed,
+    );
     sim.run_while(20_000.0, |sim| sim.leading().is_none());
     sim.ask(1000.0, 10.0);
     sim.run_to(sim.now + 1000.0);
@@ -47,15 +68,17 @@
     let play = |fault: Fault, seed: u64| match fault {
         Fault::LateWrites => breaks(move || late(seed)),
         // It stays stuck: that is what is right there.
-        Fault::FoundAnew => {
-            std::panic::catch_unwind(move || lost(seed)).map_or(true, |sim| !sim.broken().is_empty())
-        }
+        Fault::FoundAnew => std::panic::catch_unwind(move || lost(seed))
+            .map_or(true, |sim| !sim.broken().is_empty()),
         _ => breaks(move || drawn(seed)),
     };
     let mut missed = Vec::new();
     for fault in Fault::ALL {
         put_in(None);
-        assert!((0..5).all(|seed| !play(fault, seed)), "{fault:?}: its plays break with no fault in");
+        assert!(
+            (0..5).all(|seed| !play(fault, seed)),
+            "{fault:?}: its plays break with no fault in"
+        );
         put_in(Some(fault));
         match (0..60).find(|seed| play(fault, *seed)) {
             Some(seed) => println!("{fault:?}: found by seed {seed}"),
--- a/crates/record/tests/store.rs
+++ b/crates/record/tests/store.rs
@@ -4,11 +4,22 @@
 use proptest::prelude::*;
 
 fn kept() -> Kept {
-    Kept { id: Id { name: "k0".to_owned(), life: 7 }, file: "here".to_owned() }
+    Kept {
+        id: Id {
+            name: "k0".to_owned(),
+            life: 7,
+        },
+        file: "here".to_owned(),
+    }
 }
 
 fn write(number: u64) -> Entry {
-    Entry::Write(Command { session: 1, number, below: 0, bytes: vec![0xa5; 40] })
+    Entry::Write(Command {
+        session: 1,
+        number,
+        below: 0,
+        bytes: vec![0xa5; 40],
+    })
 }
 
 /// A store of so many frames, and where each begins.
@@ -16,7 +27,10 @@
     let (mut bytes, mut starts) = (head(&kept()), Vec::new());
     for number in 0..frames {
         starts.push(bytes.len());
-        bytes.extend(encode(&[Note::Entries(number, vec![write(number)]), Note::Decided(number)]));
+        bytes.extend(encode(&[
+            Note::Entries(number, vec![write(number)]),
+            Note::Decided(number),
+        ]));
     }
     (bytes, starts)
 }
@@ -28,8 +42,17 @@
     let (bytes, starts) = store(6);
     for end in starts[0]..bytes.len() {
         let found = decode(&bytes[..end], "here").expect("a cut store is a store");
-        let whole = starts.iter().copied().filter(|start| *start <= end).max().unwrap_or_default();
-        assert_eq!((found.sound, found.torn), (whole, whole < end), "cut at {end}");
+        let whole = starts
+            .iter()
+            .copied()
+            .filter(|start| *start <= end)
+            .max()
+            .unwrap_or_default();
+        assert_eq!(
+            (found.sound, found.torn),
+            (whole, whole < end),
+            "cut at {end}"
+        );
     }
     for place in 0..bytes.len() {
         let mut bytes = bytes.clone();
@@ -47,7 +70,9 @@
     let mut newer = bytes.clone();
     newer[5] = 9;
     assert_eq!(decode(&newer, "here").err(), Some(Damage::Newer(9)));
-    assert!(decode(&newer, "here").err().is_some_and(|why| why.to_string().contains("format 9")));
+    assert!(decode(&newer, "here")
+        .err()
+        .is_some_and(|why| why.to_string().contains("format 9")));
     bytes.extend([0; 300]);
     let found = decode(&bytes, "here").expect("room without bytes is no damage");
     assert_eq!((found.sound, found.torn), (whole, true));
--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -25,8 +25,11 @@
 pub type Checker = fn(&[Event]) -> Vec<Violation>;
 
 /// All checkers by name.
-pub const ALL: [(&str, Checker); 3] =
-    [("final answers", final_answers), ("unsafe once", unsafe_once), ("no crash", no_crash)];
+pub const ALL: [(&str, Checker); 3] = [
+    ("final answers", final_answers),
+    ("unsafe once", unsafe_once),
+    ("no crash", no_crash),
+];
 
 /// All that any checker finds.
 pub fn all(events: &[Event]) -> Vec<Violation> {
@@ -42,7 +45,9 @@
         for event in events.iter().filter(|event| event.who == "rig") {
             let spells = spells.entry(event.text("process")).or_default();
             match (event.what.as_str(), event.text("signal")) {
-                ("signal", "SIGKILL" | "SIGSTOP" | "SIGTERM") => spells.push((event.at_us, u64::MAX)),
+                ("signal", "SIGKILL" | "SIGSTOP" | "SIGTERM") => {
+                    spells.push((event.at_us, u64::MAX))
+                }
                 ("start", _) | ("signal", "SIGCONT") => {
                     spells
                         .iter_mut()
@@ -56,7 +61,9 @@
     }
 
     fn within(&self, process: &str, from: u64, to: u64) -> bool {
-        self.0.get(process).is_some_and(|spells| spells.iter().any(|spell| spell.0 <= to && spell.1 >= from))
+        self.0
+            .get(process)
+            .is_some_and(|spells| spells.iter().any(|spell| spell.0 <= to && spell.1 >= from))
     }
 }
 
@@ -67,7 +74,11 @@
     let mut asked: HashMap<&str, &Event> = HashMap::new();
     let mut found = Vec::new();
     let mut broken = |what: String, event: &Event| {
-        found.push(Violation { rule: "final answers", what, at_us: event.at_us });
+        found.push(Violation {
+            rule: "final answers",
+            what,
+            at_us: event.at_us,
+        });
     };
     for event in events.iter().filter(|event| event.who == "clients") {
         let id = event.text("id");
@@ -77,17 +88,27 @@
             }
             "answered" | "unanswered" => {
                 let Some(ask) = asked.remove(id) else {
-                    broken(format!("{id} was answered without having been asked, or twice"), event);
+                    broken(
+                        format!("{id} was answered without having been asked, or twice"),
+                        event,
+                    );
                     continue;
                 };
                 let served = event.number("status") == Some(200);
                 if served && event.more.get("own") != Some(&true.into()) {
-                    broken(format!("{id} was served with somebody else's answer"), event);
+                    broken(
+                        format!("{id} was served with somebody else's answer"),
+                        event,
+                    );
                 }
                 let lost = event.what == "unanswered" && event.text("why") != "not-taken";
                 if lost && !troubled.within(event.text("process"), ask.at_us, event.at_us) {
                     broken(
-                        format!("{id} was lost by {}: {}", event.text("process"), event.text("why")),
+                        format!(
+                            "{id} was lost by {}: {}",
+                            event.text("process"),
+                            event.text("why")
+                        ),
                         event,
                     );
                 }
@@ -101,14 +122,21 @@
 /// A request that must not run twice does not, and what is refused as harmless to repeat did not run.
 pub fn unsafe_once(events: &[Event]) -> Vec<Violation> {
     let effect = |event: &Event| event.what == "asked" && event.text("effect") == "unsafe";
-    let mut runs: BTreeMap<&str, (u32, Option<u64>)> =
-        events.iter().filter(|event| effect(event)).map(|event| (event.text("id"), (0, None))).collect();
+    let mut runs: BTreeMap<&str, (u32, Option<u64>)> = events
+        .iter()
+        .filter(|event| effect(event))
+        .map(|event| (event.text("id"), (0, None)))
+        .collect();
     let mut found = Vec::new();
     for event in events {
-        let Some((ran, refused)) = runs.get_mut(event.text("id")) else { continue };
+        let Some((ran, refused)) = runs.get_mut(event.text("id")) else {
+            continue;
+        };
         match event.what.as_str() {
             "ran" => *ran += 1,
-            "answered" if matches!(event.number("status"), Some(429 | 503)) => *refused = Some(event.at_us),
+            "answered" if matches!(event.number("status"), Some(429 | 503)) => {
+                *refused = Some(event.at_us)
+            }
             _ => continue,
         }
         let what = match (*ran, *refused) {
@@ -147,7 +175,11 @@
                 };
                 if !fine {
                     let what = format!("{process} ended by itself: {status}");
-                    found.push(Violation { rule: "no crash", what, at_us: event.at_us });
+                    found.push(Violation {
+                        rule: "no crash",
+                        what,
+                        at_us: event.at_us,
+                    });
                 }
             }
             _ => {}
--- a/crates/rig/src/cost.rs
+++ b/crates/rig/src/cost.rs
@@ -22,12 +22,18 @@
 /// A table of starts and of a link's cost.
 pub fn table(processes: usize) -> io::Result<String> {
     let begun = Instant::now();
-    let mut rig = Rig::new(&Plan { processes, ..Plan::default() })?;
+    let mut rig = Rig::new(&Plan {
+        processes,
+        ..Plan::default()
+    })?;
     let laid = begun.elapsed();
     (0..processes).try_for_each(|i| rig.start_one(i))?;
     rig.await_serving();
     let serving = begun.elapsed();
-    rig.agree(&(0..processes).collect::<Vec<_>>(), "a fleet that knows itself");
+    rig.agree(
+        &(0..processes).collect::<Vec<_>>(),
+        "a fleet that knows itself",
+    );
     let agreed = begun.elapsed();
     let steady = members(&mut rig, processes);
     let ended_from = begun.elapsed();
@@ -78,9 +84,13 @@
 fn members(rig: &mut Rig, processes: usize) -> Members {
     let sums = |rig: &Rig| {
         let of = |i, name: &str| {
-            rig.told(i).and_then(|event| event.more["members"]["counts"][name].as_u64()).unwrap_or(0)
+            rig.told(i)
+                .and_then(|event| event.more["members"]["counts"][name].as_u64())
+                .unwrap_or(0)
         };
-        (0..processes).fold((0, 0), |sum, i| (sum.0 + of(i, "sent"), sum.1 + of(i, "sent_bytes")))
+        (0..processes).fold((0, 0), |sum, i| {
+            (sum.0 + of(i, "sent"), sum.1 + of(i, "sent_bytes"))
+        })
     };
     // What the start set in motion is let come to rest.
     std::thread::sleep(STEADY / 3);
@@ -92,18 +102,29 @@
     let killed = Instant::now();
     let missed = |rig: &Rig| {
         let saw = |event: &&crate::history::Event| {
-            event.what == "member" && event.text("change") == "failed" && event.text("member") == dead
+            event.what == "member"
+                && event.text("change") == "failed"
+                && event.text("member") == dead
         };
         rig.history.read(|events| events.iter().filter(saw).count())
     };
-    rig.wait("somebody who misses it", |rig| (missed(rig) > 0).then_some(()));
+    rig.wait("somebody who misses it", |rig| {
+        (missed(rig) > 0).then_some(())
+    });
     let first = killed.elapsed();
-    rig.wait("all to miss it", |rig| (missed(rig) >= processes - 1).then_some(()));
+    rig.wait("all to miss it", |rig| {
+        (missed(rig) >= processes - 1).then_some(())
+    });
     let all = killed.elapsed();
-    let failed = |event: &&crate::history::Event| event.what == "member" && event.text("change") == "failed";
-    let wrong = rig
-        .history
-        .read(|events| events.iter().filter(failed).filter(|event| event.text("member") != dead).count());
+    let failed =
+        |event: &&crate::history::Event| event.what == "member" && event.text("change") == "failed";
+    let wrong = rig.history.read(|events| {
+        events
+            .iter()
+            .filter(failed)
+            .filter(|event| event.text("member") != dead)
+            .count()
+    });
     Members {
         datagrams: (after.0 - before.0) as f64 / seconds,
         bytes: (after.1 - before.1) as f64 / seconds,
@@ -123,21 +144,36 @@
 
 /// Round trips direct, and through a link.
 fn latency() -> io::Result<(Trips, Trips)> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
     runtime.block_on(async {
         let ground = Ground::take()?;
         let (to, at) = (ground.fleet(1), ground.link(0, 1));
-        Link { at, to, forth: Direction::new(1), back: Direction::new(2) }.open().await?;
+        Link {
+            at,
+            to,
+            forth: Direction::new(1),
+            back: Direction::new(2),
+        }
+        .open()
+        .await?;
         let listener = TcpListener::bind(to).await?;
         tokio::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 // Without it answers are late, and it is their time that is measured; an error shows there.
                 let _ = stream.set_nodelay(true);
                 let mut bytes = [0; 64];
-                while stream.read_exact(&mut bytes).await.is_ok() && stream.write_all(&bytes).await.is_ok() {}
+                while stream.read_exact(&mut bytes).await.is_ok()
+                    && stream.write_all(&bytes).await.is_ok()
+                {}
             }
         });
-        Ok((rounds(TcpStream::connect(to).await?).await?, rounds(TcpStream::connect(at).await?).await?))
+        Ok((
+            rounds(TcpStream::connect(to).await?).await?,
+            rounds(TcpStream::connect(at).await?).await?,
+        ))
     })
 }
 
@@ -161,28 +197,50 @@
     }
     let spent = spent()? - before;
     times.sort_by(f64::total_cmp);
-    Ok(Trips { median: times[ROUNDS / 2], late: times[ROUNDS * 99 / 100], spent })
+    Ok(Trips {
+        median: times[ROUNDS / 2],
+        late: times[ROUNDS * 99 / 100],
+        spent,
+    })
 }
 
 /// Instructions that one front door runs for each request, as `perf stat` counts them; with a fleet block that names so many
 /// others (nobody answers for those beyond `processes`), or without one.
 pub fn instructions(count: usize, fleet: Option<usize>, processes: usize) -> io::Result<f64> {
-    let plan = Plan { processes, backends: 1, fleet: fleet.map(|_| json!({})), ..Plan::default() };
+    let plan = Plan {
+        processes,
+        backends: 1,
+        fleet: fleet.map(|_| json!({})),
+        ..Plan::default()
+    };
     let mut rig = Rig::new(&plan)?;
-    rig.act(0, Manner { work_ms: 0.0, ..Manner::default() });
+    rig.act(
+        0,
+        Manner {
+            work_ms: 0.0,
+            ..Manner::default()
+        },
+    );
     for i in 0..processes {
         // All play at a fleet of one size by the settings, whatever they are told of others.
         rig.processes[i].config["settings"]["fleet_size"] = 1.into();
         rig.processes[i].config["settings"]["me"] = 0.into();
-        if let Some(peers) = rig.processes[i].config.pointer_mut("/fleet/peers").and_then(Value::as_array_mut)
+        if let Some(peers) = rig.processes[i]
+            .config
+            .pointer_mut("/fleet/peers")
+            .and_then(Value::as_array_mut)
         {
             let more = peers.len()..fleet.unwrap_or_default();
-            peers.extend(more.map(|j| json!({"name": format!("absent-{j}"), "dial": "127.0.0.1:9"})));
+            peers.extend(
+                more.map(|j| json!({"name": format!("absent-{j}"), "dial": "127.0.0.1:9"})),
+            );
         }
         rig.start_one(i)?;
     }
     rig.await_serving();
-    let at = rig.processes[0].config["listen"].as_str().and_then(|at| at.parse().ok());
+    let at = rig.processes[0].config["listen"]
+        .as_str()
+        .and_then(|at| at.parse().ok());
     let mut client = Wire::to(at.ok_or(io::ErrorKind::InvalidInput)?);
     let mut ask = |from: usize, count: usize| {
         (from..from + count).all(|i| {
@@ -204,7 +262,9 @@
     // It may have ended by itself: then it has said why.
     let _ = kill(Pid::from_raw(perf.id() as i32), Signal::SIGINT);
     let said = String::from_utf8_lossy(&perf.wait_with_output()?.stderr).into_owned();
-    let counted = said.lines().find_map(|line| line.split(',').next()?.parse::<f64>().ok());
+    let counted = said
+        .lines()
+        .find_map(|line| line.split(',').next()?.parse::<f64>().ok());
     match counted.filter(|_| warm && served) {
         Some(counted) => Ok(counted / count as f64),
         None => Err(io::Error::other(format!("no count: {}", said.trim()))),
--- a/crates/rig/src/ground.rs
+++ b/crates/rig/src/ground.rs
@@ -49,7 +49,12 @@
         for block in BLOCKS {
             let host = Ipv4Addr::new(127, block, SENTINEL_HOST, SENTINEL_HOST);
             match TcpListener::bind(SocketAddr::new(IpAddr::V4(host), SENTINEL_PORT)) {
-                Ok(held) => return Ok(Ground { block, _sentinel: held }),
+                Ok(held) => {
+                    return Ok(Ground {
+                        block,
+                        _sentinel: held,
+                    })
+                }
                 Err(error) => last = error,
             }
         }
@@ -85,7 +90,10 @@
 
     /// The address of a stand-in.
     pub fn stand_in(&self, number: usize) -> SocketAddr {
-        assert!(number < MOST_STAND_INS, "stand-in {number} of {MOST_STAND_INS}");
+        assert!(
+            number < MOST_STAND_INS,
+            "stand-in {number} of {MOST_STAND_INS}"
+        );
         SocketAddr::new(self.host(STAND_INS_FROM, number), CLIENT_PORT)
     }
 }
