--- a/crates/rig/src/hand.rs
+++ b/crates/rig/src/hand.rs
@@ -99,21 +99,33 @@
 
 /// The connection that waits to be accepted at any of these places, if one does, with the place's number.
 fn accepted(places: &[Place]) -> Option<(usize, Wire)> {
-    places.iter().enumerate().find_map(|(i, place)| place.try_accept().map(|wire| (i, wire)))
+    places
+        .iter()
+        .enumerate()
+        .find_map(|(i, place)| place.try_accept().map(|wire| (i, wire)))
 }
 
 /// A place whose waiting line is full with the connections that come along: a further one hangs until these
 /// have been accepted.
 pub fn crowded_place() -> (Place, Vec<TcpStream>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_io()
+        .build()
+        .expect("a runtime");
     let listener = runtime.block_on(async {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().unwrap()).expect("a port");
-        socket.listen(1).expect("a listener").into_std().expect("a listener")
+        socket
+            .listen(1)
+            .expect("a listener")
+            .into_std()
+            .expect("a listener")
     });
     let place = Place(listener);
     // The system lets in one more than it is told.
-    let fillers = (0..2).map(|_| TcpStream::connect(place.address()).expect("room for two")).collect();
+    let fillers = (0..2)
+        .map(|_| TcpStream::connect(place.address()).expect("room for two"))
+        .collect();
     (place, fillers)
 }
 
@@ -126,13 +138,17 @@
 
 /// Whether somebody has asked for a connection to this address and has no answer yet.
 pub fn dialling(address: SocketAddr) -> bool {
-    sockets("02").iter().any(|(_, remote)| *remote == written(address))
+    sockets("02")
+        .iter()
+        .any(|(_, remote)| *remote == written(address))
 }
 
 /// Whether any of these connections, from the first to the second of two addresses, stands, with its first end not closed.
 pub fn connected(pairs: &[(SocketAddr, SocketAddr)]) -> bool {
     let open = sockets("01");
-    pairs.iter().any(|(own, other)| open.contains(&(written(*own), written(*other))))
+    pairs
+        .iter()
+        .any(|(own, other)| open.contains(&(written(*own), written(*other))))
 }
 
 /// Both ends of the sockets in this state, by the system's table.
@@ -140,15 +156,22 @@
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table of sockets");
     let ends = |line: &str| {
         let fields: Vec<&str> = line.split_whitespace().collect();
-        (fields.len() > 3 && fields[3] == state).then(|| (fields[1].to_owned(), fields[2].to_owned()))
+        (fields.len() > 3 && fields[3] == state)
+            .then(|| (fields[1].to_owned(), fields[2].to_owned()))
     };
     table.lines().filter_map(ends).collect()
 }
 
 /// An address as that table writes it: other programs on this machine have the same ports on other addresses.
 fn written(address: SocketAddr) -> String {
-    let SocketAddr::V4(address) = address else { panic!("{address} is not of this table") };
-    format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port())
+    let SocketAddr::V4(address) = address else {
+        panic!("{address} is not of this table")
+    };
+    format!(
+        "{:08X}:{:04X}",
+        u32::from_ne_bytes(address.ip().octets()),
+        address.port()
+    )
 }
 
 /// Looks again and again until there is something.
@@ -173,7 +196,11 @@
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status")
+        self.first
+            .split(' ')
+            .nth(1)
+            .and_then(|code| code.parse().ok())
+            .expect("a status")
     }
 
     pub fn header(&self, name: &str) -> Option<&str> {
@@ -189,7 +216,9 @@
 impl Wire {
     pub fn new(stream: TcpStream) -> Wire {
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Wire { reader: BufReader::new(stream) }
+        Wire {
+            reader: BufReader::new(stream),
+        }
     }
 
     pub fn to(address: SocketAddr) -> Wire {
@@ -197,36 +226,55 @@
     }
 
     pub fn write(&mut self, bytes: impl AsRef<[u8]>) {
-        self.reader.get_mut().write_all(bytes.as_ref()).expect("the other end reads");
+        self.reader
+            .get_mut()
+            .write_all(bytes.as_ref())
+            .expect("the other end reads");
     }
 
     /// The next whole message.
     pub fn read(&mut self) -> Message {
         let mut line = String::new();
         self.reader.read_line(&mut line).expect("a first line");
-        assert!(!line.is_empty(), "the connection ended where a message was due");
+        assert!(
+            !line.is_empty(),
+            "the connection ended where a message was due"
+        );
         let first = line.trim_end().to_owned();
         let mut headers = HashMap::new();
         loop {
             line.clear();
             self.reader.read_line(&mut line).expect("a header");
-            let Some((name, value)) = line.trim_end().split_once(':') else { break };
+            let Some((name, value)) = line.trim_end().split_once(':') else {
+                break;
+            };
             headers.insert(name.to_ascii_lowercase(), value.trim().to_owned());
         }
-        let length = headers.get("content-length").map_or(0, |text| text.parse().expect("a length"));
+        let length = headers
+            .get("content-length")
+            .map_or(0, |text| text.parse().expect("a length"));
         let mut body = vec![0; length];
         self.reader.read_exact(&mut body).expect("a whole body");
-        Message { first, headers, body }
+        Message {
+            first,
+            headers,
+            body,
+        }
     }
 
     /// Answers with a status, further header lines and a body.
     pub fn answer(&mut self, status: u16, headers: &str, body: &str) {
-        self.write(format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()));
+        self.write(format!(
+            "HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+            body.len()
+        ));
     }
 
     /// Its close will be a reset.
     pub fn reset_on_close(&self) {
-        SockRef::from(self.reader.get_ref()).set_linger(Some(Duration::ZERO)).expect("a socket");
+        SockRef::from(self.reader.get_ref())
+            .set_linger(Some(Duration::ZERO))
+            .expect("a socket");
     }
 
     /// Waits until the other end says something; nothing within `time`, or its end, is false.
@@ -276,7 +324,8 @@
     }
 
     pub fn line(&mut self, text: &str) {
-        self.0.write(format!("{:x}\r\n{text}\n\r\n", text.len() + 1));
+        self.0
+            .write(format!("{:x}\r\n{text}\n\r\n", text.len() + 1));
     }
 }
 
@@ -298,15 +347,23 @@
         return told.into();
     }
     let own = std::env::current_exe().expect("a path");
-    let found =
-        own.ancestors().skip(1).take(2).map(|folder| folder.join("cometspool")).find(|path| path.is_file());
+    let found = own
+        .ancestors()
+        .skip(1)
+        .take(2)
+        .map(|folder| folder.join("cometspool"))
+        .find(|path| path.is_file());
     found.unwrap_or_else(|| panic!("no program beside {}: build it first", own.display()))
 }
 
 /// A file name of this process's own, in the system's folder for temporary files.
 pub fn scratch(name: &str) -> String {
     let number = FILES.fetch_add(1, Ordering::Relaxed);
-    format!("{}/cometspool-{}-{number}-{name}", std::env::temp_dir().display(), std::process::id())
+    format!(
+        "{}/cometspool-{}-{number}-{name}",
+        std::env::temp_dir().display(),
+        std::process::id()
+    )
 }
 
 /// Starts the program with a configuration file of this text; the file's path comes along.
@@ -317,7 +374,10 @@
     for name in ["BALANCER_NAME", "BALANCER_LISTEN", "BALANCER_DISCOVERY"] {
         command.env_remove(name);
     }
-    command.envs(variables.iter().copied()).env("BALANCER_CONFIG", &path).stderr(Stdio::piped());
+    command
+        .envs(variables.iter().copied())
+        .env("BALANCER_CONFIG", &path)
+        .stderr(Stdio::piped());
     (command.spawn().expect("the program starts"), path)
 }
 
@@ -327,7 +387,12 @@
     }
 
     /// Starts with so many descriptors.
-    pub fn start_within(sockets: u32, settings: Value, discovery: SocketAddr, known: Value) -> Program {
+    pub fn start_within(
+        sockets: u32,
+        settings: Value,
+        discovery: SocketAddr,
+        known: Value,
+    ) -> Program {
         let limits = json!({"cores": 1.0, "memory_mb": 192, "sockets": sockets});
         Program::start_limited(limits, settings, discovery, known)
     }
@@ -343,7 +408,12 @@
         Program::start_limited(limits, settings, discovery, known)
     }
 
-    fn start_limited(limits: Value, settings: Value, discovery: SocketAddr, known: Value) -> Program {
+    fn start_limited(
+        limits: Value,
+        settings: Value,
+        discovery: SocketAddr,
+        known: Value,
+    ) -> Program {
         Program::start_with(json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
             "limits": limits, "known": known, "settings": settings,
@@ -358,9 +428,19 @@
         let mut log = BufReader::new(child.stderr.take().expect("a pipe"));
         let mut line = String::new();
         log.read_line(&mut line).expect("a line");
-        let address = line.trim().rsplit(' ').next().and_then(|text| text.parse().ok());
+        let address = line
+            .trim()
+            .rsplit(' ')
+            .next()
+            .and_then(|text| text.parse().ok());
         let address = address.unwrap_or_else(|| panic!("no address in {line:?}"));
-        Program { child, address, log, config, path }
+        Program {
+            child,
+            address,
+            log,
+            config,
+            path,
+        }
     }
 
     pub fn client(&self) -> Wire {
@@ -385,7 +465,10 @@
         let path = format!("/proc/{}/stat", self.child.id());
         wait_for("a process that stands still", || {
             let stat = std::fs::read_to_string(&path).expect("the process");
-            stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T')).then_some(())
+            stat.rsplit(')')
+                .next()
+                .is_some_and(|rest| rest.trim_start().starts_with('T'))
+                .then_some(())
         });
     }
 
@@ -395,7 +478,9 @@
 
     /// The descriptors that it holds.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("the process").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .expect("the process")
+            .count()
     }
 
     fn signal(&self, signal: Signal) {
@@ -439,12 +524,23 @@
     pub fn with(settings: Value, count: usize) -> Scene {
         let discovery = Place::new();
         let backends: Vec<Place> = (0..count).map(|_| Place::new()).collect();
-        let hosts: Vec<Value> =
-            backends.iter().enumerate().map(|(i, b)| member(&format!("s-{i}"), b.address(), "up")).collect();
+        let hosts: Vec<Value> = backends
+            .iter()
+            .enumerate()
+            .map(|(i, b)| member(&format!("s-{i}"), b.address(), "up"))
+            .collect();
         let program = Program::start(settings, discovery.address(), members(7, true, &hosts));
         let mut wire = discovery.accept();
-        assert_eq!(wire.read().first, "GET /catalog/members?watch=1&from=7 HTTP/1.1");
-        Scene { program, discovery, watch: Watch::begin(wire), backends }
+        assert_eq!(
+            wire.read().first,
+            "GET /catalog/members?watch=1&from=7 HTTP/1.1"
+        );
+        Scene {
+            program,
+            discovery,
+            watch: Watch::begin(wire),
+            backends,
+        }
     }
 
     /// The next connection to any backend, with the backend's place.
@@ -466,7 +562,11 @@
 pub fn request_of(id: &str, class: &str, plan: &str, timeout: &str) -> String {
     let (method, extra, body) = match class {
         "read" => ("GET", "", ""),
-        "extend" => ("POST", "Idempotency-Key: 5c0f6e1a\r\nContent-Length: 5\r\n", "hello"),
+        "extend" => (
+            "POST",
+            "Idempotency-Key: 5c0f6e1a\r\nContent-Length: 5\r\n",
+            "hello",
+        ),
         _ => ("POST", "Content-Length: 5\r\n", "hello"),
     };
     format!(
--- a/crates/rig/src/history.rs
+++ b/crates/rig/src/history.rs
@@ -35,7 +35,10 @@
 impl Event {
     /// A text among the rest of the fields.
     pub fn text(&self, key: &str) -> &str {
-        self.more.get(key).and_then(Value::as_str).unwrap_or_default()
+        self.more
+            .get(key)
+            .and_then(Value::as_str)
+            .unwrap_or_default()
     }
 
     /// A whole number among the rest.
@@ -58,7 +61,10 @@
     /// One that is also written to this file.
     pub fn to(path: &Path) -> io::Result<History> {
         let file = Some(BufWriter::new(File::create(path)?));
-        Ok(History(Mutex::new(Inner { events: Vec::new(), file })))
+        Ok(History(Mutex::new(Inner {
+            events: Vec::new(),
+            file,
+        })))
     }
 
     /// Notes what happened just now; `more` is an object, or null.
@@ -70,7 +76,12 @@
         };
         // The time is taken under the lock, so that times never go back along the history.
         let mut inner = self.0.lock().expect("no panic");
-        let event = Event { at_us: now_us(), who: who.to_owned(), what: what.to_owned(), more };
+        let event = Event {
+            at_us: now_us(),
+            who: who.to_owned(),
+            what: what.to_owned(),
+            more,
+        };
         if let Some(file) = &mut inner.file {
             if let Err(error) = serde_json::to_writer(&mut *file, &event)
                 .map_err(io::Error::from)
@@ -104,7 +115,8 @@
 
 /// Reads a history that was written; a line that is none is an error with its number.
 pub fn read(text: &str) -> Result<Vec<Event>, String> {
-    let line =
-        |(number, line)| serde_json::from_str(line).map_err(|error| format!("line {}: {error}", number + 1));
+    let line = |(number, line)| {
+        serde_json::from_str(line).map_err(|error| format!("line {}: {error}", number + 1))
+    };
     text.lines().enumerate().map(line).collect()
 }
--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -180,19 +180,32 @@
     }
 
     fn chance(&self, part: f64) -> bool {
-        part > 0.0 && self.chance.lock().expect("no panic").random_bool(part.clamp(0.0, 1.0))
+        part > 0.0
+            && self
+                .chance
+                .lock()
+                .expect("no panic")
+                .random_bool(part.clamp(0.0, 1.0))
     }
 
     /// A time of `base` ms and evenly up to `spread` ms more.
     fn time(&self, base: f64, spread: f64) -> Duration {
-        let more =
-            if spread > 0.0 { self.chance.lock().expect("no panic").random_range(0.0..spread) } else { 0.0 };
+        let more = if spread > 0.0 {
+            self.chance
+                .lock()
+                .expect("no panic")
+                .random_range(0.0..spread)
+        } else {
+            0.0
+        };
         Duration::try_from_secs_f64((base + more) / 1000.0).unwrap_or_default()
     }
 
     /// How long this many bytes wait at the rate limit; `None` if its queue is too long for a datagram.
     fn rated(&self, quality: &Quality, bytes: usize, may_drop: bool) -> Option<Duration> {
-        let Some(rate) = quality.bytes_per_s.filter(|rate| *rate > 0.0) else { return Some(Duration::ZERO) };
+        let Some(rate) = quality.bytes_per_s.filter(|rate| *rate > 0.0) else {
+            return Some(Duration::ZERO);
+        };
         let now = Instant::now();
         let mut free = self.free.lock().expect("no panic");
         let from = (*free).max(now);
@@ -218,7 +231,10 @@
         let lost = quality.cut || quality.refuse || self.chance(quality.loss);
         let Some(queued) = self.rated(&quality, bytes, true).filter(|_| !lost) else {
             count(&self.acted.lost);
-            return Fate { copies: Vec::new(), damaged: false };
+            return Fate {
+                copies: Vec::new(),
+                damaged: false,
+            };
         };
         let mut first = queued + self.time(quality.delay_ms, quality.spread_ms);
         if self.chance(quality.reorder) {
@@ -233,7 +249,10 @@
         if first > Duration::ZERO {
             count(&self.acted.delayed);
         }
-        Fate { copies, damaged: self.chance(quality.damage) }
+        Fate {
+            copies,
+            damaged: self.chance(quality.damage),
+        }
     }
 }
 
@@ -300,7 +319,10 @@
             let (near_in, near_out) = near.split();
             let (far_in, far_out) = far.split();
             let both = async {
-                tokio::try_join!(pump(near_in, far_out, &self.forth), pump(far_in, near_out, &self.back))
+                tokio::try_join!(
+                    pump(near_in, far_out, &self.forth),
+                    pump(far_in, near_out, &self.back)
+                )
             };
             tokio::select! {
                 ended = both => ended.is_err(),
@@ -324,7 +346,9 @@
         let mut buffer = vec![0; LONGEST_DATAGRAM];
         loop {
             // An error is the echo of an earlier datagram that nobody was there to hear.
-            let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
+            let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
+                continue;
+            };
             let fate = self.forth.fate(length);
             let mut bytes = buffer[..length].to_vec();
             if fate.damaged {
@@ -354,7 +378,10 @@
     // Nobody may be there: a datagram to nobody is lost, as on any network.
     if socket.send_to(bytes, to).await.is_ok() {
         count(&direction.acted.datagrams);
-        direction.acted.datagram_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        direction
+            .acted
+            .datagram_bytes
+            .fetch_add(bytes.len() as u64, Ordering::Relaxed);
     }
 }
 
@@ -434,10 +461,15 @@
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
             if half != u64::MAX {
-                direction.half.store(half - bytes.len() as u64, Ordering::Relaxed);
+                direction
+                    .half
+                    .store(half - bytes.len() as u64, Ordering::Relaxed);
             }
             to.write_all(&bytes).await?;
-            direction.acted.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+            direction
+                .acted
+                .bytes
+                .fetch_add(bytes.len() as u64, Ordering::Relaxed);
         }
         Ok(())
     };
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -129,7 +129,11 @@
                 stopped.clone(),
             ));
         }
-        tokio::spawn(shared.clone().ask_all(pace, StdRng::seed_from_u64(seed), stopped));
+        tokio::spawn(
+            shared
+                .clone()
+                .ask_all(pace, StdRng::seed_from_u64(seed), stopped),
+        );
         Load { shared, stop }
     }
 
@@ -150,17 +154,27 @@
 
     /// Front doors that the front sends to.
     pub fn taken_in(&self) -> usize {
-        self.shared.taken_in.iter().filter(|door| door.load(Ordering::Relaxed)).count()
+        self.shared
+            .taken_in
+            .iter()
+            .filter(|door| door.load(Ordering::Relaxed))
+            .count()
     }
 }
 
 impl Shared {
-    async fn look_at(self: Arc<Self>, door: usize, mut chance: StdRng, stopped: watch::Receiver<bool>) {
+    async fn look_at(
+        self: Arc<Self>,
+        door: usize,
+        mut chance: StdRng,
+        stopped: watch::Receiver<bool>,
+    ) {
         let mut silent_since: Option<Instant> = None;
         let mut noticed = Duration::ZERO;
         while !*stopped.borrow() {
-            let healthy =
-                timeout(HEALTHY, health(self.doors[door])).await.is_ok_and(|found| found.unwrap_or(false));
+            let healthy = timeout(HEALTHY, health(self.doors[door]))
+                .await
+                .is_ok_and(|found| found.unwrap_or(false));
             if healthy {
                 silent_since = None;
                 self.taken_in[door].store(true, Ordering::Relaxed);
@@ -177,7 +191,12 @@
         }
     }
 
-    async fn ask_all(self: Arc<Self>, pace: Pace, mut chance: StdRng, stopped: watch::Receiver<bool>) {
+    async fn ask_all(
+        self: Arc<Self>,
+        pace: Pace,
+        mut chance: StdRng,
+        stopped: watch::Receiver<bool>,
+    ) {
         let mut due = Instant::now();
         while !*stopped.borrow() {
             let even: f64 = chance.random_range(1e-9..1.0);
@@ -199,7 +218,9 @@
         let spread = pace.spread.min(self.doors.len());
         let first = customer as usize % self.doors.len();
         let set = (0..spread).map(|step| (first + step) % self.doors.len());
-        let able: Vec<usize> = set.filter(|door| self.taken_in[*door].load(Ordering::Relaxed)).collect();
+        let able: Vec<usize> = set
+            .filter(|door| self.taken_in[*door].load(Ordering::Relaxed))
+            .collect();
         let door = *able.get(chance.random_range(0..able.len().max(1)))?;
         let mut left = chance.random_range(0.0..pace.classes.iter().map(|class| class.1).sum());
         let (class, _, effect) = pace.classes.iter().find(|class| {
@@ -211,7 +232,10 @@
         let wait_ms = chance.random_range(pace.wait_ms.0..=pace.wait_ms.1);
         let (method, extra) = match effect.as_str() {
             "safe" => ("GET", String::new()),
-            "keyed" => ("POST", format!("Idempotency-Key: key-{id}\r\nContent-Length: 0\r\n")),
+            "keyed" => (
+                "POST",
+                format!("Idempotency-Key: key-{id}\r\nContent-Length: 0\r\n"),
+            ),
             _ => ("POST", "Content-Length: 0\r\n".to_owned()),
         };
         let text = format!(
@@ -221,16 +245,24 @@
             pace.plan.0,
             wait_ms / 1000.0
         );
-        self.meter.asked(&id, &format!("{customer:016x}"), 1.0, pace.plan.1);
+        self.meter
+            .asked(&id, &format!("{customer:016x}"), 1.0, pace.plan.1);
         let asked = json!({"id": id, "class": class, "effect": effect, "customer": customer,
             "process": self.names[door], "wait_ms": wait_ms});
         self.history.note("clients", "asked", asked);
-        Some(Ask { id, text, door, wait: Duration::from_secs_f64(wait_ms / 1000.0) })
+        Some(Ask {
+            id,
+            text,
+            door,
+            wait: Duration::from_secs_f64(wait_ms / 1000.0),
+        })
     }
 
     async fn ask(&self, ask: Ask) {
         let begun = Instant::now();
-        let answered = timeout(ask.wait + BEYOND, self.exchange(&ask)).await.unwrap_or(Err(NoAnswer::Late));
+        let answered = timeout(ask.wait + BEYOND, self.exchange(&ask))
+            .await
+            .unwrap_or(Err(NoAnswer::Late));
         let mut more = json!({"id": ask.id, "process": self.names[ask.door], "after_ms": begun.elapsed().as_secs_f64() * 1000.0});
         match answered {
             Ok((status, body, retry_after)) => {
@@ -264,7 +296,9 @@
                 Err(error) => return Err(NoAnswer::Broken(error.to_string())),
             }
         }
-        let stream = TcpStream::connect(self.doors[ask.door]).await.map_err(|_| NoAnswer::NotTaken)?;
+        let stream = TcpStream::connect(self.doors[ask.door])
+            .await
+            .map_err(|_| NoAnswer::NotTaken)?;
         // Without it requests are late, not wrong.
         let _ = stream.set_nodelay(true);
         let mut wire = BufReader::new(stream);
@@ -290,7 +324,11 @@
     }
 
     /// One exchange; `None` where the connection was closed or broke before a byte of an answer.
-    async fn once(&self, wire: &mut BufReader<TcpStream>, ask: &Ask) -> io::Result<Option<(Message, bool)>> {
+    async fn once(
+        &self,
+        wire: &mut BufReader<TcpStream>,
+        ask: &Ask,
+    ) -> io::Result<Option<(Message, bool)>> {
         if wire.write_all(ask.text.as_bytes()).await.is_err() {
             return Ok(None);
         }
@@ -299,7 +337,10 @@
             Ok(_) => {}
         }
         let message = Message::read(wire).await?;
-        let close = message.headers.get("connection").is_some_and(|word| word.eq_ignore_ascii_case("close"));
+        let close = message
+            .headers
+            .get("connection")
+            .is_some_and(|word| word.eq_ignore_ascii_case("close"));
         Ok(Some((message, close)))
     }
 }
@@ -315,25 +356,39 @@
         let odd = || io::Error::from(io::ErrorKind::InvalidData);
         let mut line = String::new();
         wire.read_line(&mut line).await?;
-        let status = line.split(' ').nth(1).and_then(|code| code.parse().ok()).ok_or_else(odd)?;
+        let status = line
+            .split(' ')
+            .nth(1)
+            .and_then(|code| code.parse().ok())
+            .ok_or_else(odd)?;
         let mut headers = HashMap::new();
         loop {
             line.clear();
             if wire.read_line(&mut line).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            let Some((name, value)) = line.trim_end().split_once(':') else { break };
+            let Some((name, value)) = line.trim_end().split_once(':') else {
+                break;
+            };
             headers.insert(name.to_ascii_lowercase(), value.trim().to_owned());
         }
-        let length = headers.get("content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
+        let length = headers
+            .get("content-length")
+            .and_then(|text| text.parse().ok())
+            .unwrap_or(0);
         let mut body = vec![0; length];
         wire.read_exact(&mut body).await?;
-        Ok(Message { status, headers, body })
+        Ok(Message {
+            status,
+            headers,
+            body,
+        })
     }
 }
 
 async fn health(door: SocketAddr) -> io::Result<bool> {
     let mut wire = BufReader::new(TcpStream::connect(door).await?);
-    wire.write_all(b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").await?;
+    wire.write_all(b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+        .await?;
     Ok(Message::read(&mut wire).await?.status == 200)
 }
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -106,10 +106,18 @@
 
 fn act(what: What) -> Result<ExitCode, Box<dyn std::error::Error>> {
     match what {
-        What::Play { file, draw, runs, history, cores } => {
+        What::Play {
+            file,
+            draw,
+            runs,
+            history,
+            cores,
+        } => {
             let schedules: Vec<Schedule> = match file {
                 Some(file) => vec![Schedule::read(&std::fs::read_to_string(file)?)?],
-                None => (draw.seed..draw.seed + runs).map(|seed| draw.schedule(seed)).collect(),
+                None => (draw.seed..draw.seed + runs)
+                    .map(|seed| draw.schedule(seed))
+                    .collect(),
             };
             let mut broken = 0;
             for schedule in schedules {
@@ -117,7 +125,11 @@
                 broken += u64::from(!outcome.violations.is_empty());
                 report(&schedule, &outcome);
             }
-            Ok(if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            Ok(if broken == 0 {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::FAILURE
+            })
         }
         What::Draw(draw) => {
             print!("{}", draw.schedule(draw.seed).write());
@@ -133,7 +145,11 @@
                 })
             };
             let least = shrink(&schedule, fails);
-            println!("# {} of {} faults after {played} plays", least.faults.len(), schedule.faults.len());
+            println!(
+                "# {} of {} faults after {played} plays",
+                least.faults.len(),
+                schedule.faults.len()
+            );
             print!("{}", least.write());
             Ok(ExitCode::SUCCESS)
         }
@@ -141,11 +157,21 @@
             let found = check::all(&history::read(&std::fs::read_to_string(file)?)?);
             found.iter().for_each(|violation| println!("{violation}"));
             println!("{} broken", found.len());
-            Ok(if found.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            Ok(if found.is_empty() {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::FAILURE
+            })
         }
-        What::Instructions { count, fleet, processes, plays } => {
-            let counted: Result<Vec<f64>, _> =
-                (0..plays).map(|_| cost::instructions(count, fleet, processes)).collect();
+        What::Instructions {
+            count,
+            fleet,
+            processes,
+            plays,
+        } => {
+            let counted: Result<Vec<f64>, _> = (0..plays)
+                .map(|_| cost::instructions(count, fleet, processes))
+                .collect();
             let mut counted = counted?;
             counted.sort_by(f64::total_cmp);
             if let (Some(least), Some(median), Some(most)) =
@@ -167,8 +193,10 @@
 /// A line for each run; for one that broke a rule, also what it takes to play it again.
 fn report(schedule: &Schedule, outcome: &Outcome) {
     let figures = |map: &std::collections::BTreeMap<String, u64>| {
-        let shown =
-            map.iter().filter(|(_, count)| **count > 0).map(|(name, count)| format!("{name} {count}"));
+        let shown = map
+            .iter()
+            .filter(|(_, count)| **count > 0)
+            .map(|(name, count)| format!("{name} {count}"));
         shown.collect::<Vec<_>>().join(", ")
     };
     println!(
@@ -180,7 +208,10 @@
         figures(&outcome.acted)
     );
     if !outcome.violations.is_empty() {
-        outcome.violations.iter().for_each(|violation| println!("  {violation}"));
+        outcome
+            .violations
+            .iter()
+            .for_each(|violation| println!("  {violation}"));
         println!("{}", schedule.write());
     }
 }
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -35,7 +35,12 @@
 
 impl Process {
     /// A place for a process, in an own folder below `folder`.
-    pub fn new(name: &str, folder: &Path, config: Value, history: Arc<History>) -> io::Result<Process> {
+    pub fn new(
+        name: &str,
+        folder: &Path,
+        config: Value,
+        history: Arc<History>,
+    ) -> io::Result<Process> {
         let folder = folder.join(name);
         std::fs::create_dir_all(folder.join("data"))?;
         Ok(Process {
@@ -70,12 +75,26 @@
         }
         // A write over the limit of a full disk is to be an error, as on a disk, and not the process's end.
         command.args(["env", "--ignore-signal=XFSZ"]);
-        command.arg(program()).env_clear().env("BALANCER_CONFIG", &path);
-        command.env("TMPDIR", &self.folder).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+        command
+            .arg(program())
+            .env_clear()
+            .env("BALANCER_CONFIG", &path);
+        command
+            .env("TMPDIR", &self.folder)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         let mut child = command.spawn()?;
         let said = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
-        self.history.note("rig", "start", json!({"process": self.name, "pid": child.id()}));
-        let file = OpenOptions::new().create(true).append(true).open(self.folder.join("log"))?;
+        self.history.note(
+            "rig",
+            "start",
+            json!({"process": self.name, "pid": child.id()}),
+        );
+        let file = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.folder.join("log"))?;
         let (name, history) = (self.name.clone(), self.history.clone());
         let log = std::thread::spawn(move || keep_log(BufReader::new(said), file, &name, &history));
         self.running = Some(Running { child, log });
@@ -83,7 +102,10 @@
     }
 
     fn write_config(&self) -> io::Result<PathBuf> {
-        let (path, fresh) = (self.folder.join("config.json"), self.folder.join("config.new"));
+        let (path, fresh) = (
+            self.folder.join("config.json"),
+            self.folder.join("config.new"),
+        );
         std::fs::write(&fresh, self.config.to_string())?;
         std::fs::rename(&fresh, &path)?;
         Ok(path)
@@ -93,7 +115,11 @@
     pub fn signal(&mut self, signal: Signal) {
         let Some(id) = self.id() else { return };
         self.told |= signal == Signal::SIGTERM;
-        self.history.note("rig", "signal", json!({"process": self.name, "signal": signal.as_str()}));
+        self.history.note(
+            "rig",
+            "signal",
+            json!({"process": self.name, "signal": signal.as_str()}),
+        );
         // It may have ended by itself: whoever waits for it sees that.
         let _ = kill(Pid::from_raw(id as i32), signal);
     }
@@ -136,8 +162,10 @@
 
     /// Whether it has ended by itself.
     pub fn crashed(&mut self) -> bool {
-        let ended =
-            self.running.as_mut().is_some_and(|running| matches!(running.child.try_wait(), Ok(Some(_))));
+        let ended = self
+            .running
+            .as_mut()
+            .is_some_and(|running| matches!(running.child.try_wait(), Ok(Some(_))));
         ended && self.wait().is_some_and(|status| !status.success())
     }
 
@@ -170,7 +198,9 @@
     /// Cuts `bytes` off the end of one of its files: a write that a crash left torn.
     pub fn tear(&self, file: &str, bytes: u64) -> io::Result<()> {
         self.at_rest("tear", file)?;
-        let file = OpenOptions::new().write(true).open(self.data().join(file))?;
+        let file = OpenOptions::new()
+            .write(true)
+            .open(self.data().join(file))?;
         file.set_len(file.metadata()?.len().saturating_sub(bytes))
     }
 
@@ -187,9 +217,12 @@
     /// Lets no file of the process grow, or takes that back: to it the disk is full (the error is EFBIG and not ENOSPC).
     pub fn fill(&self, full: bool) -> io::Result<()> {
         let Some(id) = self.id() else { return Ok(()) };
-        self.history.note("rig", "disk", json!({"process": self.name, "full": full}));
+        self.history
+            .note("rig", "disk", json!({"process": self.name, "full": full}));
         let limit = format!("--fsize={}", if full { "0:" } else { "unlimited:" });
-        let set = Command::new("prlimit").args(["--pid", &id.to_string(), &limit]).status()?;
+        let set = Command::new("prlimit")
+            .args(["--pid", &id.to_string(), &limit])
+            .status()?;
         // A process that has ended meanwhile has no limit to set.
         let gone = !Path::new("/proc").join(id.to_string()).exists();
         if set.success() || gone {
@@ -200,8 +233,13 @@
     }
 
     fn at_rest(&self, what: &str, file: &str) -> io::Result<()> {
-        assert!(self.running.is_none(), "{} runs: its disk is its own", self.name);
-        self.history.note("rig", what, json!({"process": self.name, "file": file}));
+        assert!(
+            self.running.is_none(),
+            "{} runs: its disk is its own",
+            self.name
+        );
+        self.history
+            .note("rig", what, json!({"process": self.name, "file": file}));
         Ok(())
     }
 }
@@ -236,10 +274,17 @@
         let line = String::from_utf8_lossy(&line);
         // A full disk of the machine that tests is seen by what is missing from the file.
         let _ = writeln!(file, "{line}");
-        let object = line.starts_with('{').then(|| serde_json::from_str::<Value>(&line).ok()).flatten();
+        let object = line
+            .starts_with('{')
+            .then(|| serde_json::from_str::<Value>(&line).ok())
+            .flatten();
         match object {
             Some(mut object) => {
-                let what = object.get("what").and_then(Value::as_str).unwrap_or("says").to_owned();
+                let what = object
+                    .get("what")
+                    .and_then(Value::as_str)
+                    .unwrap_or("says")
+                    .to_owned();
                 if let Some(object) = object.as_object_mut() {
                     object.remove("what");
                     // The history has its own; the process's own reading of the clock stays under this name.
@@ -249,7 +294,8 @@
                     object.remove("who");
                     // Counters are a value of their own within the line.
                     let status = object.remove("status");
-                    let status = status.and_then(|text| serde_json::from_str::<Value>(text.as_str()?).ok());
+                    let status =
+                        status.and_then(|text| serde_json::from_str::<Value>(text.as_str()?).ok());
                     if let Some(Value::Object(status)) = status {
                         object.extend(status);
                     }
--- a/crates/rig/src/rig.rs
+++ b/crates/rig/src/rig.rs
@@ -74,8 +74,14 @@
     /// The processes that process `i` is told of, in the order of their numbers: those it needs links to.
     pub fn peers(&self, i: usize) -> Vec<usize> {
         let others = self.processes.saturating_sub(1);
-        let count = if self.fleet.is_some() { self.told_peers.unwrap_or(others).min(others) } else { 0 };
-        let mut peers: Vec<usize> = (1..=count).map(|step| (i + step) % self.processes).collect();
+        let count = if self.fleet.is_some() {
+            self.told_peers.unwrap_or(others).min(others)
+        } else {
+            0
+        };
+        let mut peers: Vec<usize> = (1..=count)
+            .map(|step| (i + step) % self.processes)
+            .collect();
         peers.sort_unstable();
         peers
     }
@@ -106,9 +112,16 @@
 impl Rig {
     /// Lays all out and starts the stand-ins, but no process yet.
     pub fn new(plan: &Plan) -> io::Result<Rig> {
-        assert!(plan.processes <= MOST_PROCESSES, "{} processes", plan.processes);
+        assert!(
+            plan.processes <= MOST_PROCESSES,
+            "{} processes",
+            plan.processes
+        );
         sweep(&std::env::temp_dir());
-        let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .worker_threads(2)
+            .enable_all()
+            .build()?;
         let prefix = format!("{FOLDER}{}-", std::process::id());
         let folder = tempfile::Builder::new().prefix(&prefix).tempdir()?;
         let ground = Ground::take()?;
@@ -118,19 +131,39 @@
         });
         let mut chance = StdRng::seed_from_u64(plan.seed);
         // A link has a direction each way, also where only one of the two is told of the other.
-        let pairs: BTreeSet<(usize, usize)> = plan.links().flat_map(|(i, j)| [(i, j), (j, i)]).collect();
-        let directions: BTreeMap<(usize, usize), Arc<Direction>> =
-            pairs.into_iter().map(|pair| (pair, Direction::new(chance.random()))).collect();
+        let pairs: BTreeSet<(usize, usize)> =
+            plan.links().flat_map(|(i, j)| [(i, j), (j, i)]).collect();
+        let directions: BTreeMap<(usize, usize), Arc<Direction>> = pairs
+            .into_iter()
+            .map(|pair| (pair, Direction::new(chance.random())))
+            .collect();
         for (i, j) in plan.links() {
             let (forth, back) = (directions[&(i, j)].clone(), directions[&(j, i)].clone());
-            runtime.block_on(Link { at: ground.link(i, j), to: ground.fleet(j), forth, back }.open())?;
+            runtime.block_on(
+                Link {
+                    at: ground.link(i, j),
+                    to: ground.fleet(j),
+                    forth,
+                    back,
+                }
+                .open(),
+            )?;
         }
         let (meter, mut manners, mut hosts) = (Arc::new(Meter::default()), Vec::new(), Vec::new());
         for number in 0..plan.backends {
-            let (at, name) = (ground.stand_in(number + FIRST_BACKEND), format!("backend-{number}"));
+            let (at, name) = (
+                ground.stand_in(number + FIRST_BACKEND),
+                format!("backend-{number}"),
+            );
             let manner = watch::Sender::new(Manner::default());
             hosts.push(member(&name, at, "up"));
-            runtime.block_on(backend(at, name, manner.subscribe(), meter.clone(), history.clone()))?;
+            runtime.block_on(backend(
+                at,
+                name,
+                manner.subscribe(),
+                meter.clone(),
+                history.clone(),
+            ))?;
             manners.push(manner);
         }
         let list = List::new(members(1, true, &hosts));
@@ -150,17 +183,23 @@
         };
         for i in 0..plan.processes {
             let config = rig.config(plan, i);
-            let mut process = Process::new(&name(i), rig.folder.path(), config, rig.history.clone())?;
+            let mut process =
+                Process::new(&name(i), rig.folder.path(), config, rig.history.clone())?;
             process.cores = plan.cores.clone();
             if plan.handover {
-                process.config["handover"] = process.data().join("handover").display().to_string().into();
+                process.config["handover"] =
+                    process.data().join("handover").display().to_string().into();
             }
             if let Some(Value::String(data)) = process.config.pointer_mut("/fleet/data") {
                 *data = process.folder.join("data").display().to_string();
             }
             rig.processes.push(process);
         }
-        rig.history.note("rig", "plan", json!({"processes": plan.processes, "seed": plan.seed}));
+        rig.history.note(
+            "rig",
+            "plan",
+            json!({"processes": plan.processes, "seed": plan.seed}),
+        );
         Ok(rig)
     }
 
@@ -183,7 +222,8 @@
             "settings": settings, "test": true,
         });
         if let Some(told) = &plan.fleet {
-            let peer = |j: usize| json!({"name": name(j), "dial": self.ground.link(i, j).to_string()});
+            let peer =
+                |j: usize| json!({"name": name(j), "dial": self.ground.link(i, j).to_string()});
             let peers: Vec<Value> = plan.peers(i).into_iter().map(peer).collect();
             let mut fleet = json!({
                 "name": "rig", "listen": self.ground.fleet(i).to_string(), "peers": peers,
@@ -207,7 +247,9 @@
     pub fn await_serving(&mut self) {
         for i in 0..self.processes.len() {
             if self.processes[i].id().is_some() {
-                self.wait(&format!("{} serving", name(i)), |rig| rig.serves(i).then_some(()));
+                self.wait(&format!("{} serving", name(i)), |rig| {
+                    rig.serves(i).then_some(())
+                });
             }
         }
     }
@@ -232,10 +274,18 @@
             }
             if Instant::now() >= end {
                 let tail: Vec<String> = self.history.read(|events| {
-                    let kept = events.iter().rev().filter(|event| event.who != "clients").take(20);
-                    kept.filter_map(|event| serde_json::to_string(event).ok()).collect()
+                    let kept = events
+                        .iter()
+                        .rev()
+                        .filter(|event| event.who != "clients")
+                        .take(20);
+                    kept.filter_map(|event| serde_json::to_string(event).ok())
+                        .collect()
                 });
-                panic!("{what} was due; last seen, latest first:\n{}", tail.join("\n"));
+                panic!(
+                    "{what} was due; last seen, latest first:\n{}",
+                    tail.join("\n")
+                );
             }
             std::thread::sleep(LOOK);
         }
@@ -243,37 +293,59 @@
 
     /// Begins to ask; the clients end with the rig.
     pub fn load(&mut self, pace: Pace) -> Load {
-        let doors = (0..self.processes.len()).map(|i| (name(i), self.ground.clients(i))).collect();
+        let doors = (0..self.processes.len())
+            .map(|i| (name(i), self.ground.clients(i)))
+            .collect();
         let _within = self.runtime.as_ref().expect("a rig that stands").enter();
-        Load::start(pace, doors, self.chance.random(), self.history.clone(), self.meter.clone())
+        Load::start(
+            pace,
+            doors,
+            self.chance.random(),
+            self.history.clone(),
+            self.meter.clone(),
+        )
     }
 
     /// Stops a load and waits until each of its requests has ended.
     pub fn settle(&mut self, load: &Load) {
         load.stop();
-        self.wait("the end of what was asked", |_| (load.open() == 0).then_some(()));
+        self.wait("the end of what was asked", |_| {
+            (load.open() == 0).then_some(())
+        });
     }
 
     /// What a process said last about its fleet.
     pub fn told(&self, i: usize) -> Option<Event> {
         let name = name(i);
         self.history.read(|events| {
-            events.iter().rev().find(|event| event.who == name && event.what == "fleet").cloned()
+            events
+                .iter()
+                .rev()
+                .find(|event| event.who == name && event.what == "fleet")
+                .cloned()
         })
     }
 
     /// Which front doors a process says are present.
     pub fn present(&self, i: usize) -> Vec<String> {
         let told = self.told(i);
-        let names = told.as_ref().and_then(|event| event.more["members"]["present"].as_array());
-        names.into_iter().flatten().filter_map(|name| name.as_str().map(str::to_owned)).collect()
+        let names = told
+            .as_ref()
+            .and_then(|event| event.more["members"]["present"].as_array());
+        names
+            .into_iter()
+            .flatten()
+            .filter_map(|name| name.as_str().map(str::to_owned))
+            .collect()
     }
 
     /// Waits until each of these says that just these are present.
     pub fn agree(&mut self, these: &[usize], what: &str) {
         let mut names: Vec<String> = these.iter().copied().map(name).collect();
         names.sort();
-        self.wait(what, |rig| these.iter().all(|i| rig.present(*i) == names).then_some(()));
+        self.wait(what, |rig| {
+            these.iter().all(|i| rig.present(*i) == names).then_some(())
+        });
     }
 
     // ---- Faults ---------------------------------------------------------------------------------------
@@ -285,7 +357,11 @@
 
     /// Sets how a direction carries; where there is no link nothing flows that could be touched.
     pub fn set(&self, from: usize, to: usize, quality: Quality) {
-        self.history.note("rig", "link", json!({"from": name(from), "to": name(to), "quality": quality}));
+        self.history.note(
+            "rig",
+            "link",
+            json!({"from": name(from), "to": name(to), "quality": quality}),
+        );
         if let Some(direction) = self.direction(from, to) {
             direction.set(quality);
         }
@@ -293,7 +369,11 @@
 
     /// Sets how all directions between two sets carry, both ways.
     pub fn between(&self, some: &[usize], others: &[usize], quality: &Quality) {
-        for (i, j) in some.iter().flat_map(|i| others.iter().map(move |j| (*i, *j))).filter(|(i, j)| i != j) {
+        for (i, j) in some
+            .iter()
+            .flat_map(|i| others.iter().map(move |j| (*i, *j)))
+            .filter(|(i, j)| i != j)
+        {
             self.set(i, j, quality.clone());
             self.set(j, i, quality.clone());
         }
@@ -303,15 +383,24 @@
     pub fn split(&self, parts: &[&[usize]]) {
         for (number, part) in parts.iter().enumerate() {
             for other in &parts[number + 1..] {
-                self.between(part, other, &Quality { cut: true, ..Quality::default() });
+                self.between(
+                    part,
+                    other,
+                    &Quality {
+                        cut: true,
+                        ..Quality::default()
+                    },
+                );
             }
         }
     }
 
     /// Takes all faults off all links.
     pub fn heal(&self) {
-        let troubled =
-            self.directions.iter().filter(|(_, direction)| direction.quality() != Quality::default());
+        let troubled = self
+            .directions
+            .iter()
+            .filter(|(_, direction)| direction.quality() != Quality::default());
         for ((from, to), _) in troubled {
             self.set(*from, *to, Quality::default());
         }
@@ -324,7 +413,11 @@
 
     /// Makes a backend act otherwise.
     pub fn act(&self, backend: usize, manner: Manner) {
-        self.history.note("rig", "backend", json!({"backend": backend, "manner": manner}));
+        self.history.note(
+            "rig",
+            "backend",
+            json!({"backend": backend, "manner": manner}),
+        );
         self.manners[backend].send_replace(manner);
     }
 
@@ -364,10 +457,19 @@
 /// folders of its rigs go here.
 pub fn end_on_interrupt() {
     std::thread::spawn(|| {
-        let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else { return };
+        let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+        else {
+            return;
+        };
         if runtime.block_on(tokio::signal::ctrl_c()).is_ok() {
             let prefix = format!("{FOLDER}{}-", std::process::id());
-            for entry in std::fs::read_dir(std::env::temp_dir()).into_iter().flatten().flatten() {
+            for entry in std::fs::read_dir(std::env::temp_dir())
+                .into_iter()
+                .flatten()
+                .flatten()
+            {
                 if entry.file_name().to_string_lossy().starts_with(&prefix) {
                     // What can't be removed is left to the next rig's sweep.
                     let _ = std::fs::remove_dir_all(entry.path());
@@ -385,14 +487,21 @@
 
 /// Removes what rigs and tests left that were killed with their process: such folders and files carry its id.
 fn sweep(folder: &Path) {
-    let Ok(entries) = std::fs::read_dir(folder) else { return };
+    let Ok(entries) = std::fs::read_dir(folder) else {
+        return;
+    };
     for entry in entries.flatten() {
         let name = entry.file_name().to_string_lossy().into_owned();
-        let of = name.strip_prefix(FOLDER).or_else(|| name.strip_prefix("cometspool-"));
-        let id = of.and_then(|rest| rest.split('-').next()).and_then(|id| id.parse::<u32>().ok());
+        let of = name
+            .strip_prefix(FOLDER)
+            .or_else(|| name.strip_prefix("cometspool-"));
+        let id = of
+            .and_then(|rest| rest.split('-').next())
+            .and_then(|id| id.parse::<u32>().ok());
         if id.is_some_and(|id| !Path::new("/proc").join(id.to_string()).exists()) {
             // Another rig may be sweeping too.
-            let _ = std::fs::remove_dir_all(entry.path()).or_else(|_| std::fs::remove_file(entry.path()));
+            let _ = std::fs::remove_dir_all(entry.path())
+                .or_else(|_| std::fs::remove_file(entry.path()));
         }
     }
 }
--- a/crates/rig/src/schedule.rs
+++ b/crates/rig/src/schedule.rs
@@ -180,7 +180,11 @@
         let schedule: Schedule = toml::from_str(text)?;
         for (number, fault) in schedule.faults.iter().enumerate() {
             let wrong = |what: String| Err(ScheduleError::Fault(number + 1, what));
-            if let Some(process) = fault.act.processes().find(|process| *process >= schedule.processes) {
+            if let Some(process) = fault
+                .act
+                .processes()
+                .find(|process| *process >= schedule.processes)
+            {
                 return wrong(format!("there is no process {process}"));
             }
             if matches!(fault.act, Act::Backend { backend, .. } if backend >= schedule.backends) {
@@ -206,7 +210,11 @@
         let drawn = (0..faults).map(|_| {
             let at = chance.random_range(0.0..seconds * 0.8);
             let lasts = Some(tenth(chance.random_range(0.2..(seconds / 3.0).max(0.3))));
-            Fault { at: tenth(at), lasts, act: Act::draw(&mut chance, processes, backends) }
+            Fault {
+                at: tenth(at),
+                lasts,
+                act: Act::draw(&mut chance, processes, backends),
+            }
         });
         let mut faults: Vec<Fault> = drawn.collect();
         faults.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -260,25 +268,67 @@
         let one_way = chance.random_bool(0.3);
         let bad = chance.random_range(0.02..0.3);
         let quality = match chance.random_range(0..6) {
-            0 => Quality { loss: bad, ..Quality::default() },
-            1 => Quality { delay_ms: 300.0 * bad, spread_ms: 1000.0 * bad, ..Quality::default() },
-            2 => Quality { duplicate: bad, reorder: bad, ..Quality::default() },
-            3 => Quality { damage: bad, ..Quality::default() },
-            4 => Quality { bytes_per_s: Some(100_000.0 * bad), ..Quality::default() },
-            _ => Quality { refuse: true, ..Quality::default() },
+            0 => Quality {
+                loss: bad,
+                ..Quality::default()
+            },
+            1 => Quality {
+                delay_ms: 300.0 * bad,
+                spread_ms: 1000.0 * bad,
+                ..Quality::default()
+            },
+            2 => Quality {
+                duplicate: bad,
+                reorder: bad,
+                ..Quality::default()
+            },
+            3 => Quality {
+                damage: bad,
+                ..Quality::default()
+            },
+            4 => Quality {
+                bytes_per_s: Some(100_000.0 * bad),
+                ..Quality::default()
+            },
+            _ => Quality {
+                refuse: true,
+                ..Quality::default()
+            },
         };
         match chance.random_range(0..11) {
-            0 | 1 => Act::Cut { from, to: rest, one_way },
-            2 | 3 => Act::Link { from, to: rest, one_way, quality },
+            0 | 1 => Act::Cut {
+                from,
+                to: rest,
+                one_way,
+            },
+            2 | 3 => Act::Link {
+                from,
+                to: rest,
+                one_way,
+                quality,
+            },
             4 => Act::Reset { from, to: rest },
-            5 => Act::Halve { from, to: rest, bytes: chance.random_range(0..200) },
-            6 | 7 => Act::Kill { who: some(half, chance), wipe: chance.random_bool(0.3) },
+            5 => Act::Halve {
+                from,
+                to: rest,
+                bytes: chance.random_range(0..200),
+            },
+            6 | 7 => Act::Kill {
+                who: some(half, chance),
+                wipe: chance.random_bool(0.3),
+            },
             8 => match chance.random_bool(0.5) {
-                true => Act::Pause { who: some(2, chance) },
-                false => Act::Terminate { who: some(2, chance) },
+                true => Act::Pause {
+                    who: some(2, chance),
+                },
+                false => Act::Terminate {
+                    who: some(2, chance),
+                },
             },
             9 => match chance.random_bool(0.5) {
-                true => Act::Full { who: some(2, chance) },
+                true => Act::Full {
+                    who: some(2, chance),
+                },
                 false => Act::Set {
                     who: some(2, chance),
                     ahead_ms: chance.random_range(-3_600_000.0f64..3_600_000.0).round(),
@@ -318,7 +368,11 @@
 type Bad = (usize, usize, usize, Quality);
 
 /// Plays a schedule; afterwards all faults are taken back, and the fleet has to come together again.
-pub fn play(schedule: &Schedule, history: Option<PathBuf>, cores: Option<String>) -> io::Result<Outcome> {
+pub fn play(
+    schedule: &Schedule,
+    history: Option<PathBuf>,
+    cores: Option<String>,
+) -> io::Result<Outcome> {
     let plan = Plan {
         processes: schedule.processes,
         backends: schedule.backends,
@@ -331,13 +385,20 @@
         history,
     };
     let mut rig = Rig::start(&plan)?;
-    let load = rig.load(Pace { per_s: schedule.load_per_s.max(0.1), ..Pace::default() });
+    let load = rig.load(Pace {
+        per_s: schedule.load_per_s.max(0.1),
+        ..Pace::default()
+    });
     let all = schedule.processes;
     rig.wait("all taken in", |_| (load.taken_in() == all).then_some(()));
     let mut timeline: Vec<(f64, usize, bool)> = Vec::new();
     for (number, fault) in schedule.faults.iter().enumerate() {
         timeline.push((fault.at, number, true));
-        timeline.push((fault.at + fault.lasts.unwrap_or(f64::INFINITY), number, false));
+        timeline.push((
+            fault.at + fault.lasts.unwrap_or(f64::INFINITY),
+            number,
+            false,
+        ));
     }
     // What begins goes before what ends at the same time: a fault of no length still acts.
     timeline.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.2.cmp(&a.2)));
@@ -351,10 +412,17 @@
             continue;
         }
         look_for_crashes(&mut rig);
-        apply(&mut rig, &mut bad, number, &schedule.faults[number].act, begins)?;
+        apply(
+            &mut rig,
+            &mut bad,
+            number,
+            &schedule.faults[number].act,
+            begins,
+        )?;
     }
     std::thread::sleep(
-        (begun + Duration::from_secs_f64(schedule.seconds)).saturating_duration_since(Instant::now()),
+        (begun + Duration::from_secs_f64(schedule.seconds))
+            .saturating_duration_since(Instant::now()),
     );
     look_for_crashes(&mut rig);
     rig.heal();
@@ -376,7 +444,11 @@
     for event in &events {
         *counted.entry(kind(event)).or_default() += 1;
     }
-    Ok(Outcome { violations: check::all(&events), acted: rig.acted(), counted })
+    Ok(Outcome {
+        violations: check::all(&events),
+        acted: rig.acted(),
+        counted,
+    })
 }
 
 fn kind(event: &Event) -> String {
@@ -393,37 +465,83 @@
     }
 }
 
-fn apply(rig: &mut Rig, bad: &mut Vec<Bad>, number: usize, act: &Act, begins: bool) -> io::Result<()> {
+fn apply(
+    rig: &mut Rig,
+    bad: &mut Vec<Bad>,
+    number: usize,
+    act: &Act,
+    begins: bool,
+) -> io::Result<()> {
     let pairs = |from: &[usize], to: &[usize], one_way: bool| -> Vec<(usize, usize)> {
-        let forth = from.iter().flat_map(|i| to.iter().map(move |j| (*i, *j))).filter(|(i, j)| i != j);
+        let forth = from
+            .iter()
+            .flat_map(|i| to.iter().map(move |j| (*i, *j)))
+            .filter(|(i, j)| i != j);
         let both = forth.flat_map(|(i, j)| [(i, j), (j, i)]);
-        both.enumerate().filter(|(n, _)| !one_way || n % 2 == 0).map(|(_, pair)| pair).collect()
+        both.enumerate()
+            .filter(|(n, _)| !one_way || n % 2 == 0)
+            .map(|(_, pair)| pair)
+            .collect()
     };
     let mut links = |rig: &Rig, from: &[usize], to: &[usize], one_way: bool, quality: &Quality| {
         let touched = pairs(from, to, one_way);
         if begins {
-            bad.extend(touched.iter().map(|(i, j)| (number, *i, *j, quality.clone())));
+            bad.extend(
+                touched
+                    .iter()
+                    .map(|(i, j)| (number, *i, *j, quality.clone())),
+            );
         } else {
             bad.retain(|(of, ..)| *of != number);
         }
         for (i, j) in touched {
-            let all = bad.iter().filter(|(_, from, to, _)| (*from, *to) == (i, j)).map(|bad| &bad.3);
-            rig.set(i, j, all.fold(Quality::default(), |sum, quality| sum.and(quality)));
+            let all = bad
+                .iter()
+                .filter(|(_, from, to, _)| (*from, *to) == (i, j))
+                .map(|bad| &bad.3);
+            rig.set(
+                i,
+                j,
+                all.fold(Quality::default(), |sum, quality| sum.and(quality)),
+            );
         }
     };
     match act {
         Act::Cut { from, to, one_way } => {
-            links(rig, from, to, *one_way, &Quality { cut: true, ..Quality::default() });
+            links(
+                rig,
+                from,
+                to,
+                *one_way,
+                &Quality {
+                    cut: true,
+                    ..Quality::default()
+                },
+            );
         }
-        Act::Link { from, to, one_way, quality } => links(rig, from, to, *one_way, quality),
+        Act::Link {
+            from,
+            to,
+            one_way,
+            quality,
+        } => links(rig, from, to, *one_way, quality),
         Act::Reset { from, to } if begins => {
-            rig.history.note("rig", "reset", json!({"from": from, "to": to}));
-            let directions = pairs(from, to, true).into_iter().filter_map(|(i, j)| rig.direction(i, j));
+            rig.history
+                .note("rig", "reset", json!({"from": from, "to": to}));
+            let directions = pairs(from, to, true)
+                .into_iter()
+                .filter_map(|(i, j)| rig.direction(i, j));
             directions.for_each(Direction::reset);
         }
         Act::Halve { from, to, bytes } if begins => {
-            rig.history.note("rig", "halve", json!({"from": from, "to": to, "bytes": bytes}));
-            let directions = pairs(from, to, true).into_iter().filter_map(|(i, j)| rig.direction(i, j));
+            rig.history.note(
+                "rig",
+                "halve",
+                json!({"from": from, "to": to, "bytes": bytes}),
+            );
+            let directions = pairs(from, to, true)
+                .into_iter()
+                .filter_map(|(i, j)| rig.direction(i, j));
             directions.for_each(|direction| direction.halve(*bytes));
         }
         Act::Reset { .. } | Act::Halve { .. } => {}
@@ -455,14 +573,25 @@
             }
         }
         Act::Pause { who } => {
-            let signal = if begins { Signal::SIGSTOP } else { Signal::SIGCONT };
+            let signal = if begins {
+                Signal::SIGSTOP
+            } else {
+                Signal::SIGCONT
+            };
             who.iter().for_each(|i| rig.processes[*i].signal(signal));
         }
-        Act::Clock { who, rate, ahead_ms } => {
+        Act::Clock {
+            who,
+            rate,
+            ahead_ms,
+        } => {
             for i in who.iter().copied() {
                 rig.processes[i].kill();
-                rig.processes[i].config["clock"] =
-                    if begins { json!({"rate": rate, "ahead_ms": ahead_ms}) } else { Value::Null };
+                rig.processes[i].config["clock"] = if begins {
+                    json!({"rate": rate, "ahead_ms": ahead_ms})
+                } else {
+                    Value::Null
+                };
                 rig.start_one(i)?;
             }
         }
@@ -479,9 +608,18 @@
                 }
             }
         }
-        Act::Full { who } => who.iter().try_for_each(|i| rig.processes[*i].fill(begins))?,
+        Act::Full { who } => who
+            .iter()
+            .try_for_each(|i| rig.processes[*i].fill(begins))?,
         Act::Backend { backend, manner } => {
-            rig.act(*backend, if begins { manner.clone() } else { Manner::default() });
+            rig.act(
+                *backend,
+                if begins {
+                    manner.clone()
+                } else {
+                    Manner::default()
+                },
+            );
         }
     }
     Ok(())
@@ -510,7 +648,9 @@
     }
     for number in 0..best.faults.len() {
         let mut shorter = best.clone();
-        let Some(lasts) = &mut shorter.faults[number].lasts else { continue };
+        let Some(lasts) = &mut shorter.faults[number].lasts else {
+            continue;
+        };
         *lasts = tenth(*lasts / 2.0);
         if fails(&shorter) {
             best = shorter;
--- a/crates/rig/src/standins.rs
+++ b/crates/rig/src/standins.rs
@@ -41,7 +41,9 @@
     let listener = TcpListener::bind(at).await?;
     tokio::spawn(async move {
         loop {
-            let Ok((stream, _)) = listener.accept().await else { continue };
+            let Ok((stream, _)) = listener.accept().await else {
+                continue;
+            };
             // Without it answers are late, not wrong.
             let _ = stream.set_nodelay(true);
             let answer = answer.clone();
@@ -87,7 +89,9 @@
         if metered.asked.len() >= IDS {
             metered.asked.clear();
         }
-        metered.asked.insert(id.to_owned(), (customer.to_owned(), units, rate));
+        metered
+            .asked
+            .insert(id.to_owned(), (customer.to_owned(), units, rate));
     }
 
     /// A first attempt has come to a backend; tells the customer's use in the last finished period, in percent of its rate.
@@ -99,7 +103,11 @@
         if first {
             *metered.used.entry((period, customer.clone())).or_default() += units;
         }
-        let used = metered.used.get(&(period.saturating_sub(1), customer)).copied().unwrap_or_default();
+        let used = metered
+            .used
+            .get(&(period.saturating_sub(1), customer))
+            .copied()
+            .unwrap_or_default();
         (rate > 0.0).then(|| 100.0 * used / (rate * PERIOD_US as f64 / 1e6))
     }
 }
@@ -124,7 +132,13 @@
 
 impl Default for Manner {
     fn default() -> Manner {
-        Manner { work_ms: 5.0, hangs: false, fails: false, full: false, slots: 256 }
+        Manner {
+            work_ms: 5.0,
+            hangs: false,
+            fails: false,
+            full: false,
+            slots: 256,
+        }
     }
 }
 
@@ -136,42 +150,65 @@
     meter: Arc<Meter>,
     history: Arc<History>,
 ) -> io::Result<()> {
-    let (slots, seen) =
-        (Arc::new(Semaphore::new(manner.borrow().slots)), Arc::new(Mutex::new(HashMap::new())));
+    let (slots, seen) = (
+        Arc::new(Semaphore::new(manner.borrow().slots)),
+        Arc::new(Mutex::new(HashMap::new())),
+    );
     serve(at, move |request| {
         let (name, meter, history) = (name.clone(), meter.clone(), history.clone());
         let (manner, slots, seen) = (manner.borrow().clone(), slots.clone(), seen.clone());
         async move {
             let (head, body) = request.into_parts();
-            let header =
-                |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
-            let Some(id) = header("request-id") else { return answer(StatusCode::NOT_FOUND, "") };
+            let header = |name: &str| {
+                head.headers
+                    .get(name)
+                    .and_then(|value| value.to_str().ok())
+                    .map(str::to_owned)
+            };
+            let Some(id) = header("request-id") else {
+                return answer(StatusCode::NOT_FOUND, "");
+            };
             if Limited::new(body, LONGEST_BODY).collect().await.is_err() {
                 return answer(StatusCode::PAYLOAD_TOO_LARGE, "");
             }
             let first = {
-                let mut seen: std::sync::MutexGuard<HashMap<String, ()>> = seen.lock().expect("no panic");
+                let mut seen: std::sync::MutexGuard<HashMap<String, ()>> =
+                    seen.lock().expect("no panic");
                 if seen.len() >= IDS {
                     seen.clear();
                 }
                 seen.insert(id.clone(), ()).is_none()
             };
             let used = meter.sent(&id, first, now_us());
-            let class =
-                head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default().to_owned();
+            let class = head
+                .uri
+                .path()
+                .trim_start_matches('/')
+                .split('/')
+                .next()
+                .unwrap_or_default()
+                .to_owned();
             let slot = slots.try_acquire().ok().filter(|_| !manner.full);
             let what = if slot.is_some() { "ran" } else { "turned-away" };
-            history.note(&name, what, json!({"id": id, "class": class, "key": header("idempotency-key")}));
+            history.note(
+                &name,
+                what,
+                json!({"id": id, "class": class, "key": header("idempotency-key")}),
+            );
             let mut response = if slot.is_none() {
                 let mut response = answer(StatusCode::SERVICE_UNAVAILABLE, "");
-                response.headers_mut().insert("not-started", "1".parse().expect("a value"));
+                response
+                    .headers_mut()
+                    .insert("not-started", "1".parse().expect("a value"));
                 response
             } else {
                 if manner.hangs {
                     std::future::pending::<()>().await;
                 }
-                tokio::time::sleep(Duration::try_from_secs_f64(manner.work_ms / 1000.0).unwrap_or_default())
-                    .await;
+                tokio::time::sleep(
+                    Duration::try_from_secs_f64(manner.work_ms / 1000.0).unwrap_or_default(),
+                )
+                .await;
                 if manner.fails {
                     answer(StatusCode::INTERNAL_SERVER_ERROR, "")
                 } else {
@@ -200,7 +237,11 @@
             if request.uri().path() != "/catalog/members" {
                 return answer(StatusCode::NOT_FOUND, "");
             }
-            if !request.uri().query().is_some_and(|query| query.split('&').any(|word| word == "watch=1")) {
+            if !request
+                .uri()
+                .query()
+                .is_some_and(|query| query.split('&').any(|word| word == "watch=1"))
+            {
                 return answer(StatusCode::OK, list.borrow().to_string());
             }
             let (mut sender, channel) = Channel::new(4);
--- a/crates/rig/tests/check.rs
+++ b/crates/rig/tests/check.rs
@@ -5,15 +5,21 @@
 
 /// A history in short: a line each, `who what field=value …`; the time is the line's number.
 fn history(text: &str) -> Vec<cometspool_rig::history::Event> {
-    let lines = text.split(';').map(str::trim).enumerate().map(|(at, line)| {
-        let mut words = line.split(' ');
-        let mut event = serde_json::json!({"at_us": at, "who": words.next(), "what": words.next()});
-        for word in words {
-            let (key, value) = word.split_once('=').expect("key=value");
-            event[key] = serde_json::from_str(value).unwrap_or_else(|_| value.replace('_', " ").into());
-        }
-        event.to_string()
-    });
+    let lines = text
+        .split(';')
+        .map(str::trim)
+        .enumerate()
+        .map(|(at, line)| {
+            let mut words = line.split(' ');
+            let mut event =
+                serde_json::json!({"at_us": at, "who": words.next(), "what": words.next()});
+            for word in words {
+                let (key, value) = word.split_once('=').expect("key=value");
+                event[key] =
+                    serde_json::from_str(value).unwrap_or_else(|_| value.replace('_', " ").into());
+            }
+            event.to_string()
+        });
     read(&lines.collect::<Vec<_>>().join("\n")).expect("a history")
 }
 
@@ -51,7 +57,8 @@
     }
     // A spell of trouble that is over before a request excuses nothing.
     let text = "rig signal process=n0 signal=SIGSTOP; rig signal process=n0 signal=SIGCONT";
-    let found =
-        final_answers(&history(&format!("{text}; {ASKED}; clients unanswered id=a process=n0 why=late")));
+    let found = final_answers(&history(&format!(
+        "{text}; {ASKED}; clients unanswered id=a process=n0 why=late"
+    )));
     assert_eq!(found.len(), 1, "{found:?}");
 }
--- a/crates/rig/tests/ground.rs
+++ b/crates/rig/tests/ground.rs
@@ -12,7 +12,9 @@
 /// All addresses of a ground with so many processes and stand-ins.
 fn addresses(ground: &Ground, count: usize) -> Vec<SocketAddr> {
     let own = (0..count).flat_map(|i| [ground.clients(i), ground.fleet(i), ground.stand_in(i)]);
-    let links = (0..count).flat_map(|i| (0..count).map(move |j| (i, j))).filter(|(i, j)| i != j);
+    let links = (0..count)
+        .flat_map(|i| (0..count).map(move |j| (i, j)))
+        .filter(|(i, j)| i != j);
     own.chain(links.map(|(i, j)| ground.link(i, j))).collect()
 }
 
@@ -20,14 +22,21 @@
 /// second rig beside them.
 #[test]
 fn addresses_of_a_thousand_processes_and_of_two_rigs_are_distinct() {
-    let (one, other) = (Ground::take().expect("addresses"), Ground::take().expect("addresses"));
+    let (one, other) = (
+        Ground::take().expect("addresses"),
+        Ground::take().expect("addresses"),
+    );
     let mut all = addresses(&one, MANY);
     all.extend(addresses(&other, MANY));
     assert!(all.iter().all(|address| address.ip().is_loopback()));
     assert_eq!(all.iter().collect::<HashSet<_>>().len(), all.len());
     assert_eq!(all.len(), 2 * (3 * MANY + MANY * (MANY - 1)));
     // The last ones of their kinds do not run over into another's.
-    let last = [one.clients(MOST_PROCESSES - 1), one.stand_in(0), one.stand_in(MOST_STAND_INS - 1)];
+    let last = [
+        one.clients(MOST_PROCESSES - 1),
+        one.stand_in(0),
+        one.stand_in(MOST_STAND_INS - 1),
+    ];
     let hosts: Vec<_> = last.iter().map(|address| address.ip()).collect();
     assert!(hosts.is_sorted_by(|a, b| a < b), "{hosts:?}");
 }
@@ -35,7 +44,12 @@
 /// Guards against links that nobody needs: none without a fleet block, and otherwise one to each that a process is told of.
 #[test]
 fn links_stand_only_between_those_that_are_told_of_each_other() {
-    let plan = |fleet, told_peers| Plan { processes: 5, fleet, told_peers, ..Plan::default() };
+    let plan = |fleet, told_peers| Plan {
+        processes: 5,
+        fleet,
+        told_peers,
+        ..Plan::default()
+    };
     let block = || Some(serde_json::json!({}));
     assert_eq!(plan(None, None).peers(4), Vec::<usize>::new());
     assert_eq!(plan(block(), None).peers(4), [0, 1, 2, 3]);
@@ -49,13 +63,28 @@
 /// a list of 1,100 backends.
 #[test]
 fn the_first_and_the_last_of_a_thousand_processes_find_each_other() {
-    let plan = Plan { processes: MANY, backends: 1_100, told_peers: Some(1), ..Plan::default() };
+    let plan = Plan {
+        processes: MANY,
+        backends: 1_100,
+        told_peers: Some(1),
+        ..Plan::default()
+    };
     let (first, last) = (0, MANY - 1);
     let mut rig = Rig::new(&plan).expect("a rig");
     rig.start_one(first).expect("a start");
     rig.start_one(last).expect("a start");
     rig.await_serving();
     rig.agree(&[first, last], "two that know each other");
-    let carried = |from, to| rig.direction(from, to).expect("a link").acted.datagrams.load(Ordering::Relaxed);
-    assert!(carried(last, first) > 0, "{} datagrams", carried(last, first));
+    let carried = |from, to| {
+        rig.direction(from, to)
+            .expect("a link")
+            .acted
+            .datagrams
+            .load(Ordering::Relaxed)
+    };
+    assert!(
+        carried(last, first) > 0,
+        "{} datagrams",
+        carried(last, first)
+    );
 }
--- a/src/bin/cometspool-drill/codec.rs
+++ b/src/bin/cometspool-drill/codec.rs
@@ -101,8 +101,13 @@
 
 impl<'a> Reader<'a> {
     fn take(&mut self, count: usize) -> Result<&'a [u8], Malformed> {
-        let end = self.at.checked_add(count).filter(|end| *end <= self.bytes.len());
-        let Some(end) = end else { return Err(self.wrong("the record overruns its frame")) };
+        let end = self
+            .at
+            .checked_add(count)
+            .filter(|end| *end <= self.bytes.len());
+        let Some(end) = end else {
+            return Err(self.wrong("the record overruns its frame"));
+        };
         let taken = &self.bytes[self.at..end];
         self.at = end;
         Ok(taken)
@@ -143,13 +148,21 @@
     }
 
     fn wrong(&self, what: &'static str) -> Malformed {
-        Malformed { offset: self.at, code: self.code, what }
+        Malformed {
+            offset: self.at,
+            code: self.code,
+            what,
+        }
     }
 }
 
 /// Reads the payload of a batch: its clock and its events in order.
 pub fn decode(payload: &[u8]) -> Result<(f64, Vec<(u32, Record)>), Malformed> {
-    let mut reader = Reader { bytes: payload, at: 0, code: None };
+    let mut reader = Reader {
+        bytes: payload,
+        at: 0,
+        code: None,
+    };
     let clock = reader.f64()?;
     let mut records = Vec::new();
     while reader.at < payload.len() {
@@ -167,9 +180,12 @@
         256 => {
             let seed = r.u64()?;
             let length = r.u32()? as usize;
-            let facts =
-                std::str::from_utf8(r.take(length)?).map_err(|_| r.wrong("the settings are not text"))?;
-            Record::Create { seed, facts: facts.to_owned() }
+            let facts = std::str::from_utf8(r.take(length)?)
+                .map_err(|_| r.wrong("the settings are not text"))?;
+            Record::Create {
+                seed,
+                facts: facts.to_owned(),
+            }
         }
         257 => {
             let kind = r.u8()?;
@@ -182,9 +198,19 @@
             let id = r.u32()?;
             let doors = r.f32()?;
             r.f32()?; // number of the first gateway of the set
-            let (customer, deadline, plan, units, class) = (r.u64()?, r.f64()?, r.u32()?, r.f32()?, r.u8()?);
+            let (customer, deadline, plan, units, class) =
+                (r.u64()?, r.f64()?, r.u32()?, r.f32()?, r.u8()?);
             let again = r.u8()? & AGAIN != 0;
-            Record::Ingress { id, doors, customer, deadline, plan, units, class, again }
+            Record::Ingress {
+                id,
+                doors,
+                customer,
+                deadline,
+                plan,
+                units,
+                class,
+                again,
+            }
         }
         259 => {
             let id = r.u32()?;
@@ -206,7 +232,12 @@
         262 => Record::Alarm { name: r.u64()? },
         263 => {
             let (waited, backend, outcome) = (r.f64()?, r.u32()?, r.u16()?);
-            Record::Probed { waited, backend, outcome, stats: r.stats()? }
+            Record::Probed {
+                waited,
+                backend,
+                outcome,
+                stats: r.stats()?,
+            }
         }
         264 => {
             r.u32()?;
@@ -226,7 +257,14 @@
 fn entry(r: &mut Reader<'_>) -> Result<Entry, Malformed> {
     let (zone, came_up, backend, cell) = (r.u8()?, r.f64()?, r.u32()?, r.u16()?);
     r.u8()?; // kind of machine
-    Ok(Entry { zone, came_up, backend, cell, availability: r.u8()?, size: r.f32()? })
+    Ok(Entry {
+        zone,
+        came_up,
+        backend,
+        cell,
+        availability: r.u8()?,
+        size: r.f32()?,
+    })
 }
 
 /// A reply under construction.
--- a/src/bin/cometspool-drill/codec/tests.rs
+++ b/src/bin/cometspool-drill/codec/tests.rs
@@ -4,7 +4,10 @@
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-    digits.chunks(2).map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap()).collect()
+    digits
+        .chunks(2)
+        .map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap())
+        .collect()
 }
 
 #[test]
@@ -26,7 +29,11 @@
     };
     assert_eq!(
         records,
-        vec![(2, arrival), (2, Record::Alarm { name: 77 }), (7, Record::ClientGone { id: 5 })]
+        vec![
+            (2, arrival),
+            (2, Record::Alarm { name: 77 }),
+            (7, Record::ClientGone { id: 5 })
+        ]
     );
 }
 
@@ -48,9 +55,22 @@
         actual: 3,
         stats: vec![0.5],
     };
-    let entry = Entry { zone: 1, came_up: 100.0, backend: 11, cell: 2, availability: 1, size: 1.0 };
+    let entry = Entry {
+        zone: 1,
+        came_up: 100.0,
+        backend: 11,
+        cell: 2,
+        availability: 1,
+        size: 1.0,
+    };
     assert_eq!(records[0].1, Record::Settled(settled));
-    assert_eq!(records[1].1, Record::Roster { kind: 1, entries: vec![entry] });
+    assert_eq!(
+        records[1].1,
+        Record::Roster {
+            kind: 1,
+            entries: vec![entry]
+        }
+    );
 }
 
 #[test]
@@ -61,7 +81,15 @@
     );
     let (_, records) = decode(&payload).unwrap();
     let kinds: Vec<Record> = records.into_iter().map(|(_, record)| record).collect();
-    assert_eq!(kinds, vec![Record::Unused, Record::Unused, Record::FirstByte { id: 5 }, Record::Retire]);
+    assert_eq!(
+        kinds,
+        vec![
+            Record::Unused,
+            Record::Unused,
+            Record::FirstByte { id: 5 },
+            Record::Retire
+        ]
+    );
 }
 
 #[test]
@@ -69,7 +97,10 @@
     let overrun = decode(&hex("0000000000000000 0601 01000000 4d0000")).unwrap_err();
     assert_eq!((overrun.offset, overrun.code), (14, Some(262)));
     let unknown = decode(&hex("0000000000000000 ff01 01000000")).unwrap_err();
-    assert_eq!(unknown.to_string(), "malformed frame at offset 14, code 511: unknown event code");
+    assert_eq!(
+        unknown.to_string(),
+        "malformed frame at offset 14, code 511: unknown event code"
+    );
     assert!(decode(&hex("0000")).is_err());
 }
 
--- a/src/bin/cometspool-drill/main.rs
+++ b/src/bin/cometspool-drill/main.rs
@@ -57,7 +57,9 @@
                 reply.broken(door, &text);
                 instances.remove(&door);
             }
-            actions.drain(..).for_each(|action| encode(&mut reply, door, action));
+            actions
+                .drain(..)
+                .for_each(|action| encode(&mut reply, door, action));
         }
         output.write_all(&reply.into_frame())?;
         output.flush()?;
@@ -89,7 +91,9 @@
 ) -> Result<(), String> {
     match record {
         Record::Create { seed, facts } => {
-            let Told { settings, metrics, .. } = settings::parse(&facts)?;
+            let Told {
+                settings, metrics, ..
+            } = settings::parse(&facts)?;
             let gateway = guarded(|| Gateway::new(settings, seed))?;
             instances.insert(door, Instance { gateway, metrics });
             Ok(())
@@ -99,16 +103,23 @@
             Ok(())
         }
         record => {
-            let Some(instance) = instances.get_mut(&door) else { return Ok(()) };
-            let Some(event) = event(record, &instance.metrics) else { return Ok(()) };
+            let Some(instance) = instances.get_mut(&door) else {
+                return Ok(());
+            };
+            let Some(event) = event(record, &instance.metrics) else {
+                return Ok(());
+            };
             guarded(|| instance.gateway.handle(now, event, actions))
         }
     }
 }
 
 fn guarded<T>(call: impl FnOnce() -> T) -> Result<T, String> {
-    panic::catch_unwind(AssertUnwindSafe(call))
-        .map_err(|_| PANIC.lock().map_or_else(|_| "panic".to_owned(), |text| text.clone()))
+    panic::catch_unwind(AssertUnwindSafe(call)).map_err(|_| {
+        PANIC
+            .lock()
+            .map_or_else(|_| "panic".to_owned(), |text| text.clone())
+    })
 }
 
 fn event(record: Record, metrics: &[Metric]) -> Option<Event> {
@@ -122,19 +133,26 @@
             };
             Event::Backends(kind, entries.iter().map(backend_entry).collect())
         }
-        Record::Ingress { id, doors, customer, deadline, plan, units, class, again } => {
-            Event::Arrival(Request {
-                id: RequestId(id),
-                customer: CustomerId(customer),
-                plan: PlanId(plan as usize),
-                class: ClassId(usize::from(class)),
-                units: f64::from(units),
-                deadline,
-                spread: f64::from(doors),
-                again,
-                waited: 0.0,
-            })
-        }
+        Record::Ingress {
+            id,
+            doors,
+            customer,
+            deadline,
+            plan,
+            units,
+            class,
+            again,
+        } => Event::Arrival(Request {
+            id: RequestId(id),
+            customer: CustomerId(customer),
+            plan: PlanId(plan as usize),
+            class: ClassId(usize::from(class)),
+            units: f64::from(units),
+            deadline,
+            spread: f64::from(doors),
+            again,
+            waited: 0.0,
+        }),
         Record::FirstByte { id } => Event::StreamStarted(RequestId(id)),
         Record::Settled(o) => Event::Settled(Settled {
             request: RequestId(o.id),
@@ -150,7 +168,12 @@
         }),
         Record::ClientGone { id } => Event::ClientGone(RequestId(id)),
         Record::Alarm { name } => Event::Alarm(AlarmId(name)),
-        Record::Probed { waited, backend, outcome: how, stats } => Event::Probed {
+        Record::Probed {
+            waited,
+            backend,
+            outcome: how,
+            stats,
+        } => Event::Probed {
             backend: BackendId(backend),
             outcome: outcome(how),
             elapsed: waited,
@@ -190,12 +213,19 @@
 
 fn encode(reply: &mut Reply, door: u32, action: Action) {
     match action {
-        Action::Send { request, backend, limit, .. } => {
+        Action::Send {
+            request,
+            backend,
+            limit,
+            ..
+        } => {
             reply.send(door, request.0, backend.0, limit.unwrap_or(0.0));
         }
-        Action::Refuse { request, retry_after, .. } => {
-            reply.refuse(door, request.0, retry_after.unwrap_or(0.0))
-        }
+        Action::Refuse {
+            request,
+            retry_after,
+            ..
+        } => reply.refuse(door, request.0, retry_after.unwrap_or(0.0)),
         Action::Fail(request) => reply.fail(door, request.0),
         Action::CallOff { request, attempt } => {
             reply.call_off(door, request.0, attempt.min(u32::from(u16::MAX)) as u16);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -272,7 +272,10 @@
 impl Outcome {
     /// Whether it proves that the backend has not run the request.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(
+            self,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 }
 
@@ -506,7 +509,11 @@
 impl Settings {
     /// The shortest aim of a class: the measure of all times that the settings do not tell.
     pub fn shortest_aim(&self) -> Millis {
-        let aim = self.classes.iter().map(|class| class.aim).fold(f64::INFINITY, f64::min);
+        let aim = self
+            .classes
+            .iter()
+            .map(|class| class.aim)
+            .fold(f64::INFINITY, f64::min);
         if aim.is_finite() {
             aim.max(1.0)
         } else {
@@ -516,7 +523,9 @@
 
     /// Share of its capacity that a backend has at least at a time, by the rule on cold backends.
     pub fn warmth(&self, at: Millis, backend: &BackendEntry) -> f64 {
-        let Some(started) = backend.started else { return 1.0 };
+        let Some(started) = backend.started else {
+            return 1.0;
+        };
         let part = ((at - started) / self.warm_up.max(1.0)).clamp(0.0, 1.0);
         self.start_capacity + (1.0 - self.start_capacity) * part
     }
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -69,7 +69,10 @@
     /// Moves what is left of it toward a goal, by this part of the way.
     pub fn move_to(&mut self, now: Millis, halflife: Millis, goal: f64, step: f64) {
         let left = self.left(now, halflife);
-        *self = Fading { value: left + step * (goal - left), at: now };
+        *self = Fading {
+            value: left + step * (goal - left),
+            at: now,
+        };
     }
 }
 
--- a/src/measure/tests.rs
+++ b/src/measure/tests.rs
@@ -16,10 +16,17 @@
 
 #[test]
 fn deviations_lie_along_the_normal_curve() {
-    for (probability, normal) in
-        [(0.05, -1.6449), (0.1587, -1.0), (0.3333, -0.4308), (0.8413, 1.0), (0.95, 1.6449)]
-    {
-        assert!((deviations(probability) / normal - 1.0_f64).abs() < 0.1, "{probability}");
+    for (probability, normal) in [
+        (0.05, -1.6449),
+        (0.1587, -1.0),
+        (0.3333, -0.4308),
+        (0.8413, 1.0),
+        (0.95, 1.6449),
+    ] {
+        assert!(
+            (deviations(probability) / normal - 1.0_f64).abs() < 0.1,
+            "{probability}"
+        );
     }
     assert_eq!(deviations(0.5), 0.0);
 }
@@ -31,8 +38,13 @@
     for probability in [1.0 / 3.0, 0.5, 2.0 / 3.0, 0.8] {
         let part = zipf_part(places, probability);
         // One of the stream comes through the n-th place with its part: how much comes through places of more than this.
-        let above =
-            (1..=250).map(|rank| 1.0 / f64::from(rank) / sum).take_while(|here| *here >= part).sum::<f64>();
-        assert!((above - probability).abs() < 0.1, "{probability}: {above} at {part}");
+        let above = (1..=250)
+            .map(|rank| 1.0 / f64::from(rank) / sum)
+            .take_while(|here| *here >= part)
+            .sum::<f64>();
+        assert!(
+            (above - probability).abs() < 0.1,
+            "{probability}: {above} at {part}"
+        );
     }
 }
--- a/src/net/answers.rs
+++ b/src/net/answers.rs
@@ -37,7 +37,10 @@
 
     /// Nothing set aside yet.
     fn reservation(&self) -> Reservation {
-        Reservation { bytes: 0, budget: self.clone() }
+        Reservation {
+            bytes: 0,
+            budget: self.clone(),
+        }
     }
 }
 
@@ -52,7 +55,9 @@
     fn grow_to(&mut self, bytes: usize) -> bool {
         let missing = bytes.saturating_sub(self.bytes);
         let available = &self.budget.0;
-        let Some(left) = available.load(Ordering::Relaxed).checked_sub(missing) else { return false };
+        let Some(left) = available.load(Ordering::Relaxed).checked_sub(missing) else {
+            return false;
+        };
         available.store(left, Ordering::Relaxed);
         self.bytes += missing;
         true
@@ -109,7 +114,10 @@
 
     fn report(&self, text: &str) -> Report {
         let mut report = Report::default();
-        for (name, value) in text.split(',').filter_map(|field| field.trim().split_once('=')) {
+        for (name, value) in text
+            .split(',')
+            .filter_map(|field| field.trim().split_once('='))
+        {
             let place = self.names.iter().position(|known| known == name);
             if let (Some(place), Ok(value)) = (place, value.parse::<f32>()) {
                 settings::tell(&mut report, self.metrics[place], value);
@@ -126,15 +134,22 @@
     if head.status.is_informational() {
         return None;
     }
-    let delimited = head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
+    let delimited =
+        head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
     let body = read_body(&reading.budget, body).await?;
     let outcome = outcome(head.status, &head.headers);
     let ended = Ended {
         outcome,
-        body: if outcome == Outcome::Ok { body } else { Bytes::new() },
+        body: if outcome == Outcome::Ok {
+            body
+        } else {
+            Bytes::new()
+        },
         used: number(&head.headers, &API_USAGE, MOST_USAGE).map(|percent| percent / 100.0),
         charge: number(&head.headers, &API_CHARGE, reading.max_units),
-        report: text(&head.headers, &SERVER_LOAD).map(|text| reading.report(text)).unwrap_or_default(),
+        report: text(&head.headers, &SERVER_LOAD)
+            .map(|text| reading.report(text))
+            .unwrap_or_default(),
         broken: 0,
     };
     Some(Received { ended, delimited })
@@ -144,13 +159,19 @@
 async fn read_body(budget: &MemoryBudget, body: Incoming) -> Option<Bytes> {
     match body.size_hint().exact() {
         Some(length) if length > LONGEST_ANSWER as u64 => None,
-        Some(length) if length <= LONGEST_BODY as u64 => Some(body.collect().await.ok()?.to_bytes()),
+        Some(length) if length <= LONGEST_BODY as u64 => {
+            Some(body.collect().await.ok()?.to_bytes())
+        }
         length => read_long_body(budget, body, length).await,
     }
 }
 
 /// Reads a body that is long or whose length is not known before its end, with memory set aside as it grows.
-async fn read_long_body(budget: &MemoryBudget, mut body: Incoming, length: Option<u64>) -> Option<Bytes> {
+async fn read_long_body(
+    budget: &MemoryBudget,
+    mut body: Incoming,
+    length: Option<u64>,
+) -> Option<Bytes> {
     let mut reservation = budget.reservation();
     // A known length is set aside at once: what has been begun can be finished.
     if !reservation.grow_to(length.unwrap_or(0) as usize) {
@@ -158,9 +179,15 @@
     }
     let mut held = Vec::with_capacity(reservation.bytes);
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.ok()?.into_data() else { continue };
+        let Ok(data) = frame.ok()?.into_data() else {
+            continue;
+        };
         let grown = held.len() + data.len();
-        let needed = if grown > LONGEST_BODY { grown.next_power_of_two() } else { 0 };
+        let needed = if grown > LONGEST_BODY {
+            grown.next_power_of_two()
+        } else {
+            0
+        };
         let fits = grown <= LONGEST_ANSWER && (length.is_some() || reservation.grow_to(needed));
         if !fits {
             return None;
@@ -170,12 +197,18 @@
     Some(if reservation.bytes == 0 {
         Bytes::from(held)
     } else {
-        Bytes::from_owner(ReservedBody { body: held, _reservation: reservation })
+        Bytes::from_owner(ReservedBody {
+            body: held,
+            _reservation: reservation,
+        })
     })
 }
 
 fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let unavailable = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
+    let unavailable = matches!(
+        status,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
+    );
     match status {
         StatusCode::OK => Outcome::Ok,
         _ if unavailable && text(headers, &NOT_STARTED) == Some("1") => Outcome::Full,
@@ -184,13 +217,18 @@
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
-    headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim)
+    headers
+        .get(name)
+        .and_then(|value| value.to_str().ok())
+        .map(str::trim)
 }
 
 /// The first figure under this name that can be read and makes sense. One that does not spoils no answer.
 fn number(headers: &HeaderMap, name: &HeaderName, most: f64) -> Option<f64> {
-    let mut values =
-        headers.get_all(name).iter().filter_map(|value| value.to_str().ok()?.trim().parse().ok());
+    let mut values = headers
+        .get_all(name)
+        .iter()
+        .filter_map(|value| value.to_str().ok()?.trim().parse().ok());
     values.find(|number: &f64| number.is_finite() && (0.0..=most).contains(number))
 }
 
--- a/src/net/backends.rs
+++ b/src/net/backends.rs
@@ -51,20 +51,41 @@
             Ok(connection) => connection,
             // Refused: that says more than what broke before.
             Err(Outcome::ConnectFailed) => return Ended::of(Outcome::ConnectFailed),
-            Err(outcome) => return Ended { broken, ..Ended::of(outcome) },
+            Err(outcome) => {
+                return Ended {
+                    broken,
+                    ..Ended::of(outcome)
+                }
+            }
         };
         line.hold(&connection.wire);
         let kept = connection.kept.is_some();
-        match transport.exchange(backend, connection, order, part, delivery, &permit).await {
+        match transport
+            .exchange(backend, connection, order, part, delivery, &permit)
+            .await
+        {
             Exchange::Answered(ended) => return Ended { broken, ..ended },
-            Exchange::NotPermitted => return Ended { broken, ..Ended::of(Outcome::NotSent) },
+            Exchange::NotPermitted => {
+                return Ended {
+                    broken,
+                    ..Ended::of(Outcome::NotSent)
+                }
+            }
             // A connection from the pool that broke before the request was whole tells little of the backend, and
             // nothing ran: the next one stands in. Each turn takes one out of the pool, so this ends.
             Exchange::BrokenUnsent if kept => broken += 1,
             Exchange::BrokenUnsent => {
-                return Ended { broken: broken + 1, ..Ended::of(Outcome::ConnectFailed) };
+                return Ended {
+                    broken: broken + 1,
+                    ..Ended::of(Outcome::ConnectFailed)
+                };
+            }
+            Exchange::BrokenSent => {
+                return Ended {
+                    broken: broken + 1,
+                    ..Ended::of(Outcome::Reset)
+                }
             }
-            Exchange::BrokenSent => return Ended { broken: broken + 1, ..Ended::of(Outcome::Reset) },
         }
     }
 }
@@ -112,7 +133,11 @@
         delivery: DeliveryMode,
         permit: &Permit,
     ) -> Exchange {
-        connection.wire.begin(order.body.len(), delivery != DeliveryMode::Normal, permit.clone());
+        connection.wire.begin(
+            order.body.len(),
+            delivery != DeliveryMode::Normal,
+            permit.clone(),
+        );
         let sent = self.send(&mut connection, order, part).await;
         let unsent = sent.is_none() && !connection.wire.whole();
         if unsent && !permit.holds() {
@@ -127,9 +152,14 @@
         };
         let whole = connection.wire.whole();
         // What is answered before it was written whole was answered unseen, and its connection is of no more use.
-        let Some(received) = received.filter(|received| whole || received.ended.outcome == Outcome::Full)
+        let Some(received) =
+            received.filter(|received| whole || received.ended.outcome == Outcome::Full)
         else {
-            return if whole { Exchange::BrokenSent } else { Exchange::BrokenUnsent };
+            return if whole {
+                Exchange::BrokenSent
+            } else {
+                Exchange::BrokenUnsent
+            };
         };
         // A new connection's first request turned away tells of a table that is full.
         if received.ended.outcome == Outcome::Full && connection.kept.is_none() {
@@ -142,10 +172,19 @@
     }
 
     /// Sends the request; nothing if the connection breaks before the head of an answer.
-    async fn send(&self, connection: &mut Out, order: &Order, part: Allowance) -> Option<Response<Incoming>> {
+    async fn send(
+        &self,
+        connection: &mut Out,
+        order: &Order,
+        part: Allowance,
+    ) -> Option<Response<Incoming>> {
         connection.sender.ready().await.ok()?;
         let told = part.told(self.clock.now(), self.pools.way_back());
-        connection.sender.send_request(order.request(&told)).await.ok()
+        connection
+            .sender
+            .send_request(order.request(&told))
+            .await
+            .ok()
     }
 }
 
--- a/src/net/backends/tests.rs
+++ b/src/net/backends/tests.rs
@@ -19,14 +19,24 @@
 /// Time that no attempt of these scenes uses up.
 fn long() -> Allowance {
     let now = Clock::new().now();
-    Budget::told("20", now, 20_000.0).and_then(|budget| budget.attempt(now, None)).expect("time")
+    Budget::told("20", now, 20_000.0)
+        .and_then(|budget| budget.attempt(now, None))
+        .expect("time")
 }
 
 fn transport() -> Transport {
-    let links = Links { dial_timeout: 20_000.0, idle_close: 600_000.0, ..Links::default() };
+    let links = Links {
+        dial_timeout: 20_000.0,
+        idle_close: 600_000.0,
+        ..Links::default()
+    };
     let told = settings::parse("extra.max_units=8").expect("settings");
     let (clock, reading) = (Clock::new(), Rc::new(Reading::new(&told, 0)));
-    Transport { pools: Rc::new(Pools::new(links, 8, 1, 1, clock)), reading, clock }
+    Transport {
+        pools: Rc::new(Pools::new(links, 8, 1, 1, clock)),
+        reading,
+        clock,
+    }
 }
 
 #[derive(Debug)]
@@ -71,7 +81,10 @@
 async fn receive(stream: &mut TcpStream, to: &[u8]) {
     let mut got = Vec::new();
     while !got.ends_with(to) {
-        assert!(stream.read_buf(&mut got).await.expect("a request") > 0, "ended");
+        assert!(
+            stream.read_buf(&mut got).await.expect("a request") > 0,
+            "ended"
+        );
     }
 }
 
@@ -81,7 +94,9 @@
 #[test]
 fn what_a_dead_connection_swallows_has_not_run() {
     let ends = play(async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port");
         let address = listener.local_addr().expect("an address");
         let backend = tokio::task::spawn_local(async move {
             let (mut kept, _) = listener.accept().await.expect("a connection");
@@ -100,15 +115,34 @@
         transport.pools.open(id, address, 0.0);
         let mut ends = Vec::new();
         for _ in 0..3 {
-            ends.push(attempt(&transport, id, &order, long(), DeliveryMode::Once, &Line::default()).await);
+            ends.push(
+                attempt(
+                    &transport,
+                    id,
+                    &order,
+                    long(),
+                    DeliveryMode::Once,
+                    &Line::default(),
+                )
+                .await,
+            );
         }
-        backend.await.expect("a backend that saw what it waited for");
+        backend
+            .await
+            .expect("a backend that saw what it waited for");
         ends
     });
-    let told: Vec<_> = ends.iter().map(|end| (end.outcome, end.body.as_ref(), end.broken)).collect();
+    let told: Vec<_> = ends
+        .iter()
+        .map(|end| (end.outcome, end.body.as_ref(), end.broken))
+        .collect();
     assert_eq!(
         told,
-        [(Outcome::Ok, &b"one"[..], 0), (Outcome::Ok, b"two", 1), (Outcome::ConnectFailed, b"", 2)]
+        [
+            (Outcome::Ok, &b"one"[..], 0),
+            (Outcome::Ok, b"two", 1),
+            (Outcome::ConnectFailed, b"", 2)
+        ]
     );
 }
 
@@ -118,7 +152,9 @@
 fn what_must_not_run_twice_takes_no_connection_of_an_age_that_fails() {
     let old = Duration::from_millis(300);
     play(async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port");
         let address = listener.local_addr().expect("an address");
         let backend = tokio::task::spawn_local(async move {
             for _ in 0..3 {
@@ -147,7 +183,9 @@
         assert_eq!(send(DeliveryMode::Once).await.body, "on a new one");
         transport.pools.age(old);
         assert_eq!(send(DeliveryMode::Normal).await.body, "on a kept one");
-        backend.await.expect("a backend that saw what it waited for");
+        backend
+            .await
+            .expect("a backend that saw what it waited for");
     });
 }
 
@@ -156,7 +194,9 @@
 fn a_request_whose_dial_hangs_takes_a_link_that_comes_free() {
     play(async {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-        socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
+        socket
+            .bind("127.0.0.1:0".parse().expect("an address"))
+            .expect("a port");
         let listener = socket.listen(1).expect("a listener");
         let address = listener.local_addr().expect("an address");
         let transport = transport();
@@ -165,17 +205,31 @@
             let transport = transport.clone();
             tokio::task::spawn_local(async move {
                 let (id, line) = (BackendId(1), Line::default());
-                attempt(&transport, id, &order(), long(), DeliveryMode::Normal, &line).await
+                attempt(
+                    &transport,
+                    id,
+                    &order(),
+                    long(),
+                    DeliveryMode::Normal,
+                    &line,
+                )
+                .await
             })
         };
         let first = begin(&transport);
         let (mut stream, _) = listener.accept().await.expect("a connection");
         receive(&mut stream, b"hello").await;
         // The waiting line of the listener is full: a further dial hangs.
-        let _fillers = [TcpStream::connect(address).await, TcpStream::connect(address).await];
+        let _fillers = [
+            TcpStream::connect(address).await,
+            TcpStream::connect(address).await,
+        ];
         let second = begin(&transport);
         tokio::task::yield_now().await;
-        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none").await.expect("a reader");
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none")
+            .await
+            .expect("a reader");
         assert_eq!(first.await.expect("an end").body, "one");
         serve(&mut stream, "two").await;
         assert_eq!(second.await.expect("an end").body, "two");
@@ -186,11 +240,26 @@
 #[test]
 fn a_dial_whose_request_has_left_is_kept() {
     play(async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port");
         let transport = transport();
-        transport.pools.open(BackendId(1), listener.local_addr().expect("an address"), 0.0);
+        transport.pools.open(
+            BackendId(1),
+            listener.local_addr().expect("an address"),
+            0.0,
+        );
         let (order, line) = (order(), Line::default());
-        let send = || attempt(&transport, BackendId(1), &order, long(), DeliveryMode::Normal, &line);
+        let send = || {
+            attempt(
+                &transport,
+                BackendId(1),
+                &order,
+                long(),
+                DeliveryMode::Normal,
+                &line,
+            )
+        };
         tokio::select! {
             biased;
             _ = send() => panic!("answered by nobody"),
@@ -218,7 +287,16 @@
         });
         let addresses = [0, 1].map(|i: usize| places[i].local_addr().expect("an address"));
         let (transport, order, line) = (transport(), order(), Line::default());
-        let send = || attempt(&transport, BackendId(1), &order, long(), DeliveryMode::Once, &line);
+        let send = || {
+            attempt(
+                &transport,
+                BackendId(1),
+                &order,
+                long(),
+                DeliveryMode::Once,
+                &line,
+            )
+        };
         let mut before: Option<TcpStream> = None;
         for (place, born) in [(0, 0.0), (0, 5.0), (1, 5.0)] {
             transport.pools.open(BackendId(1), addresses[place], born);
@@ -230,7 +308,11 @@
             let (ended, stream) = tokio::join!(send(), answer);
             assert_eq!(ended.body, "here");
             if let Some(mut old) = before.replace(stream) {
-                assert_eq!(old.read(&mut [0]).await.ok(), Some(0), "a link to what was there before");
+                assert_eq!(
+                    old.read(&mut [0]).await.ok(),
+                    Some(0),
+                    "a link to what was there before"
+                );
             }
         }
     });
@@ -240,10 +322,20 @@
 #[test]
 fn a_backend_that_closes_after_each_answer_costs_a_dial_each() {
     play(async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port");
         let (transport, order, line) = (transport(), order(), Line::default());
-        transport.pools.open(BackendId(1), listener.local_addr().expect("an address"), 0.0);
-        for delivery in [DeliveryMode::Normal, DeliveryMode::Once, DeliveryMode::Cautious] {
+        transport.pools.open(
+            BackendId(1),
+            listener.local_addr().expect("an address"),
+            0.0,
+        );
+        for delivery in [
+            DeliveryMode::Normal,
+            DeliveryMode::Once,
+            DeliveryMode::Cautious,
+        ] {
             let answer = async {
                 let (mut stream, _) = listener.accept().await.expect("a new connection");
                 receive(&mut stream, b"hello").await;
@@ -252,7 +344,11 @@
             };
             let sent = attempt(&transport, BackendId(1), &order, long(), delivery, &line);
             let (ended, ()) = tokio::join!(sent, answer);
-            assert_eq!((ended.outcome, ended.broken), (Outcome::Ok, 0), "{delivery:?}");
+            assert_eq!(
+                (ended.outcome, ended.broken),
+                (Outcome::Ok, 0),
+                "{delivery:?}"
+            );
         }
     });
 }
@@ -262,9 +358,15 @@
 #[test]
 fn a_new_connection_turned_away_is_a_full_backend() {
     play(async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port");
         let (transport, order, line) = (transport(), order(), Line::default());
-        transport.pools.open(BackendId(1), listener.local_addr().expect("an address"), 0.0);
+        transport.pools.open(
+            BackendId(1),
+            listener.local_addr().expect("an address"),
+            0.0,
+        );
         let before = transport.pools.most(BackendId(1));
         let answer = async {
             let (mut stream, _) = listener.accept().await.expect("a new connection");
@@ -272,7 +374,14 @@
             let answer = b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
             stream.write_all(answer).await.expect("a reader");
         };
-        let sent = attempt(&transport, BackendId(1), &order, long(), DeliveryMode::Normal, &line);
+        let sent = attempt(
+            &transport,
+            BackendId(1),
+            &order,
+            long(),
+            DeliveryMode::Normal,
+            &line,
+        );
         let (ended, ()) = tokio::join!(sent, answer);
         assert_eq!(ended.outcome, Outcome::Full);
         assert!(
@@ -285,20 +394,30 @@
 
 async fn serve(stream: &mut TcpStream, body: &str) {
     receive(stream, b"hello").await;
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let answer = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     stream.write_all(answer.as_bytes()).await.expect("a reader");
 }
 
 /// Plays a scene on one thread, within a time that only a fault uses up.
 fn play<T>(scene: impl std::future::Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let local = tokio::task::LocalSet::new();
     let all = async { tokio::time::timeout(SCENE, scene).await };
-    runtime.block_on(local.run_until(all)).expect("an end in time")
+    runtime
+        .block_on(local.run_until(all))
+        .expect("an end in time")
 }
 
 fn reset(stream: TcpStream) {
-    SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a socket");
+    SockRef::from(&stream)
+        .set_linger(Some(Duration::ZERO))
+        .expect("a socket");
 }
 
 /// Guards against requests of nobody: where the last byte waits, and the client leaves meanwhile, it is not written, and the
@@ -307,9 +426,15 @@
 fn the_last_byte_is_not_written_for_a_client_that_has_left() {
     for delivery in [DeliveryMode::Once, DeliveryMode::Cautious] {
         play(async {
-            let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+            let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+                .await
+                .expect("a port");
             let (transport, line) = (transport(), Line::default());
-            transport.pools.open(BackendId(1), listener.local_addr().expect("an address"), 0.0);
+            transport.pools.open(
+                BackendId(1),
+                listener.local_addr().expect("an address"),
+                0.0,
+            );
             let backend = async {
                 let (mut stream, _) = listener.accept().await.expect("a connection");
                 let mut got = Vec::new();
@@ -317,10 +442,20 @@
                 got
             };
             let order = order_of(Rc::new(LeavesBetween::default()));
-            let (ended, got) =
-                tokio::join!(attempt(&transport, BackendId(1), &order, long(), delivery, &line), backend);
-            assert_eq!((ended.outcome, ended.broken), (Outcome::NotSent, 0), "{delivery:?}");
-            assert!(got.ends_with(b"hell"), "{delivery:?}: {}", String::from_utf8_lossy(&got));
+            let (ended, got) = tokio::join!(
+                attempt(&transport, BackendId(1), &order, long(), delivery, &line),
+                backend
+            );
+            assert_eq!(
+                (ended.outcome, ended.broken),
+                (Outcome::NotSent, 0),
+                "{delivery:?}"
+            );
+            assert!(
+                got.ends_with(b"hell"),
+                "{delivery:?}: {}",
+                String::from_utf8_lossy(&got)
+            );
         });
     }
 }
@@ -329,10 +464,25 @@
 #[test]
 fn an_attempt_that_may_begin_no_more_leaves_its_connection() {
     play(async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port");
         let (transport, order, line) = (transport(), order(), Line::default());
-        transport.pools.open(BackendId(1), listener.local_addr().expect("an address"), 0.0);
-        let send = |part| attempt(&transport, BackendId(1), &order, part, DeliveryMode::Normal, &line);
+        transport.pools.open(
+            BackendId(1),
+            listener.local_addr().expect("an address"),
+            0.0,
+        );
+        let send = |part| {
+            attempt(
+                &transport,
+                BackendId(1),
+                &order,
+                part,
+                DeliveryMode::Normal,
+                &line,
+            )
+        };
         let backend = async {
             let (mut stream, _) = listener.accept().await.expect("a connection");
             serve(&mut stream, "first").await;
--- a/src/net/backoff.rs
+++ b/src/net/backoff.rs
@@ -33,7 +33,11 @@
 impl Backoff {
     /// For one of `gateways` front doors; `seed` is its only source of chance.
     pub fn new(gateways: u32, seed: u64) -> Backoff {
-        Backoff { gateways: Rc::new(Cell::new(gateways)), turned_away: 0, rng: Pcg32::seed_from_u64(seed) }
+        Backoff {
+            gateways: Rc::new(Cell::new(gateways)),
+            turned_away: 0,
+            rng: Pcg32::seed_from_u64(seed),
+        }
     }
 
     /// How many front doors it reckons with: whoever learns better may change it.
@@ -50,7 +54,10 @@
     /// The pause after a call that was turned away for too many others: `longest` at most, unless that is too short to
     /// be out of step with others. The window is cut to it, not the pause: pauses that are cut would end in step.
     pub fn turned_away(&mut self, longest: Duration) -> Duration {
-        let grown = self.first().saturating_mul(1 << self.turned_away.min(16)).min(self.most());
+        let grown = self
+            .first()
+            .saturating_mul(1 << self.turned_away.min(16))
+            .min(self.most());
         let window = grown.min(longest.max(SOON));
         self.turned_away = self.turned_away.saturating_add(1);
         self.draw(window)
@@ -62,11 +69,15 @@
     }
 
     fn first(&self) -> Duration {
-        FIRST_PER_GATEWAY.saturating_mul(self.gateways.get()).max(SOON)
+        FIRST_PER_GATEWAY
+            .saturating_mul(self.gateways.get())
+            .max(SOON)
     }
 
     fn most(&self) -> Duration {
-        MOST_PER_GATEWAY.saturating_mul(self.gateways.get()).max(self.first())
+        MOST_PER_GATEWAY
+            .saturating_mul(self.gateways.get())
+            .max(self.first())
     }
 
     fn draw(&mut self, window: Duration) -> Duration {
--- a/src/net/backoff/tests.rs
+++ b/src/net/backoff/tests.rs
@@ -30,9 +30,15 @@
 #[test]
 fn a_fleet_that_fails_in_step_does_not_ask_in_step() {
     let first = busiest_tenth(Duration::ZERO, Duration::from_secs(2));
-    assert!(first <= 9, "{first} of {FLEET} asked within a tenth of a second");
+    assert!(
+        first <= 9,
+        "{first} of {FLEET} asked within a tenth of a second"
+    );
     let later = busiest_tenth(Duration::from_secs(12), Duration::from_secs(40));
-    assert!(later <= 6, "{later} of {FLEET} still ask within a tenth of a second");
+    assert!(
+        later <= 6,
+        "{later} of {FLEET} still ask within a tenth of a second"
+    );
 }
 
 /// Guards a small fleet against waiting for others that it does not have, and any against a long pause where
@@ -41,15 +47,21 @@
 fn what_was_lost_is_asked_for_again_soon() {
     let (mut alone, mut many) = (Backoff::new(1, 7), Backoff::new(100, 7));
     assert!(alone.turned_away(Duration::MAX) <= SOON);
-    assert!((0..100).map(|_| many.lost()).all(|pause| pause > Duration::ZERO && pause <= SOON));
+    assert!((0..100)
+        .map(|_| many.lost())
+        .all(|pause| pause > Duration::ZERO && pause <= SOON));
 }
 
 /// Guards a front door against going without a list for long, however often it was turned away.
 #[test]
 fn the_pause_is_bounded_and_short_again_after_an_answer() {
     let mut backoff = Backoff::new(100, 3);
-    let pauses: Vec<Duration> = (0..100).map(|_| backoff.turned_away(Duration::MAX)).collect();
-    assert!(pauses.iter().all(|pause| *pause > Duration::ZERO && *pause <= backoff.most()));
+    let pauses: Vec<Duration> = (0..100)
+        .map(|_| backoff.turned_away(Duration::MAX))
+        .collect();
+    assert!(pauses
+        .iter()
+        .all(|pause| *pause > Duration::ZERO && *pause <= backoff.most()));
     assert!(pauses.iter().any(|pause| *pause > backoff.first()));
     backoff.answered();
     assert!(backoff.turned_away(Duration::MAX) <= backoff.first());
@@ -61,7 +73,10 @@
     let (mut told, mut learnt) = (Backoff::new(300, 9), Backoff::new(3, 9));
     learnt.gateways().set(300);
     for _ in 0..6 {
-        assert_eq!(told.turned_away(Duration::MAX), learnt.turned_away(Duration::MAX));
+        assert_eq!(
+            told.turned_away(Duration::MAX),
+            learnt.turned_away(Duration::MAX)
+        );
     }
 }
 
@@ -89,13 +104,27 @@
         let mean = f64::from(fleet) / (LONGEST_PAUSE.as_secs_f64() * 10.0 * MEAN_PART);
         // Calls that know nothing of each other stay within four deviations of their mean.
         let unrelated = (mean + 4.0 * mean.sqrt()) as usize;
-        let (most_at_first, most_later) = if fleet <= UNCUT_FLEET { (9, 6) } else { (unrelated, unrelated) };
+        let (most_at_first, most_later) = if fleet <= UNCUT_FLEET {
+            (9, 6)
+        } else {
+            (unrelated, unrelated)
+        };
         let first = busiest(&calls[..60]);
-        assert!(first <= most_at_first, "{first} of {fleet} asked within a tenth of a second");
+        assert!(
+            first <= most_at_first,
+            "{first} of {fleet} asked within a tenth of a second"
+        );
         let later = &calls[120..];
-        assert!(busiest(later) <= most_later, "{} of {fleet} within a tenth of a second", busiest(later));
+        assert!(
+            busiest(later) <= most_later,
+            "{} of {fleet} within a tenth of a second",
+            busiest(later)
+        );
         let asked = later.iter().sum::<usize>() as f64 / later.len() as f64;
-        assert!(fleet <= UNCUT_FLEET || asked <= mean * 1.1, "{asked} of {fleet} in a tenth of a second");
+        assert!(
+            fleet <= UNCUT_FLEET || asked <= mean * 1.1,
+            "{asked} of {fleet} in a tenth of a second"
+        );
     }
 }
 
@@ -109,8 +138,12 @@
 fn no_pause_is_longer_than_its_caller_allows() {
     for fleet in [1, 36, 100, 300, 790, u32::MAX] {
         let mut backoff = Backoff::new(fleet, 11);
-        let pauses: Vec<Duration> = (0..100).map(|_| backoff.turned_away(LONGEST_PAUSE)).collect();
-        assert!(pauses.iter().all(|pause| *pause > Duration::ZERO && *pause <= LONGEST_PAUSE));
+        let pauses: Vec<Duration> = (0..100)
+            .map(|_| backoff.turned_away(LONGEST_PAUSE))
+            .collect();
+        assert!(pauses
+            .iter()
+            .all(|pause| *pause > Duration::ZERO && *pause <= LONGEST_PAUSE));
         assert!((0..100).all(|_| backoff.turned_away(Duration::ZERO) <= SOON));
     }
 }
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -25,7 +25,9 @@
     pub fn told(seconds: &str, began: Millis, most: Millis) -> Option<Budget> {
         let told = 1000.0 * seconds.parse::<f64>().ok()?;
         let sane = told > 0.0 && told <= ABSURD * most;
-        (sane && began.is_finite()).then(|| Budget { end: began + told.min(most) })
+        (sane && began.is_finite()).then(|| Budget {
+            end: began + told.min(most),
+        })
     }
 
     /// When its client stops waiting.
@@ -45,13 +47,18 @@
 
     /// The same budget, ending at `end` at the latest: with a planned stop, or with what a predecessor had granted.
     pub fn until(&self, end: Millis) -> Budget {
-        Budget { end: self.end.min(end) }
+        Budget {
+            end: self.end.min(end),
+        }
     }
 
     /// The part of it that an attempt begun now may take, `limit` at most; `None` if there is nothing left to take.
     pub fn attempt(&self, now: Millis, limit: Option<Millis>) -> Option<Allowance> {
         let until = self.end.min(now + limit.unwrap_or(f64::INFINITY));
-        (until > now).then_some(Allowance { until, begin_before: f64::INFINITY })
+        (until > now).then_some(Allowance {
+            until,
+            begin_before: f64::INFINITY,
+        })
     }
 }
 
@@ -71,7 +78,10 @@
     /// The same part for an attempt that may reach its backend only before `time`, if there is one: from then on the
     /// backends may have forgotten the key of an earlier attempt, and this one would run a second time.
     pub fn begin_before(self, time: Option<Millis>) -> Allowance {
-        Allowance { begin_before: time.unwrap_or(f64::INFINITY), ..self }
+        Allowance {
+            begin_before: time.unwrap_or(f64::INFINITY),
+            ..self
+        }
     }
 
     /// Whether the attempt may still reach its backend.
@@ -113,7 +123,10 @@
 impl Woken {
     /// A loop that has not slept yet.
     pub fn new() -> Woken {
-        Woken { start: Instant::now(), noted: Arc::default() }
+        Woken {
+            start: Instant::now(),
+            noted: Arc::default(),
+        }
     }
 
     /// The instant from which it counts.
@@ -174,7 +187,14 @@
     /// Of a loop that wakes as `woken` tells; its start stands at `zero` on the front door's clock.
     pub fn new(woken: Woken, zero: Millis) -> Lag {
         let (held_up, worst) = (Cell::new(None), Cell::new(0.0));
-        Lag { woken, zero, alive: Cell::new(zero), next: Cell::new(f64::INFINITY), held_up, worst }
+        Lag {
+            woken,
+            zero,
+            alive: Cell::new(zero),
+            next: Cell::new(f64::INFINITY),
+            held_up,
+            worst,
+        }
     }
 
     /// Something will run at `at`, unless the loop is held up.
@@ -187,7 +207,10 @@
         self.look(now);
         if now - at > TOLERANCE {
             self.late(now);
-        } else if self.still(now).is_none_or(|held_up| now - held_up.found > CATCH_UP) {
+        } else if self
+            .still(now)
+            .is_none_or(|held_up| now - held_up.found > CATCH_UP)
+        {
             self.held_up.set(None);
         }
         self.alive.set(self.alive.get().max(now));
@@ -196,7 +219,8 @@
     /// When bytes may have come that are read now.
     pub fn came(&self, now: Millis) -> Millis {
         self.look(now);
-        self.still(now).map_or(now, |held_up| held_up.since.min(now))
+        self.still(now)
+            .map_or(now, |held_up| held_up.since.min(now))
     }
 
     /// Readers, and timers set since, may be woken before the one that would have told.
@@ -208,9 +232,17 @@
     }
 
     fn late(&self, now: Millis) {
-        let quiet = self.alive.get().max(self.zero + self.woken.before()).min(now);
+        let quiet = self
+            .alive
+            .get()
+            .max(self.zero + self.woken.before())
+            .min(now);
         let since = self.still(now).map_or(quiet, |held_up| held_up.since);
-        self.held_up.set(Some(HeldUp { since, found: now, times: self.woken.times() }));
+        self.held_up.set(Some(HeldUp {
+            since,
+            found: now,
+            times: self.woken.times(),
+        }));
         self.worst.set(self.worst.get().max(now - since));
     }
 
--- a/src/net/budget/tests.rs
+++ b/src/net/budget/tests.rs
@@ -7,7 +7,9 @@
 /// Guards what a client tells: what is no time gets no budget, and no class waits for longer than it allows.
 #[test]
 fn only_a_sane_time_makes_a_budget() {
-    for bad in ["", "NaN", "nan", "inf", "-inf", "-0.5", "0", "-0", "1e300", "80.001", "1,5", "0x1"] {
+    for bad in [
+        "", "NaN", "nan", "inf", "-inf", "-0.5", "0", "-0", "1e300", "80.001", "1,5", "0x1",
+    ] {
         assert_eq!(Budget::told(bad, 1000.0, 8000.0), None, "{bad:?}");
     }
     assert_eq!(Budget::told("1.5", 1000.0, 8000.0).unwrap().end(), 2500.0);
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -123,7 +123,9 @@
                     self.make_room().await;
                     let peer = Rc::new(Peer::new(self.site.clock.now(), stream));
                     self.accepted.set(self.accepted.get() + 1);
-                    self.peers.borrow_mut().insert(self.accepted.get(), peer.clone());
+                    self.peers
+                        .borrow_mut()
+                        .insert(self.accepted.get(), peer.clone());
                     tokio::task::spawn_local(self.clone().serve(self.accepted.get(), peer));
                 }
                 Err(_) => tokio::time::sleep(NO_DESCRIPTOR).await,
@@ -149,8 +151,10 @@
     /// The connection that would be missed least, if any may be closed.
     fn least_missed(&self, now: Millis) -> Option<((Spare, Millis), Rc<Peer>)> {
         let peers = self.peers.borrow();
-        let mut spare: Vec<_> =
-            peers.values().filter_map(|peer| Some((peer.dispensable(now)?, peer))).collect();
+        let mut spare: Vec<_> = peers
+            .values()
+            .filter_map(|peer| Some((peer.dispensable(now)?, peer)))
+            .collect();
         spare.sort_by(|(a, _), (b, _)| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
         // Asked in this order, since each costs a call of the system.
         let least = spare.into_iter().find(|(_, peer)| !peer.has_said_more());
@@ -165,7 +169,12 @@
             tokio::time::sleep(SWEEP).await;
             let now = self.site.clock.now();
             self.site.lag.ran(due, now);
-            if let Some(worst) = self.site.lag.take_worst().filter(|worst| *worst >= TOLD_LAG) {
+            if let Some(worst) = self
+                .site
+                .lag
+                .take_worst()
+                .filter(|worst| *worst >= TOLD_LAG)
+            {
                 eprintln!("held up for {worst:.0} ms: what came meanwhile has that much less time");
             }
             for peer in self.peers.borrow().values() {
@@ -179,14 +188,22 @@
     }
 
     async fn serve(self: Rc<Self>, number: u64, peer: Rc<Peer>) {
-        let _open = Open { clients: &self, number };
-        let io = TokioIo::new(Watched { peer: peer.clone(), site: self.site.clone(), stalled: None });
+        let _open = Open {
+            clients: &self,
+            number,
+        };
+        let io = TokioIo::new(Watched {
+            peer: peer.clone(),
+            site: self.site.clone(),
+            stalled: None,
+        });
         let service = service_fn(|request| {
             let (clients, peer) = (self.clone(), peer.clone());
             async move { Ok::<_, Infallible>(clients.answer(request, &peer).await) }
         });
-        let connection =
-            hyper::server::conn::http1::Builder::new().max_buf_size(BUFFER).serve_connection(io, service);
+        let connection = hyper::server::conn::http1::Builder::new()
+            .max_buf_size(BUFFER)
+            .serve_connection(io, service);
         let mut connection = std::pin::pin!(connection);
         let mut phase = self.phase.subscribe();
         let mut leaving = false;
@@ -208,10 +225,12 @@
 
     /// The planned stop: goes on accepting, answers what has come, and returns when all is answered.
     pub async fn stop(&self) {
-        let longest =
-            Duration::try_from_secs_f64(self.site.longest() / 1000.0).unwrap_or_default().min(COUNTED);
+        let longest = Duration::try_from_secs_f64(self.site.longest() / 1000.0)
+            .unwrap_or_default()
+            .min(COUNTED);
         let end = tokio::time::Instant::now() + longest + LAST_CALL;
-        self.desk.stopping(self.site.clock.now() + (longest + LAST_CALL).as_secs_f64() * 1000.0);
+        self.desk
+            .stopping(self.site.clock.now() + (longest + LAST_CALL).as_secs_f64() * 1000.0);
         self.phase.send_replace(Phase::Closing);
         tokio::time::sleep(LINGER).await;
         self.phase.send_replace(Phase::Sweeping);
@@ -220,7 +239,10 @@
         while !self.peers.borrow().is_empty() {
             let closed = tokio::time::timeout_at(end, self.closed.notified()).await;
             if closed.is_err() {
-                eprintln!("stopped with {} requests unanswered", self.desk.unanswered());
+                eprintln!(
+                    "stopped with {} requests unanswered",
+                    self.desk.unanswered()
+                );
                 return;
             }
             // One more may be waiting to be accepted.
@@ -228,7 +250,11 @@
         }
     }
 
-    async fn answer(&self, request: Request<IncomingBody>, peer: &Rc<Peer>) -> Response<Full<Bytes>> {
+    async fn answer(
+        &self,
+        request: Request<IncomingBody>,
+        peer: &Rc<Peer>,
+    ) -> Response<Full<Bytes>> {
         let mut close = self.crowded.get();
         let mut response = if request.uri().path() == HEALTH {
             peer.whole();
@@ -243,7 +269,9 @@
             })
         };
         if close || peer.overrun.get() || *self.phase.borrow() != Phase::Serving {
-            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            response
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         peer.answered(self.site.clock.now());
         response
@@ -267,7 +295,10 @@
         let (head, body) = request.into_parts();
         let mut incoming = read_head(&self.site, &head, first, peer.clone())?;
         let budget = incoming.budget;
-        let end = self.site.clock.instant(budget.end().min(peer.begun() + READ_TIME));
+        let end = self
+            .site
+            .clock
+            .instant(budget.end().min(peer.begun() + READ_TIME));
         incoming.order.body = read_body(body, &head.method, end).await?;
         incoming.at = peer.last.get();
         peer.whole();
@@ -276,7 +307,10 @@
             return Err(Bad::Left);
         }
         let (id, answer) = self.desk.arrive(incoming).ok_or(Bad::Twice)?;
-        let mut waiting = Waiting { desk: &*self.desk, id: Some(id) };
+        let mut waiting = Waiting {
+            desk: &*self.desk,
+            id: Some(id),
+        };
         let answer = answer.await.unwrap_or(Answer::Failed);
         waiting.id = None;
         Ok(response(answer))
@@ -359,7 +393,12 @@
     fn new(now: Millis, stream: TcpStream) -> Peer {
         // Without it answers are late, not wrong.
         let _ = stream.set_nodelay(true);
-        Peer { opened: now, last: Cell::new(now), socket: RefCell::new(Some(stream)), ..Peer::default() }
+        Peer {
+            opened: now,
+            last: Cell::new(now),
+            socket: RefCell::new(Some(stream)),
+            ..Peer::default()
+        }
     }
 
     /// Hands on what has been read ahead; tells whether there was anything.
@@ -406,8 +445,11 @@
 
     fn overdue(&self, now: Millis) -> Option<Leave> {
         let reading = self.idle_since.get().is_none() || self.first.get().is_some();
-        let (most, how) =
-            if reading { (READ_TIME + LAST_WORD, Leave::Now) } else { (IDLE_TIME, Leave::Idle) };
+        let (most, how) = if reading {
+            (READ_TIME + LAST_WORD, Leave::Now)
+        } else {
+            (IDLE_TIME, Leave::Idle)
+        };
         (!self.busy() && now - self.begun() > most).then_some(how)
     }
 
@@ -430,7 +472,9 @@
     fn has_said_more(&self) -> bool {
         let socket = self.socket.borrow();
         let peek = |stream| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
-        socket.as_ref().is_some_and(|stream| peek(stream).is_ok_and(|count| count > 0))
+        socket
+            .as_ref()
+            .is_some_and(|stream| peek(stream).is_ok_and(|count| count > 0))
     }
 
     fn leave(&self, how: Leave) {
@@ -445,7 +489,9 @@
     /// more than a client may have there is dropped.
     fn left(&self) -> bool {
         let socket = self.socket.borrow();
-        let Some(stream) = socket.as_ref() else { return true };
+        let Some(stream) = socket.as_ref() else {
+            return true;
+        };
         let mut chunk = [0; AHEAD_CHUNK];
         for _ in 0..AHEAD_READS {
             match (&*SockRef::from(stream)).read(&mut chunk) {
@@ -472,7 +518,10 @@
 }
 
 impl Watched {
-    fn with<T>(&self, act: impl FnOnce(Pin<&mut TcpStream>) -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    fn with<T>(
+        &self,
+        act: impl FnOnce(Pin<&mut TcpStream>) -> Poll<io::Result<T>>,
+    ) -> Poll<io::Result<T>> {
         match self.peer.socket.borrow_mut().as_mut() {
             Some(stream) => act(Pin::new(stream)),
             None => Poll::Ready(Err(io::ErrorKind::NotConnected.into())),
@@ -481,21 +530,33 @@
 
     /// Guards against clients that ask and do not read: what is still to be written when nobody takes the answer any more goes
     /// to nobody, and the connection ends.
-    fn or_stalled<T>(&mut self, cx: &mut Context<'_>, wrote: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    fn or_stalled<T>(
+        &mut self,
+        cx: &mut Context<'_>,
+        wrote: Poll<io::Result<T>>,
+    ) -> Poll<io::Result<T>> {
         if wrote.is_ready() {
             self.stalled = None;
             return wrote;
         }
-        let (clock, by) = (self.site.clock, self.peer.write_by.get().max(self.site.clock.now()));
-        let stalled =
-            self.stalled.get_or_insert_with(|| Box::pin(tokio::time::sleep_until(clock.instant(by))));
+        let (clock, by) = (
+            self.site.clock,
+            self.peer.write_by.get().max(self.site.clock.now()),
+        );
+        let stalled = self
+            .stalled
+            .get_or_insert_with(|| Box::pin(tokio::time::sleep_until(clock.instant(by))));
         ready!(stalled.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
 impl AsyncRead for Watched {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         if self.peer.overrun.get() && self.peer.ahead.borrow().is_empty() {
             return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
@@ -512,7 +573,11 @@
 }
 
 impl AsyncWrite for Watched {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let wrote = self.with(|stream| stream.poll_write(cx, buf));
         self.or_stalled(cx, wrote)
     }
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -27,7 +27,10 @@
 
 impl Default for Skew {
     fn default() -> Skew {
-        Skew { rate: 1.0, ahead_ms: 0.0 }
+        Skew {
+            rate: 1.0,
+            ahead_ms: 0.0,
+        }
     }
 }
 
@@ -47,7 +50,9 @@
 
     /// A clock that starts now and is that far off.
     pub fn skewed(skew: Skew) -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         Clock {
             start: Instant::now(),
             unix: unix.as_secs_f64() * 1000.0 + skew.ahead_ms,
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -126,7 +126,8 @@
     /// Reads the variables and the file. A variable goes before the file's own entry.
     pub fn from_env() -> Result<Config, ConfigError> {
         let file = File::read()?;
-        let told_or = |name: &str, otherwise: &str| std::env::var(name).unwrap_or(otherwise.to_owned());
+        let told_or =
+            |name: &str, otherwise: &str| std::env::var(name).unwrap_or(otherwise.to_owned());
         let (seed, told) = file.check()?;
         let name = told_or("BALANCER_NAME", &file.name);
         Ok(Config {
@@ -134,7 +135,10 @@
             clock: file.clock.unwrap_or_default(),
             name,
             listen: address("BALANCER_LISTEN", &told_or("BALANCER_LISTEN", &file.listen))?,
-            discovery: address("BALANCER_DISCOVERY", &told_or("BALANCER_DISCOVERY", &file.discovery))?,
+            discovery: address(
+                "BALANCER_DISCOVERY",
+                &told_or("BALANCER_DISCOVERY", &file.discovery),
+            )?,
             seed,
             limits: file.limits,
             known: file.known,
@@ -145,7 +149,9 @@
 
     /// Descriptors that are left for clients and backends beside those of the fleet layer.
     pub fn sockets(&self) -> usize {
-        self.limits.sockets.saturating_sub(self.fleet.as_ref().map_or(0, FleetSection::descriptors))
+        self.limits
+            .sockets
+            .saturating_sub(self.fleet.as_ref().map_or(0, FleetSection::descriptors))
     }
 
     /// Where discovery answers from now on, by a file that was replaced while the program runs. The file goes
@@ -163,33 +169,54 @@
     /// Reads the file that the variable names.
     fn read() -> Result<File, ConfigError> {
         let path = std::env::var("BALANCER_CONFIG").map_err(|_| ConfigError::Missing)?;
-        let text = std::fs::read_to_string(&path)
-            .map_err(|error| ConfigError::Unreadable { path: path.clone(), error })?;
+        let text = std::fs::read_to_string(&path).map_err(|error| ConfigError::Unreadable {
+            path: path.clone(),
+            error,
+        })?;
         serde_json::from_str(&text).map_err(|error| ConfigError::Malformed { path, error })
     }
 
     /// The fleet section of the front door called `own`, if there is one and it is usable.
     fn fleet(&self, own: &str) -> Result<Option<FleetSection>, ConfigError> {
-        let Some(value) = &self.fleet else { return Ok(None) };
+        let Some(value) = &self.fleet else {
+            return Ok(None);
+        };
         let section = FleetSection::parse(value, own)?;
         let sockets = self.limits.sockets;
         if sockets < section.descriptors() + LEAST_SOCKETS {
-            let FleetSection { accepted, links, .. } = section;
-            return Err(SectionError::Descriptors { accepted, links, sockets }.into());
+            let FleetSection {
+                accepted, links, ..
+            } = section;
+            return Err(SectionError::Descriptors {
+                accepted,
+                links,
+                sockets,
+            }
+            .into());
         }
         Ok(Some(section))
     }
 
     /// The seed and the settings, if they and the limits are usable.
     fn check(&self) -> Result<(u64, Told), ConfigError> {
-        let seed = u64::from_str_radix(&self.seed, 16)
-            .map_err(|_| ConfigError::Value(format!("seed: {:?} is not a hexadecimal number", self.seed)))?;
+        let seed = u64::from_str_radix(&self.seed, 16).map_err(|_| {
+            ConfigError::Value(format!("seed: {:?} is not a hexadecimal number", self.seed))
+        })?;
         if self.limits.sockets < LEAST_SOCKETS {
-            let text = format!("limits.sockets: {} is under {LEAST_SOCKETS}", self.limits.sockets);
+            let text = format!(
+                "limits.sockets: {} is under {LEAST_SOCKETS}",
+                self.limits.sockets
+            );
             return Err(ConfigError::Value(text));
         }
-        if self.handover.as_ref().is_some_and(|path| path.file_name().is_none()) {
-            return Err(ConfigError::Value("handover: that is no name of a file".to_owned()));
+        if self
+            .handover
+            .as_ref()
+            .is_some_and(|path| path.file_name().is_none())
+        {
+            return Err(ConfigError::Value(
+                "handover: that is no name of a file".to_owned(),
+            ));
         }
         if let Some(clock) = &self.clock {
             if !self.test {
@@ -203,12 +230,18 @@
                 ));
             }
         }
-        Ok((seed, settings::parse(&facts(&self.settings)).map_err(ConfigError::Value)?))
+        Ok((
+            seed,
+            settings::parse(&facts(&self.settings)).map_err(ConfigError::Value)?,
+        ))
     }
 }
 
 fn address(name: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
-    value.parse().map_err(|_| ConfigError::Address { name, value: value.to_owned() })
+    value.parse().map_err(|_| ConfigError::Address {
+        name,
+        value: value.to_owned(),
+    })
 }
 
 /// Nested settings as the `path=value` lines that the simulator tells, so that both are read the same way.
@@ -219,13 +252,24 @@
 }
 
 fn flatten(path: &str, value: &Value, lines: &mut String) {
-    let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
+    let below = |key: &str| {
+        if path.is_empty() {
+            key.to_owned()
+        } else {
+            format!("{path}.{key}")
+        }
+    };
     match value {
-        Value::Object(map) => map.iter().for_each(|(key, value)| flatten(&below(key), value, lines)),
+        Value::Object(map) => map
+            .iter()
+            .for_each(|(key, value)| flatten(&below(key), value, lines)),
         Value::Array(items) if items.iter().any(|item| item.is_object() || item.is_array()) => {
             // A string takes any text; the error is that of a writer that can fail.
             let _ = writeln!(lines, "{}={}", below("count"), items.len());
-            items.iter().enumerate().for_each(|(i, item)| flatten(&below(&i.to_string()), item, lines));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(i, item)| flatten(&below(&i.to_string()), item, lines));
         }
         Value::Array(items) => {
             let words: Vec<String> = items.iter().filter_map(word).collect();
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -83,13 +83,20 @@
             | Ended::TooLong
             | Ended::Backwards { .. } => true,
             Ended::Status(status) => status.is_client_error() && !self.says_overbooked(),
-            Ended::Io(_) | Ended::Http(_) | Ended::Request(_) | Ended::Unanswered | Ended::Silent(_) => false,
+            Ended::Io(_)
+            | Ended::Http(_)
+            | Ended::Request(_)
+            | Ended::Unanswered
+            | Ended::Silent(_) => false,
         }
     }
 
     /// Whether discovery has more calls than it can bear.
     fn says_overbooked(&self) -> bool {
-        matches!(self, Ended::Status(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS))
+        matches!(
+            self,
+            Ended::Status(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS)
+        )
     }
 
     /// What this means for the time that is left.
@@ -99,9 +106,10 @@
             Ended::Silent(_) | Ended::Halved => Lapse::Silent,
             Ended::Status(_) if self.says_overbooked() => Lapse::Refused,
             Ended::Io(_) | Ended::Http(_) | Ended::Request(_) | Ended::Status(_) => Lapse::Failed,
-            Ended::Unreadable(_) | Ended::NoObject(_) | Ended::TooLong | Ended::Backwards { .. } => {
-                Lapse::Closed
-            }
+            Ended::Unreadable(_)
+            | Ended::NoObject(_)
+            | Ended::TooLong
+            | Ended::Backwards { .. } => Lapse::Closed,
         }
     }
 }
@@ -117,7 +125,13 @@
     let mut version = None;
     let mut newest = None;
     if let Some(known) = known {
-        (version, newest) = (Some(known.seq), Some(Newest { version: known.seq, since: Instant::now() }));
+        (version, newest) = (
+            Some(known.seq),
+            Some(Newest {
+                version: known.seq,
+                since: Instant::now(),
+            }),
+        );
         roster.list_changed(&known, News::Cached);
     }
     let mut down = false;
@@ -143,7 +157,10 @@
         if ended.as_ref().is_err_and(Ended::wants_whole_list) {
             version = None;
         }
-        let longest = deadline.ended(begun, ended.as_ref().err().map_or(Lapse::Closed, Ended::lapse));
+        let longest = deadline.ended(
+            begun,
+            ended.as_ref().err().map_or(Lapse::Closed, Ended::lapse),
+        );
         let overbooked = ended.as_ref().is_err_and(Ended::says_overbooked);
         if version != before && version.is_some() {
             backoff.answered();
@@ -154,11 +171,17 @@
         }
         // One line for an outage, not one for each try.
         if !down || version != before {
-            let why = ended.err().map_or("closed".to_owned(), |error| error.to_string());
+            let why = ended
+                .err()
+                .map_or("closed".to_owned(), |error| error.to_string());
             eprintln!("discovery: watch ended: {why}");
         }
         down = version == before;
-        let pause = if overbooked { backoff.turned_away(longest) } else { backoff.lost() };
+        let pause = if overbooked {
+            backoff.turned_away(longest)
+        } else {
+            backoff.lost()
+        };
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
             _ = agent.changed() => deadline.moved(),
@@ -176,15 +199,21 @@
     newest: &mut Option<Newest>,
 ) -> Result<(), Ended> {
     let answer_by = Instant::now() + patience;
-    let stream = timeout_at(answer_by, TcpStream::connect(agent)).await.map_err(|_| Ended::Unanswered)??;
+    let stream = timeout_at(answer_by, TcpStream::connect(agent))
+        .await
+        .map_err(|_| Ended::Unanswered)??;
     stream.set_nodelay(true)?;
-    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+    let (mut sender, connection) =
+        hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     // Ends with this function: the set ends its tasks when it is dropped.
     let mut tied = tokio::task::JoinSet::new();
     tied.spawn_local(connection);
-    let request = Request::get(path).header(HOST, agent.to_string()).body(Empty::<Bytes>::new())?;
-    let answer =
-        timeout_at(answer_by, sender.send_request(request)).await.map_err(|_| Ended::Unanswered)??;
+    let request = Request::get(path)
+        .header(HOST, agent.to_string())
+        .body(Empty::<Bytes>::new())?;
+    let answer = timeout_at(answer_by, sender.send_request(request))
+        .await
+        .map_err(|_| Ended::Unanswered)??;
     if answer.status() != StatusCode::OK {
         return Err(Ended::Status(answer.status()));
     }
@@ -195,9 +224,17 @@
             Ok(Some(frame)) => frame?,
             Ok(None) if objects.between() => return Ok(()),
             Ok(None) => return Err(Ended::Halved),
-            Err(elapsed) => return Err(if objects.between() { elapsed.into() } else { Ended::Halved }),
+            Err(elapsed) => {
+                return Err(if objects.between() {
+                    elapsed.into()
+                } else {
+                    Ended::Halved
+                })
+            }
+        };
+        let Ok(data) = frame.into_data() else {
+            continue;
         };
-        let Ok(data) = frame.into_data() else { continue };
         for byte in data {
             match objects.push(byte)? {
                 Heard::Part => continue,
@@ -265,7 +302,11 @@
             (false, b'}' | b']') => self.depth -= 1,
             _ => {}
         }
-        Ok(if self.depth == 0 { Heard::Object(std::mem::take(&mut self.held)) } else { Heard::Part })
+        Ok(if self.depth == 0 {
+            Heard::Object(std::mem::take(&mut self.held))
+        } else {
+            Heard::Part
+        })
     }
 }
 
@@ -285,7 +326,10 @@
     let older = newest.is_some_and(|newest| told < newest.version && newest.since.elapsed() < LAGS);
     roster.list_changed(&members, if older { News::Older } else { News::Told });
     if !older {
-        *newest = Some(Newest { version: told, since: Instant::now() });
+        *newest = Some(Newest {
+            version: told,
+            since: Instant::now(),
+        });
     }
     *version = Some(told);
     Ok(())
--- a/src/net/discovery/deadline.rs
+++ b/src/net/discovery/deadline.rs
@@ -68,7 +68,10 @@
 
     /// Discovery may be elsewhere from now on.
     pub fn moved(&mut self) {
-        *self = Deadline { due: Some(Instant::now() + IN_FORCE_ELSEWHERE), unanswered: false };
+        *self = Deadline {
+            due: Some(Instant::now() + IN_FORCE_ELSEWHERE),
+            unanswered: false,
+        };
     }
 
     /// A call that began at `begun` has ended. Tells the longest pause that leaves time for an answer after it; nothing is
@@ -85,7 +88,9 @@
         if lapse != Lapse::Refused {
             self.due = Some(due);
         }
-        due.saturating_duration_since(now).saturating_sub(MARGIN + ANSWER).min(LONGEST_PAUSE)
+        due.saturating_duration_since(now)
+            .saturating_sub(MARGIN + ANSWER)
+            .min(LONGEST_PAUSE)
     }
 }
 
--- a/src/net/discovery/deadline/tests.rs
+++ b/src/net/discovery/deadline/tests.rs
@@ -20,14 +20,21 @@
     for gateways in [1, 30, 100, 300, 790, 100_000] {
         let mut backoff = Backoff::new(gateways, 5);
         let mut deadline = Deadline::default();
-        for waited in (0..=14).cycle().map(|tenths| ANSWER * tenths / 14).take(150) {
+        for waited in (0..=14)
+            .cycle()
+            .map(|tenths| ANSWER * tenths / 14)
+            .take(150)
+        {
             let begun = Instant::now();
             after(waited).await;
             let longest = deadline.ended(begun, Lapse::Refused);
             let pause = backoff.turned_away(longest);
             after(pause).await;
             let answered = after(deadline.patience()).await;
-            assert!(answered - begun <= RECKONED, "{gateways}: {waited:?} and {pause:?}");
+            assert!(
+                answered - begun <= RECKONED,
+                "{gateways}: {waited:?} and {pause:?}"
+            );
         }
     }
 }
@@ -73,5 +80,8 @@
     let mut deadline = Deadline::default();
     deadline.moved();
     let longest = deadline.ended(Instant::now(), Lapse::Refused);
-    assert!(longest + deadline.patience() < IN_FORCE_ELSEWHERE, "{longest:?}");
+    assert!(
+        longest + deadline.patience() < IN_FORCE_ELSEWHERE,
+        "{longest:?}"
+    );
 }
--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -63,7 +63,9 @@
 
 impl Ord for Timer {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.at.total_cmp(&other.at).then(self.order.cmp(&other.order))
+        self.at
+            .total_cmp(&other.at)
+            .then(self.order.cmp(&other.order))
     }
 }
 
@@ -96,14 +98,22 @@
 
 impl Entry {
     fn take(&mut self, number: u32) -> Option<Attempt> {
-        let place = self.out.iter().position(|attempt| attempt.number == number)?;
+        let place = self
+            .out
+            .iter()
+            .position(|attempt| attempt.number == number)?;
         Some(self.out.remove(place))
     }
 }
 
 /// Carries out one attempt: the sockets, or what a test puts in their place.
-type Carrier =
-    dyn Fn(BackendId, Rc<Order>, Allowance, DeliveryMode, Line) -> Pin<Box<dyn Future<Output = Ended>>>;
+type Carrier = dyn Fn(
+    BackendId,
+    Rc<Order>,
+    Allowance,
+    DeliveryMode,
+    Line,
+) -> Pin<Box<dyn Future<Output = Ended>>>;
 
 /// An attempt that is out.
 struct Attempt {
@@ -185,11 +195,16 @@
         let room = room::budget(config.sockets(), config.limits.memory_mb << 20);
         let pools = Rc::new(Pools::new(told.links, room, doors, config.seed, clock));
         let reading = Rc::new(Reading::new(told, config.limits.memory_mb << 20));
-        let transport = Transport { pools: pools.clone(), reading, clock };
+        let transport = Transport {
+            pools: pools.clone(),
+            reading,
+            clock,
+        };
         let carrier = move |backend, order: Rc<Order>, part, delivery, line: Line| {
             let transport = transport.clone();
-            let attempt =
-                async move { backends::attempt(&transport, backend, &order, part, delivery, &line).await };
+            let attempt = async move {
+                backends::attempt(&transport, backend, &order, part, delivery, &line).await
+            };
             Box::pin(attempt) as Pin<Box<dyn Future<Output = Ended>>>
         };
         Door::with(config, woken, clock, pools, Box::new(carrier))
@@ -245,12 +260,17 @@
         }
         let mut actions = Vec::new();
         loop {
-            let Some((at, event)) = self.queue.borrow_mut().pop_front() else { break };
+            let Some((at, event)) = self.queue.borrow_mut().pop_front() else {
+                break;
+            };
             // Two events may have been read in another order than they came; the clock never goes back.
             let at = at.max(self.last_event.get());
             self.last_event.set(at);
             let deciding = Deciding;
-            self.state.borrow_mut().gateway.handle(at, event, &mut actions);
+            self.state
+                .borrow_mut()
+                .gateway
+                .handle(at, event, &mut actions);
             drop(deciding);
             actions.drain(..).for_each(|action| self.carry_out(action));
         }
@@ -259,10 +279,28 @@
 
     fn carry_out(&self, action: Action) {
         match action {
-            Action::Send { request, backend, limit, begin_before, delivery } => {
-                self.send(request, backend, AttemptLimits { limit, begin_before }, delivery);
+            Action::Send {
+                request,
+                backend,
+                limit,
+                begin_before,
+                delivery,
+            } => {
+                self.send(
+                    request,
+                    backend,
+                    AttemptLimits {
+                        limit,
+                        begin_before,
+                    },
+                    delivery,
+                );
             }
-            Action::Refuse { request, retry_after, .. } => self.answer(request, Answer::Refused(retry_after)),
+            Action::Refuse {
+                request,
+                retry_after,
+                ..
+            } => self.answer(request, Answer::Refused(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
             Action::CallOff { request, attempt } => {
                 self.settle(request, attempt, Ended::of(Outcome::Cancelled))
@@ -281,7 +319,11 @@
     /// Gives a request its final answer, unless it has one.
     fn answer(&self, id: RequestId, answer: Answer) {
         let mut state = self.state.borrow_mut();
-        if let Some(sender) = state.requests.get_mut(&id).and_then(|entry| entry.answer.take()) {
+        if let Some(sender) = state
+            .requests
+            .get_mut(&id)
+            .and_then(|entry| entry.answer.take())
+        {
             // The client may be gone; then there is nobody to tell.
             let _ = sender.send(answer);
         }
@@ -294,33 +336,59 @@
     fn wind_up(&self, id: RequestId) {
         let unsent: Vec<u32> = {
             let state = self.state.borrow();
-            let entry = state.requests.get(&id).filter(|entry| entry.answer.is_none());
+            let entry = state
+                .requests
+                .get(&id)
+                .filter(|entry| entry.answer.is_none());
             let out = entry.into_iter().flat_map(|entry| &entry.out);
-            out.filter(|attempt| !attempt.line.whole()).map(|attempt| attempt.number).collect()
+            out.filter(|attempt| !attempt.line.whole())
+                .map(|attempt| attempt.number)
+                .collect()
         };
-        unsent.into_iter().for_each(|number| self.settle(id, number, Ended::of(Outcome::Cancelled)));
+        unsent
+            .into_iter()
+            .for_each(|number| self.settle(id, number, Ended::of(Outcome::Cancelled)));
         self.state.borrow_mut().forget_if_over(id);
     }
 
     // ---- Attempts -----------------------------------------------------------------------------------
 
-    fn send(&self, id: RequestId, backend: BackendId, limits: AttemptLimits, delivery: DeliveryMode) {
+    fn send(
+        &self,
+        id: RequestId,
+        backend: BackendId,
+        limits: AttemptLimits,
+        delivery: DeliveryMode,
+    ) {
         let now = self.site.clock.now();
         let mut held = self.state.borrow_mut();
         let state = &mut *held;
-        let Some(entry) = state.requests.get_mut(&id) else { return };
+        let Some(entry) = state.requests.get_mut(&id) else {
+            return;
+        };
         let number = entry.attempts;
         entry.attempts += 1;
-        let copies = if self.site.settings.second_copies { 2 } else { 1 };
-        let fits =
-            entry.answer.is_some() && entry.out.len() < copies && number < self.site.settings.max_attempts;
+        let copies = if self.site.settings.second_copies {
+            2
+        } else {
+            1
+        };
+        let fits = entry.answer.is_some()
+            && entry.out.len() < copies
+            && number < self.site.settings.max_attempts;
         // A copy belongs at another backend than the first: what ends there tells which of the two it was.
         let fits = fits && entry.out.iter().all(|attempt| attempt.backend != backend);
-        let part = entry.budget.attempt(now, limits.limit).map(|part| part.begin_before(limits.begin_before));
+        let part = entry
+            .budget
+            .attempt(now, limits.limit)
+            .map(|part| part.begin_before(limits.begin_before));
         let Some(part) = part.filter(|_| fits) else {
             drop(held);
             let ended = Ended::of(Outcome::NotSent);
-            self.post(now, Event::Settled(settled(id, number, backend, 0.0, &ended, false)));
+            self.post(
+                now,
+                Event::Settled(settled(id, number, backend, 0.0, &ended, false)),
+            );
             return;
         };
         if let Some(handover) = state.handover.as_mut().filter(|_| !entry.safe) {
@@ -336,7 +404,12 @@
             }
         });
         line.tie(task.abort_handle());
-        entry.out.push(Attempt { number, backend, sent: now, line });
+        entry.out.push(Attempt {
+            number,
+            backend,
+            sent: now,
+            line,
+        });
         drop(held);
         self.set_timer(part.until(), Due::TimeOut(id, number));
     }
@@ -346,8 +419,12 @@
         let now = self.site.clock.now();
         let event = {
             let mut state = self.state.borrow_mut();
-            let Some(entry) = state.requests.get_mut(&id) else { return };
-            let Some(attempt) = entry.take(number) else { return };
+            let Some(entry) = state.requests.get_mut(&id) else {
+                return;
+            };
+            let Some(attempt) = entry.take(number) else {
+                return;
+            };
             if matches!(ended.outcome, Outcome::Cancelled | Outcome::Timeout) {
                 // What has not been written whole when its connection is closed cannot run.
                 if ended.outcome == Outcome::Timeout && !attempt.line.whole() {
@@ -361,7 +438,14 @@
             // No further attempt for a client that has left.
             entry.answer.take_if(|_| entry.order.client.left());
             let closed = entry.answer.is_none();
-            settled(id, number, attempt.backend, now - attempt.sent, &ended, closed)
+            settled(
+                id,
+                number,
+                attempt.backend,
+                now - attempt.sent,
+                &ended,
+                closed,
+            )
         };
         self.post(now, Event::Settled(event));
         self.wind_up(id);
@@ -371,7 +455,10 @@
 
     fn set_timer(&self, at: Millis, due: Due) {
         let mut state = self.state.borrow_mut();
-        let earliest = state.timers.peek().is_none_or(|Reverse(first)| at < first.at);
+        let earliest = state
+            .timers
+            .peek()
+            .is_none_or(|Reverse(first)| at < first.at);
         state.timers_set += 1;
         let order = state.timers_set;
         state.timers.push(Reverse(Timer { at, order, due }));
@@ -415,7 +502,12 @@
             Due::TimeOut(id, number) => self.settle(id, number, Ended::of(Outcome::Timeout)),
             Due::Deadline(id) => {
                 // The module answers before this; a request that it holds must not stay without an answer.
-                let waited = self.state.borrow().requests.get(&id).is_some_and(|e| e.answer.is_some());
+                let waited = self
+                    .state
+                    .borrow()
+                    .requests
+                    .get(&id)
+                    .is_some_and(|e| e.answer.is_some());
                 if waited {
                     self.answer(id, Answer::Failed);
                     self.post(now, Event::ClientGone(id));
@@ -449,7 +541,8 @@
             zone: ZoneId(zone.map_or(u32::MAX, |zone| zone as u32)),
             cell: CellId(member.block),
             availability,
-            started: (member.born_ms > 0.0).then(|| state.born(id, member.born_ms, self.site.clock.now())),
+            started: (member.born_ms > 0.0)
+                .then(|| state.born(id, member.born_ms, self.site.clock.now())),
             size: member.share,
         }
     }
@@ -460,7 +553,10 @@
         if member.health != Health::Up {
             return None;
         }
-        let holder = Holder { host: member.host.clone(), born_ms: member.born_ms };
+        let holder = Holder {
+            host: member.host.clone(),
+            born_ms: member.born_ms,
+        };
         let before = state.addresses.insert(member.dial, holder.clone())?;
         let listed = before.host != member.host && state.backends.contains_key(&before.host);
         let still = listed && self.pools.at(state.backends[&before.host]) == Some(member.dial);
@@ -474,7 +570,11 @@
         };
         let gone = gone.clone();
         eprintln!("backend {gone} is taken for gone: another has its address");
-        let removed = Member { host: gone, health: Health::Removed, ..member.clone() };
+        let removed = Member {
+            host: gone,
+            health: Health::Removed,
+            ..member.clone()
+        };
         Some(self.entry(state, &removed))
     }
 
@@ -506,19 +606,35 @@
             let mut state = self.state.borrow_mut();
             state.forget_ids(now);
             let name = incoming.order.id.clone();
-            let before = state.handover.as_ref().and_then(|handover| handover.before(&name));
+            let before = state
+                .handover
+                .as_ref()
+                .and_then(|handover| handover.before(&name));
             if before.is_some_and(|before| before.ran) || !state.ids.insert(name.clone()) {
                 return None;
             }
             let id = state.new_request();
             let ends = [state.stop, before.map(|before| before.end)];
-            let budget = ends.into_iter().flatten().fold(incoming.budget, |budget, end| budget.until(end));
+            let budget = ends
+                .into_iter()
+                .flatten()
+                .fold(incoming.budget, |budget, end| budget.until(end));
             if let Some(handover) = &mut state.handover {
                 handover.taken(&name, budget.end());
             }
             let safe = self.site.settings.classes[incoming.class.0].effect == Effect::Safe;
             let (order, answer) = (Rc::new(incoming.order), Some(sender));
-            state.requests.insert(id, Entry { order, budget, answer, safe, attempts: 0, out: Vec::new() });
+            state.requests.insert(
+                id,
+                Entry {
+                    order,
+                    budget,
+                    answer,
+                    safe,
+                    attempts: 0,
+                    out: Vec::new(),
+                },
+            );
             (id, budget)
         };
         self.set_timer(budget.end(), Due::Deadline(id));
@@ -545,7 +661,10 @@
     fn client_gone(&self, id: RequestId) {
         let waited = {
             let mut state = self.state.borrow_mut();
-            state.requests.get_mut(&id).is_some_and(|entry| entry.answer.take().is_some())
+            state
+                .requests
+                .get_mut(&id)
+                .is_some_and(|entry| entry.answer.take().is_some())
         };
         if waited {
             self.post(self.site.clock.now(), Event::ClientGone(id));
@@ -558,23 +677,35 @@
         let cut: Vec<RequestId> = {
             let mut state = self.state.borrow_mut();
             state.stop = Some(end);
-            let late = state.requests.iter_mut().filter(|(_, entry)| entry.budget.end() > end);
+            let late = state
+                .requests
+                .iter_mut()
+                .filter(|(_, entry)| entry.budget.end() > end);
             late.map(|(id, entry)| {
                 entry.budget = entry.budget.until(end);
                 *id
             })
             .collect()
         };
-        cut.into_iter().for_each(|id| self.set_timer(end, Due::Deadline(id)));
+        cut.into_iter()
+            .for_each(|id| self.set_timer(end, Due::Deadline(id)));
     }
 
     fn turn_away(&self) {
         let stop = self.state.borrow().stop;
-        self.post(self.site.clock.now(), Event::Stopping(stop.unwrap_or_default()));
+        self.post(
+            self.site.clock.now(),
+            Event::Stopping(stop.unwrap_or_default()),
+        );
     }
 
     fn unanswered(&self) -> usize {
-        self.state.borrow().requests.values().filter(|entry| entry.answer.is_some()).count()
+        self.state
+            .borrow()
+            .requests
+            .values()
+            .filter(|entry| entry.answer.is_some())
+            .count()
     }
 }
 
@@ -591,8 +722,16 @@
             let members = kept.as_ref().unwrap_or(members);
             if kind != ListKind::Changes {
                 let listed: HashSet<&str> = members.hosts.iter().map(|m| m.host.as_str()).collect();
-                let State { backends, unborn, ends, .. } = &mut *state;
-                for (host, id) in backends.iter().filter(|(host, _)| !listed.contains(host.as_str())) {
+                let State {
+                    backends,
+                    unborn,
+                    ends,
+                    ..
+                } = &mut *state;
+                for (host, id) in backends
+                    .iter()
+                    .filter(|(host, _)| !listed.contains(host.as_str()))
+                {
                     // Who is no longer listed is gone, though nobody says so; who is not yet listed is not.
                     if news != News::Older {
                         ends.insert(host.clone(), self.pools.born(*id));
@@ -602,12 +741,22 @@
                 backends.retain(|host, _| listed.contains(host.as_str()));
                 unborn.retain(|id, _| backends.values().any(|known| known == id));
             }
-            let mut entries: Vec<BackendEntry> =
-                members.hosts.iter().map(|member| self.entry(&mut state, member)).collect();
-            let displaced = members.hosts.iter().filter_map(|member| self.displaced(&mut state, member));
+            let mut entries: Vec<BackendEntry> = members
+                .hosts
+                .iter()
+                .map(|member| self.entry(&mut state, member))
+                .collect();
+            let displaced = members
+                .hosts
+                .iter()
+                .filter_map(|member| self.displaced(&mut state, member));
             let displaced: Vec<BackendEntry> = displaced.collect();
             entries.extend(displaced);
-            let State { addresses, backends, .. } = &mut *state;
+            let State {
+                addresses,
+                backends,
+                ..
+            } = &mut *state;
             addresses.retain(|_, holder| backends.contains_key(&holder.host));
             entries
         };
@@ -632,10 +781,15 @@
         while let Some(Reverse(first)) = self.timers.peek() {
             let dead = match first.due {
                 Due::Alarm(_) => false,
-                Due::Deadline(id) => self.requests.get(&id).is_none_or(|entry| entry.answer.is_none()),
+                Due::Deadline(id) => self
+                    .requests
+                    .get(&id)
+                    .is_none_or(|entry| entry.answer.is_none()),
                 Due::TimeOut(id, number) => {
                     let entry = self.requests.get(&id);
-                    entry.is_none_or(|entry| entry.out.iter().all(|attempt| attempt.number != number))
+                    entry.is_none_or(|entry| {
+                        entry.out.iter().all(|attempt| attempt.number != number)
+                    })
                 }
             };
             if !dead {
@@ -676,7 +830,10 @@
     /// was told to drain or to be gone. What such a list should have said is returned, if it has to say something else.
     fn keep_ends(&mut self, members: &Members, news: News) -> Option<Members> {
         let before = |ends: &HashMap<String, Millis>, member: &Member| {
-            news == News::Older && ends.get(&member.host).is_some_and(|born| *born >= member.born_ms)
+            news == News::Older
+                && ends
+                    .get(&member.host)
+                    .is_some_and(|born| *born >= member.born_ms)
         };
         let mut kept: Option<Members> = None;
         for (place, member) in members.hosts.iter().enumerate() {
@@ -695,10 +852,14 @@
     }
 
     fn forget_if_over(&mut self, id: RequestId) {
-        let over = self.requests.get(&id).is_some_and(|entry| entry.answer.is_none() && entry.out.is_empty());
+        let over = self
+            .requests
+            .get(&id)
+            .is_some_and(|entry| entry.answer.is_none() && entry.out.is_empty());
         if over {
             if let Some(entry) = self.requests.remove(&id) {
-                self.past_ids.push_back((entry.budget.end(), entry.order.id.clone()));
+                self.past_ids
+                    .push_back((entry.budget.end(), entry.order.id.clone()));
             }
         }
     }
--- a/src/net/door/tests.rs
+++ b/src/net/door/tests.rs
@@ -7,6 +7,8 @@
 #[test]
 fn a_backend_has_the_same_number_everywhere() {
     assert_eq!(["", "a"].map(number_of), [0x4fd0_bfc1, 0x2962_30c0]);
-    let numbers: HashSet<u32> = (0..1000).map(|i| number_of(&format!("s-{i:08x}"))).collect();
+    let numbers: HashSet<u32> = (0..1000)
+        .map(|i| number_of(&format!("s-{i:08x}")))
+        .collect();
     assert_eq!(numbers.len(), 1000);
 }
--- a/src/net/fleet/frame.rs
+++ b/src/net/fleet/frame.rs
@@ -51,9 +51,14 @@
 impl FrameKind {
     /// The kind with this number, if it is known here.
     fn from_wire(number: u16) -> Option<FrameKind> {
-        [FrameKind::Hello, FrameKind::Heartbeat, FrameKind::Gossip, FrameKind::Compare]
-            .into_iter()
-            .find(|kind| *kind as u16 == number)
+        [
+            FrameKind::Hello,
+            FrameKind::Heartbeat,
+            FrameKind::Gossip,
+            FrameKind::Compare,
+        ]
+        .into_iter()
+        .find(|kind| *kind as u16 == number)
     }
 }
 
@@ -101,7 +106,11 @@
 impl FrameCodec {
     /// The codec of a fleet, for bodies up to `max_body` bytes.
     pub fn new(fleet: &str, generation: u32, max_body: usize) -> FrameCodec {
-        FrameCodec { fleet: crc32c::crc32c(fleet.as_bytes()), generation, max_body }
+        FrameCodec {
+            fleet: crc32c::crc32c(fleet.as_bytes()),
+            generation,
+            max_body,
+        }
     }
 
     /// A frame round a body; `None` if that is too long.
@@ -111,7 +120,9 @@
 
     /// As [`FrameCodec::encode`], for any version and kind.
     pub(super) fn encode_as(&self, version: u16, kind: u16, body: &[u8]) -> Option<Bytes> {
-        let length = u32::try_from(body.len()).ok().filter(|_| body.len() <= self.max_body)?;
+        let length = u32::try_from(body.len())
+            .ok()
+            .filter(|_| body.len() <= self.max_body)?;
         let mut bytes = BytesMut::with_capacity(HEADER_LENGTH + body.len());
         bytes.put_slice(b"CS");
         bytes.put_u16(version);
@@ -145,7 +156,10 @@
             return Err(FrameError::Generation(generation));
         }
         let length = header.get_u32();
-        match usize::try_from(length).ok().filter(|length| *length <= self.max_body) {
+        match usize::try_from(length)
+            .ok()
+            .filter(|length| *length <= self.max_body)
+        {
             Some(length) => Ok(length),
             None => Err(FrameError::Size(length)),
         }
@@ -189,7 +203,9 @@
     pub fn decode_body<T: DeserializeOwned>(&self) -> Option<T> {
         if self.version < VERSION {
             let padded = [&self.body[..], &ABSENT_FIELDS].concat();
-            return postcard::take_from_bytes(&padded).ok().map(|(value, _)| value);
+            return postcard::take_from_bytes(&padded)
+                .ok()
+                .map(|(value, _)| value);
         }
         let (value, rest) = postcard::take_from_bytes(&self.body).ok()?;
         (self.version > VERSION || rest.is_empty()).then_some(value)
@@ -226,7 +242,9 @@
             bytes.reserve(HEADER_LENGTH + length - bytes.len());
             return Ok(None);
         }
-        Ok(Some(self.verify(bytes.split_to(HEADER_LENGTH + length).freeze())?))
+        Ok(Some(
+            self.verify(bytes.split_to(HEADER_LENGTH + length).freeze())?,
+        ))
     }
 }
 
--- a/src/net/fleet/frame/tests.rs
+++ b/src/net/fleet/frame/tests.rs
@@ -9,31 +9,60 @@
 }
 
 fn decoded(bytes: &[u8]) -> Result<Option<Frame>, FrameError> {
-    codec().decode(&mut BytesMut::from(bytes)).map_err(|broken| match broken {
-        ConnectionError::Frame(foreign) => foreign,
-        ConnectionError::Io(error) => panic!("{error}"),
-    })
+    codec()
+        .decode(&mut BytesMut::from(bytes))
+        .map_err(|broken| match broken {
+            ConnectionError::Frame(foreign) => foreign,
+            ConnectionError::Io(error) => panic!("{error}"),
+        })
 }
 
 /// Guards the order of the checks: each is made on the header alone, before a body is there.
 #[test]
 fn what_is_not_ours_is_refused_by_its_header_alone() {
     let other = |codec: FrameCodec, body: usize| {
-        codec.encode(FrameKind::Compare, &vec![0; body]).expect("it fits")[..HEADER_LENGTH].to_vec()
+        codec
+            .encode(FrameKind::Compare, &vec![0; body])
+            .expect("it fits")[..HEADER_LENGTH]
+            .to_vec()
     };
     let newer = codec().encode_as(VERSION + 2, 1, &[1; 9]).expect("it fits");
     let cases = [
-        (b"GET / HTTP/1.1\r\nHost: somebody\r\n".to_vec(), FrameError::Magic),
-        (newer[..HEADER_LENGTH].to_vec(), FrameError::Version(VERSION + 2)),
-        (other(FrameCodec::new("another", 7, 1000), 9), FrameError::Fleet),
-        (other(FrameCodec::new("fleet", 6, 1000), 9), FrameError::Generation(6)),
-        (other(FrameCodec::new("fleet", 7, 2000), 1001), FrameError::Size(1001)),
+        (
+            b"GET / HTTP/1.1\r\nHost: somebody\r\n".to_vec(),
+            FrameError::Magic,
+        ),
+        (
+            newer[..HEADER_LENGTH].to_vec(),
+            FrameError::Version(VERSION + 2),
+        ),
+        (
+            other(FrameCodec::new("another", 7, 1000), 9),
+            FrameError::Fleet,
+        ),
+        (
+            other(FrameCodec::new("fleet", 6, 1000), 9),
+            FrameError::Generation(6),
+        ),
+        (
+            other(FrameCodec::new("fleet", 7, 2000), 1001),
+            FrameError::Size(1001),
+        ),
     ];
     for (bytes, expected) in cases {
         assert_eq!(decoded(&bytes), Err(expected));
     }
-    let mut damaged = codec().encode(FrameKind::Heartbeat, b"body").expect("it fits").to_vec();
-    assert_eq!(decoded(&damaged).expect("a frame").expect("a whole one").body(), b"body");
+    let mut damaged = codec()
+        .encode(FrameKind::Heartbeat, b"body")
+        .expect("it fits")
+        .to_vec();
+    assert_eq!(
+        decoded(&damaged)
+            .expect("a frame")
+            .expect("a whole one")
+            .body(),
+        b"body"
+    );
     damaged[HEADER_LENGTH] ^= 1;
     assert_eq!(decoded(&damaged), Err(FrameError::Checksum));
     assert_eq!(codec().encode(FrameKind::Heartbeat, &[0; 1001]), None);
@@ -50,17 +79,39 @@
     struct Next(String, u32, Option<String>, u64, Vec<u8>);
     let passed = |version: u16, body: Vec<u8>| {
         let bytes = codec().encode_as(version, 1, &body).expect("it fits");
-        decoded(&bytes).expect("ours").expect("whole").decode_body::<Now>()
+        decoded(&bytes)
+            .expect("ours")
+            .expect("whole")
+            .decode_body::<Now>()
     };
-    let now = |text: Option<&str>, number| Some(Now("a".into(), 300, text.map(str::to_owned), number));
-    assert_eq!(passed(VERSION, encode_body(&Now("a".into(), 300, Some("b".into()), 5))), now(Some("b"), 5));
-    assert_eq!(passed(VERSION - 1, encode_body(&Before("a".into(), 300))), now(None, 0));
+    let now =
+        |text: Option<&str>, number| Some(Now("a".into(), 300, text.map(str::to_owned), number));
     assert_eq!(
-        passed(VERSION + 1, encode_body(&Next("a".into(), 300, Some("b".into()), 5, vec![9; 70]))),
+        passed(
+            VERSION,
+            encode_body(&Now("a".into(), 300, Some("b".into()), 5))
+        ),
+        now(Some("b"), 5)
+    );
+    assert_eq!(
+        passed(VERSION - 1, encode_body(&Before("a".into(), 300))),
+        now(None, 0)
+    );
+    assert_eq!(
+        passed(
+            VERSION + 1,
+            encode_body(&Next("a".into(), 300, Some("b".into()), 5, vec![9; 70]))
+        ),
         now(Some("b"), 5)
     );
     // Within a version nothing may be over or missing.
-    assert_eq!(passed(VERSION, encode_body(&Next("a".into(), 300, None, 5, vec![9; 70]))), None);
+    assert_eq!(
+        passed(
+            VERSION,
+            encode_body(&Next("a".into(), 300, None, 5, vec![9; 70]))
+        ),
+        None
+    );
     assert_eq!(passed(VERSION, encode_body(&Before("a".into(), 300))), None);
     let unknown = codec().encode_as(VERSION + 1, 999, b"?").expect("it fits");
     assert_eq!(decoded(&unknown).expect("ours").expect("whole").kind, None);
--- a/src/net/fleet/membership.rs
+++ b/src/net/fleet/membership.rs
@@ -51,7 +51,11 @@
         start: Start,
         on_size: Box<dyn Fn(u32)>,
     ) -> Rc<MembershipService> {
-        let Start { configured_size, life, seed } = start;
+        let Start {
+            configured_size,
+            life,
+            seed,
+        } = start;
         let own = Member {
             // Later than any before under this name, if the clock is right; if not, the others tell.
             number: clock.now().max(1.0) as u64,
@@ -60,7 +64,11 @@
             version: super::frame::VERSION,
             ..Member::unknown(&section.own, section.advertise)
         };
-        let peers = section.peers.iter().map(|(name, dial)| Member::unknown(name, *dial)).collect();
+        let peers = section
+            .peers
+            .iter()
+            .map(|(name, dial)| Member::unknown(name, *dial))
+            .collect();
         let size = configured_size.max(section.peers.len() as u32 + 1);
         let membership = Membership::new(clock.now(), own, peers, Times::of(size), size, seed);
         Rc::new(MembershipService {
@@ -108,7 +116,10 @@
     fn receive_datagram(&self, bytes: &[u8]) {
         match self.transport.codec.decode_datagram(bytes) {
             Ok(frame) if frame.kind == Some(FrameKind::Gossip) => {
-                let effects = self.membership.borrow_mut().receive(self.clock.now(), frame.body());
+                let effects = self
+                    .membership
+                    .borrow_mut()
+                    .receive(self.clock.now(), frame.body());
                 self.apply(effects);
             }
             Ok(_) => self.transport.counters.borrow_mut().unknown += 1,
@@ -118,13 +129,24 @@
 
     /// Takes in a peer's part of a comparison.
     pub fn receive_comparison(&self, from: &str, bytes: &[u8]) {
-        let (effects, reply) = self.membership.borrow_mut().compare(self.clock.now(), bytes);
+        let (effects, reply) = self
+            .membership
+            .borrow_mut()
+            .compare(self.clock.now(), bytes);
         self.apply(effects);
         self.changed.notify_one();
         if let Some(reply) = reply {
-            let at = self.membership.borrow().view().present.get(from).map(|member| member.address);
+            let at = self
+                .membership
+                .borrow()
+                .view()
+                .present
+                .get(from)
+                .map(|member| member.address);
             // It asked over a link, which carries the answer. A full lane is counted by the transport.
-            let _ = self.transport.send(from, at, Lane::BestEffort, FrameKind::Compare, &reply);
+            let _ = self
+                .transport
+                .send(from, at, Lane::BestEffort, FrameKind::Compare, &reply);
         }
     }
 
@@ -132,7 +154,10 @@
         for effect in effects {
             match effect {
                 Effect::Send { to, bytes } => {
-                    let at = self.transport.address(&to.name, Some(to.address)).unwrap_or(to.address);
+                    let at = self
+                        .transport
+                        .address(&to.name, Some(to.address))
+                        .unwrap_or(to.address);
                     match self.transport.codec.encode(FrameKind::Gossip, &bytes) {
                         // A datagram that the system cannot take is lost, as others are.
                         Some(frame) => drop(self.socket.try_send_to(&frame, at)),
@@ -172,14 +197,25 @@
             Change::Twin(member) => ("twin", member),
             Change::Displaced(member) => ("displaced", member),
         };
-        let Member { name, number, zone, .. } = member;
+        let Member {
+            name, number, zone, ..
+        } = member;
         let (own, member, zone) = (self.own.as_str(), &**name, &**zone);
-        tracing::info!(what = "member", name = own, change = what, member, number, zone);
+        tracing::info!(
+            what = "member",
+            name = own,
+            change = what,
+            member,
+            number,
+            zone
+        );
     }
 
     /// Lets the others know how busy this one is.
     pub fn report_load(&self, load: u16) {
-        self.membership.borrow_mut().report_load(self.clock.now(), load);
+        self.membership
+            .borrow_mut()
+            .report_load(self.clock.now(), load);
     }
 
     /// Tells the others that this one goes.
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -19,8 +19,11 @@
 /// Has the events of the parts that act together written to standard error, each as a line of JSON: the rig and operators'
 /// tools read them.
 fn start_log() {
-    let lines =
-        tracing_subscriber::fmt().json().flatten_event(true).with_target(false).with_writer(std::io::stderr);
+    let lines = tracing_subscriber::fmt()
+        .json()
+        .flatten_event(true)
+        .with_target(false)
+        .with_writer(std::io::stderr);
     // Whoever embeds this may have set another one: then that is written to.
     let _ = lines.try_init();
 }
@@ -47,19 +50,31 @@
     ) -> Result<Rc<Fleet>, String> {
         start_log();
         let no_listener = |error| format!("fleet.listen: {}: {error}", section.listen);
-        let listener = TcpListener::bind(section.listen).await.map_err(no_listener)?;
+        let listener = TcpListener::bind(section.listen)
+            .await
+            .map_err(no_listener)?;
         let socket = UdpSocket::bind(section.listen).await.map_err(no_listener)?;
         // A start draws its life from its seed and from when it was: no two starts share both.
         let life = seed.rotate_left(32) ^ clock.now().to_bits();
-        let start = Start { configured_size, life, seed };
+        let start = Start {
+            configured_size,
+            life,
+            seed,
+        };
         let transport = Transport::new(section.clone(), life);
-        let membership = section
-            .membership
-            .then(|| MembershipService::new(&section, socket, transport.clone(), clock, start, on_size));
-        let fleet = Rc::new(Fleet { section, transport: transport.clone(), membership, load });
+        let membership = section.membership.then(|| {
+            MembershipService::new(&section, socket, transport.clone(), clock, start, on_size)
+        });
+        let fleet = Rc::new(Fleet {
+            section,
+            transport: transport.clone(),
+            membership,
+            load,
+        });
         let receiver = fleet.clone();
         transport.set_handler(Rc::new(move |from, frame| {
-            if let (Some(membership), Some(FrameKind::Compare)) = (&receiver.membership, frame.kind) {
+            if let (Some(membership), Some(FrameKind::Compare)) = (&receiver.membership, frame.kind)
+            {
                 membership.receive_comparison(from, frame.body());
             }
         }));
@@ -84,7 +99,10 @@
 
     fn status(&self) -> Value {
         let (dialled, accepted) = self.transport.link_counts();
-        let members = self.membership.as_ref().map(|membership| membership.status());
+        let members = self
+            .membership
+            .as_ref()
+            .map(|membership| membership.status());
         json!({"dialled": dialled, "accepted": accepted, "way": *self.transport.counters.borrow(), "members": members})
     }
 
--- a/src/net/fleet/outbox.rs
+++ b/src/net/fleet/outbox.rs
@@ -34,7 +34,12 @@
 impl Outbox {
     /// An empty one with room for `limit` bytes in each lane.
     pub fn new(limit: usize) -> Outbox {
-        Outbox { lanes: Default::default(), bytes: [0; 3], limit, dropped: 0 }
+        Outbox {
+            lanes: Default::default(),
+            bytes: [0; 3],
+            limit,
+            dropped: 0,
+        }
     }
 
     /// Puts a frame at the end of its lane.
@@ -47,7 +52,9 @@
             if lane != Lane::BestEffort {
                 return Err(Full);
             }
-            let Some(oldest) = self.lanes[at].pop_front() else { break };
+            let Some(oldest) = self.lanes[at].pop_front() else {
+                break;
+            };
             self.bytes[at] -= oldest.len();
             self.dropped += 1;
         }
--- a/src/net/fleet/outbox/tests.rs
+++ b/src/net/fleet/outbox/tests.rs
@@ -16,8 +16,13 @@
     assert_eq!(outbox.push(Lane::Consensus, frame(30)), Ok(()));
     assert_eq!(outbox.push(Lane::Consensus, frame(31)), Ok(()));
     assert_eq!(outbox.push(Lane::Consensus, frame(32)), Err(Full));
-    assert_eq!(outbox.push(Lane::BestEffort, Bytes::from(vec![0; 101])), Err(Full));
-    let order: Vec<u8> = std::iter::from_fn(|| outbox.pop()).map(|frame| frame[0]).collect();
+    assert_eq!(
+        outbox.push(Lane::BestEffort, Bytes::from(vec![0; 101])),
+        Err(Full)
+    );
+    let order: Vec<u8> = std::iter::from_fn(|| outbox.pop())
+        .map(|frame| frame[0])
+        .collect();
     assert_eq!(order, [30, 31, 20, 8, 9]);
     assert!(outbox.is_empty() && outbox.bytes == [0; 3]);
 }
--- a/src/net/fleet/transport.rs
+++ b/src/net/fleet/transport.rs
@@ -68,8 +68,10 @@
     /// Links that are up: those dialled here, and the others.
     pub fn link_counts(&self) -> (usize, usize) {
         let peers = self.peers.borrow();
-        let dialled: Vec<bool> =
-            peers.values().filter_map(|peer| peer.link.borrow().as_ref().map(|link| link.dialled)).collect();
+        let dialled: Vec<bool> = peers
+            .values()
+            .filter_map(|peer| peer.link.borrow().as_ref().map(|link| link.dialled))
+            .collect();
         let here = dialled.iter().filter(|dialled| **dialled).count();
         (here, dialled.len() - here)
     }
@@ -156,7 +158,8 @@
 
     /// Forgets a peer with whom nothing is going on.
     fn forget(&self, peer: &Peer) {
-        let idle = peer.link.borrow().is_none() && !peer.dialling.get() && peer.outbox.borrow().is_empty();
+        let idle =
+            peer.link.borrow().is_none() && !peer.dialling.get() && peer.outbox.borrow().is_empty();
         if idle {
             self.peers.borrow_mut().remove(&peer.name);
         }
@@ -172,9 +175,12 @@
             return true;
         }
         let spare = peers.values().filter(|peer| {
-            peer.outbox.borrow().is_empty() && peer.link.borrow().as_ref().is_some_and(|link| link.dialled)
+            peer.outbox.borrow().is_empty()
+                && peer.link.borrow().as_ref().is_some_and(|link| link.dialled)
         });
-        let Some(spare) = spare.min_by_key(|peer| peer.used.get()) else { return false };
+        let Some(spare) = spare.min_by_key(|peer| peer.used.get()) else {
+            return false;
+        };
         if let Some(link) = spare.link.borrow_mut().take() {
             link.close.request();
         }
--- a/src/net/fleet/transport/connection.rs
+++ b/src/net/fleet/transport/connection.rs
@@ -34,7 +34,12 @@
     ) {
         self.links_begun.set(self.links_begun.get() + 1);
         let (number, close) = (self.links_begun.get(), Rc::<CloseSignal>::default());
-        let before = peer.link.borrow_mut().replace(Link { number, dialled, life, close: close.clone() });
+        let before = peer.link.borrow_mut().replace(Link {
+            number,
+            dialled,
+            life,
+            close: close.clone(),
+        });
         if let Some(before) = before {
             before.close.request();
         }
@@ -59,7 +64,9 @@
             match ended {
                 CloseReason::Silent => counters.silent += 1,
                 CloseReason::Broken(ConnectionError::Frame(why)) => counters.record_rejected(why),
-                CloseReason::Broken(ConnectionError::Io(_)) | CloseReason::Closed | CloseReason::Idle => {}
+                CloseReason::Broken(ConnectionError::Io(_))
+                | CloseReason::Closed
+                | CloseReason::Idle => {}
             }
         }
         let mut link = peer.link.borrow_mut();
@@ -98,7 +105,10 @@
                 counters.read_bytes += (HEADER_LENGTH + frame.body().len()) as u64;
                 counters.unknown += u64::from(frame.kind.is_none());
             }
-            if matches!(frame.kind, Some(FrameKind::Heartbeat | FrameKind::Hello) | None) {
+            if matches!(
+                frame.kind,
+                Some(FrameKind::Heartbeat | FrameKind::Hello) | None
+            ) {
                 continue;
             }
             peer.used.set(Instant::now());
@@ -128,7 +138,8 @@
             let frame = match next {
                 Some(frame) => frame,
                 None => {
-                    let idle = peer.used.get().elapsed() >= Duration::from_millis(self.section.keep_ms);
+                    let idle =
+                        peer.used.get().elapsed() >= Duration::from_millis(self.section.keep_ms);
                     if dialled && idle {
                         return CloseReason::Idle;
                     }
--- a/src/net/fleet/transport/dialer.rs
+++ b/src/net/fleet/transport/dialer.rs
@@ -32,13 +32,20 @@
         let mut pause = pauses();
         loop {
             self.counters.borrow_mut().dials += 1;
-            let hello =
-                timeout(Duration::from_millis(self.section.hello_ms), self.connect(&peer, address)).await;
+            let hello = timeout(
+                Duration::from_millis(self.section.hello_ms),
+                self.connect(&peer, address),
+            )
+            .await;
             match hello {
                 Ok(Ok((reader, writer, life))) => {
                     pause = pauses();
                     // Two that dialled each other keep the link of the one whose name comes first.
-                    let theirs = peer.link.borrow().as_ref().is_some_and(|link| link.life == life);
+                    let theirs = peer
+                        .link
+                        .borrow()
+                        .as_ref()
+                        .is_some_and(|link| link.life == life);
                     if !theirs || *self.section.own < *peer.name {
                         self.run_link(&peer, reader, writer, true, life).await;
                     } else {
--- a/src/net/fleet/transport/handshake.rs
+++ b/src/net/fleet/transport/handshake.rs
@@ -29,7 +29,10 @@
 /// Splits a connection into its reader of frames and its writer.
 pub(super) fn split(stream: TcpStream, codec: FrameCodec) -> (Reader, OwnedWriteHalf) {
     let (reader, writer) = stream.into_split();
-    (FramedRead::with_capacity(reader, codec, READ_BUFFER), writer)
+    (
+        FramedRead::with_capacity(reader, codec, READ_BUFFER),
+        writer,
+    )
 }
 
 impl Transport {
@@ -38,15 +41,29 @@
         writer: &mut OwnedWriteHalf,
         to: &str,
     ) -> Result<(), ConnectionError> {
-        let hello = Hello { name: self.section.own.clone(), to: to.to_owned(), life: self.life };
-        let frame = self.codec.encode(FrameKind::Hello, &encode_body(&hello)).ok_or(FrameError::Size(0))?;
+        let hello = Hello {
+            name: self.section.own.clone(),
+            to: to.to_owned(),
+            life: self.life,
+        };
+        let frame = self
+            .codec
+            .encode(FrameKind::Hello, &encode_body(&hello))
+            .ok_or(FrameError::Size(0))?;
         Ok(writer.write_all(&frame).await?)
     }
 
-    pub(super) async fn receive_hello(&self, reader: &mut Reader) -> Result<Hello, ConnectionError> {
-        let frame = reader.next().await.ok_or(io::Error::from(io::ErrorKind::UnexpectedEof))??;
-        let hello: Option<Hello> =
-            (frame.kind == Some(FrameKind::Hello)).then(|| frame.decode_body()).flatten();
+    pub(super) async fn receive_hello(
+        &self,
+        reader: &mut Reader,
+    ) -> Result<Hello, ConnectionError> {
+        let frame = reader
+            .next()
+            .await
+            .ok_or(io::Error::from(io::ErrorKind::UnexpectedEof))??;
+        let hello: Option<Hello> = (frame.kind == Some(FrameKind::Hello))
+            .then(|| frame.decode_body())
+            .flatten();
         let hello = hello.ok_or(FrameError::Magic)?;
         if hello.to != self.section.own || hello.name == self.section.own {
             self.counters.borrow_mut().wrong_name += 1;
