--- a/src/net/fleet/transport/listener.rs
+++ b/src/net/fleet/transport/listener.rs
@@ -39,18 +39,25 @@
         };
         let hello = match timeout(Duration::from_millis(self.section.hello_ms), greeting).await {
             Ok(Ok(hello)) => hello,
-            Ok(Err(ConnectionError::Frame(why))) => return self.counters.borrow_mut().record_rejected(why),
+            Ok(Err(ConnectionError::Frame(why))) => {
+                return self.counters.borrow_mut().record_rejected(why)
+            }
             Ok(Err(ConnectionError::Io(_))) => return,
             Err(_elapsed) => return self.counters.borrow_mut().silent += 1,
         };
         let Some(peer) = self.peer(&hello.name) else {
             return self.counters.borrow_mut().crowded += 1;
         };
-        let ours = peer.link.borrow().as_ref().is_some_and(|link| link.dialled && link.life == hello.life);
+        let ours = peer
+            .link
+            .borrow()
+            .as_ref()
+            .is_some_and(|link| link.dialled && link.life == hello.life);
         if ours && *self.section.own < *peer.name {
             return self.clone().drain(peer, reader, writer).await;
         }
-        self.run_link(&peer, reader, writer, false, hello.life).await;
+        self.run_link(&peer, reader, writer, false, hello.life)
+            .await;
         self.forget(&peer);
     }
 }
--- a/src/net/fleet/transport/tests.rs
+++ b/src/net/fleet/transport/tests.rs
@@ -20,8 +20,10 @@
 ) -> (Rc<Transport>, SocketAddr, Rc<RefCell<Vec<(String, usize)>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
-    let peers: Vec<_> =
-        peers.iter().map(|(name, dial)| json!({"name": name, "dial": dial.to_string()})).collect();
+    let peers: Vec<_> = peers
+        .iter()
+        .map(|(name, dial)| json!({"name": name, "dial": dial.to_string()}))
+        .collect();
     let raw = json!({
         "name": "f", "listen": at.to_string(), "peers": peers, "links": 2, "accepted": 3, "beat_ms": 50,
         "queue_bytes": 600_000, "hello_ms": 500,
@@ -31,14 +33,19 @@
     let came: Rc<RefCell<Vec<(String, usize)>>> = Rc::default();
     let taken = came.clone();
     transport.set_handler(Rc::new(move |from, frame| {
-        taken.borrow_mut().push((from.to_owned(), frame.body().len()))
+        taken
+            .borrow_mut()
+            .push((from.to_owned(), frame.body().len()))
     }));
     tokio::task::spawn_local(transport.clone().accept(listener));
     (transport, at, came)
 }
 
 fn played(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
@@ -53,9 +60,17 @@
 /// A peer played by hand that greets as it should.
 async fn greet(at: SocketAddr, codec: FrameCodec, name: &str, to: &str) -> TcpStream {
     let mut stream = TcpStream::connect(at).await.expect("a listener");
-    let hello = Hello { name: name.to_owned(), to: to.to_owned(), life: 9 };
+    let hello = Hello {
+        name: name.to_owned(),
+        to: to.to_owned(),
+        life: 9,
+    };
     stream
-        .write_all(&codec.encode(FrameKind::Hello, &encode_body(&hello)).expect("it fits"))
+        .write_all(
+            &codec
+                .encode(FrameKind::Hello, &encode_body(&hello))
+                .expect("it fits"),
+        )
         .await
         .expect("room");
     stream
@@ -73,16 +88,28 @@
         let big = vec![0; 100_000];
         let mut refused = 0;
         for _ in 0..100 {
-            refused += u32::from(here.send("n", None, Lane::Replication, FrameKind::Compare, &big).is_err());
-            assert_eq!(here.send("b", None, Lane::Replication, FrameKind::Compare, b"small"), Ok(()));
+            refused += u32::from(
+                here.send("n", None, Lane::Replication, FrameKind::Compare, &big)
+                    .is_err(),
+            );
+            assert_eq!(
+                here.send("b", None, Lane::Replication, FrameKind::Compare, b"small"),
+                Ok(())
+            );
             tokio::task::yield_now().await;
         }
         assert!(refused > 0, "no limit was met");
         until("what the other was sent", || came.borrow().len() == 100).await;
-        until("the end of the link that does not move", || here.counters.borrow().silent >= 1).await;
+        until("the end of the link that does not move", || {
+            here.counters.borrow().silent >= 1
+        })
+        .await;
 
         let mut dribbles = greet(at, here.codec, "d", "a").await;
-        let frame = here.codec.encode(FrameKind::Compare, &[0; 1000]).expect("it fits");
+        let frame = here
+            .codec
+            .encode(FrameKind::Compare, &[0; 1000])
+            .expect("it fits");
         let before = here.counters.borrow().silent;
         for byte in frame.iter() {
             // It writes for as long as it may; what it writes is never a whole frame in time.
@@ -91,9 +118,16 @@
             }
             sleep(Duration::from_millis(5)).await;
         }
-        until("the end of the one that dribbles", || here.counters.borrow().silent > before).await;
+        until("the end of the one that dribbles", || {
+            here.counters.borrow().silent > before
+        })
+        .await;
         assert!(!came.borrow().iter().any(|(from, _)| from == "d"));
-        assert_eq!(other.link_counts().1, 1, "the one that reads keeps its link");
+        assert_eq!(
+            other.link_counts().1,
+            1,
+            "the one that reads keeps its link"
+        );
     });
 }
 
@@ -105,20 +139,46 @@
         let (other, other_at, _) = transport("b", &[]).await;
         // The address of `x` is now that of `b`.
         let (here, at, came) = transport("a", &[("x", other_at)]).await;
-        assert_eq!(here.send("x", Some(other_at), Lane::BestEffort, FrameKind::Compare, b"for x"), Ok(()));
-        until("a greeting for somebody else", || other.counters.borrow().wrong_name >= 1).await;
+        assert_eq!(
+            here.send(
+                "x",
+                Some(other_at),
+                Lane::BestEffort,
+                FrameKind::Compare,
+                b"for x"
+            ),
+            Ok(())
+        );
+        until("a greeting for somebody else", || {
+            other.counters.borrow().wrong_name >= 1
+        })
+        .await;
         assert_eq!((here.link_counts(), other.link_counts()), ((0, 0), (0, 0)));
 
         let mut next = TcpStream::connect(at).await.expect("a listener");
-        let mut hello = encode_body(&Hello { name: "n".to_owned(), to: "a".to_owned(), life: 9 });
+        let mut hello = encode_body(&Hello {
+            name: "n".to_owned(),
+            to: "a".to_owned(),
+            life: 9,
+        });
         hello.extend(encode_body(&("a field that is new", 77u32)));
-        for (kind, content) in
-            [(FrameKind::Hello as u16, &hello[..]), (999, b"?"), (FrameKind::Compare as u16, b"good")]
-        {
-            let frame = here.codec.encode_as(VERSION + 1, kind, content).expect("it fits");
+        for (kind, content) in [
+            (FrameKind::Hello as u16, &hello[..]),
+            (999, b"?"),
+            (FrameKind::Compare as u16, b"good"),
+        ] {
+            let frame = here
+                .codec
+                .encode_as(VERSION + 1, kind, content)
+                .expect("it fits");
             next.write_all(&frame).await.expect("room");
         }
-        until("its frame", || came.borrow().iter().any(|(from, length)| from == "n" && *length == 4)).await;
+        until("its frame", || {
+            came.borrow()
+                .iter()
+                .any(|(from, length)| from == "n" && *length == 4)
+        })
+        .await;
         assert_eq!(here.counters.borrow().unknown, 1);
     });
 }
@@ -132,15 +192,34 @@
         let (_c, c_at, came_c) = transport("c", &[]).await;
         let (_d, d_at, came_d) = transport("d", &[]).await;
         let (here, at, came) = transport("a", &[]).await;
-        for (name, to, came) in [("b", b_at, &came_b), ("c", c_at, &came_c), ("d", d_at, &came_d)] {
-            assert_eq!(here.send(name, Some(to), Lane::BestEffort, FrameKind::Compare, b"hello"), Ok(()));
+        for (name, to, came) in [
+            ("b", b_at, &came_b),
+            ("c", c_at, &came_c),
+            ("d", d_at, &came_d),
+        ] {
+            assert_eq!(
+                here.send(
+                    name,
+                    Some(to),
+                    Lane::BestEffort,
+                    FrameKind::Compare,
+                    b"hello"
+                ),
+                Ok(())
+            );
             until("a frame", || !came.borrow().is_empty()).await;
             assert!(here.link_counts().0 <= 2);
         }
         until("the oldest to leave", || b.link_counts() == (0, 0)).await;
         // Both at once: whichever comes up first, one is left, and both ways carry.
-        assert_eq!(here.send("b", Some(b_at), Lane::BestEffort, FrameKind::Compare, b"1"), Ok(()));
-        assert_eq!(b.send("a", Some(at), Lane::BestEffort, FrameKind::Compare, b"2"), Ok(()));
+        assert_eq!(
+            here.send("b", Some(b_at), Lane::BestEffort, FrameKind::Compare, b"1"),
+            Ok(())
+        );
+        assert_eq!(
+            b.send("a", Some(at), Lane::BestEffort, FrameKind::Compare, b"2"),
+            Ok(())
+        );
         until("both frames", || {
             came.borrow().iter().any(|(from, _)| from == "b") && came_b.borrow().len() == 2
         })
@@ -151,10 +230,15 @@
         for _ in 0..6 {
             strangers.push(TcpStream::connect(at).await.expect("a listener"));
         }
-        until("those that are too many", || here.counters.borrow().crowded >= 3).await;
+        until("those that are too many", || {
+            here.counters.borrow().crowded >= 3
+        })
+        .await;
         // Those that say nothing are told nothing and end.
         let mut rest = Vec::new();
-        let ended = timeout(PATIENCE, strangers[0].read_to_end(&mut rest)).await.expect("an end");
+        let ended = timeout(PATIENCE, strangers[0].read_to_end(&mut rest))
+            .await
+            .expect("an end");
         assert!(ended.is_err() || rest.is_empty());
     });
 }
--- a/src/net/fleet_section.rs
+++ b/src/net/fleet_section.rs
@@ -24,7 +24,9 @@
         fault: String,
     },
     /// It leaves too few descriptors for clients and backends.
-    #[error("fleet.accepted: {accepted} and fleet.links: {links} leave too little of {sockets} sockets")]
+    #[error(
+        "fleet.accepted: {accepted} and fleet.links: {links} leave too little of {sockets} sockets"
+    )]
     Descriptors {
         /// Connections that are accepted at most.
         accepted: usize,
@@ -37,7 +39,10 @@
 
 impl SectionError {
     fn value(key: &str, fault: String) -> SectionError {
-        SectionError::Value { key: key.to_owned(), fault }
+        SectionError::Value {
+            key: key.to_owned(),
+            fault,
+        }
     }
 }
 
@@ -180,7 +185,8 @@
         check_length("name", &self.name, LONGEST_NAME)?;
         check_length("zone", &self.zone, LONGEST_ZONE)?;
         if self.name.is_empty() || own.is_empty() || own.len() > LONGEST_NAME {
-            let fault = format!("the fleet and its front doors need names of 1 to {LONGEST_NAME} bytes");
+            let fault =
+                format!("the fleet and its front doors need names of 1 to {LONGEST_NAME} bytes");
             return Err(SectionError::value("name", fault));
         }
         let listen = parse_address("listen", &self.listen)?;
@@ -236,19 +242,29 @@
 fn check_length(key: &str, text: &str, longest: usize) -> Result<(), SectionError> {
     let length = text.len();
     if length > longest {
-        return Err(SectionError::value(key, format!("{length} bytes where {longest} are the most")));
+        return Err(SectionError::value(
+            key,
+            format!("{length} bytes where {longest} are the most"),
+        ));
     }
     Ok(())
 }
 
 fn parse_address(key: &str, text: &str) -> Result<SocketAddr, SectionError> {
-    let address = text.parse::<SocketAddr>().ok().filter(|address| address.port() != 0);
-    address.ok_or_else(|| SectionError::value(key, format!("{text:?} is not an address with a port")))
+    let address = text
+        .parse::<SocketAddr>()
+        .ok()
+        .filter(|address| address.port() != 0);
+    address
+        .ok_or_else(|| SectionError::value(key, format!("{text:?} is not an address with a port")))
 }
 
 fn within(key: &str, value: u64, least: u64, most: u64) -> Result<u64, SectionError> {
     if !(least..=most).contains(&value) {
-        return Err(SectionError::value(key, format!("{value} is not between {least} and {most}")));
+        return Err(SectionError::value(
+            key,
+            format!("{value} is not between {least} and {most}"),
+        ));
     }
     Ok(value)
 }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -57,14 +57,26 @@
         let sane = |known: &Known| known.end > now - KEPT && known.end <= now + most;
         let mut before: HashMap<Rc<str>, Known> = HashMap::new();
         // The last lines count: of what is over the bound, the oldest is left out.
-        for (id, known) in text.lines().rev().filter_map(read).filter(|(_, known)| sane(known)).take(2 * MOST)
+        for (id, known) in text
+            .lines()
+            .rev()
+            .filter_map(read)
+            .filter(|(_, known)| sane(known))
+            .take(2 * MOST)
         {
             let entry = before.entry(id.into()).or_insert(known);
             entry.ran |= known.ran;
             entry.end = entry.end.min(known.end);
         }
-        let mut handover =
-            Handover { path, file: None, again: now, written: 0, clock, before, own: HashMap::new() };
+        let mut handover = Handover {
+            path,
+            file: None,
+            again: now,
+            written: 0,
+            clock,
+            before,
+            own: HashMap::new(),
+        };
         handover.compact()?;
         Ok(handover)
     }
@@ -152,7 +164,11 @@
 }
 
 fn line(id: &str, known: Known) -> String {
-    format!("1 {:.0} {} {id}\n", known.end, if known.ran { "ran" } else { "taken" })
+    format!(
+        "1 {:.0} {} {id}\n",
+        known.end,
+        if known.ran { "ran" } else { "taken" }
+    )
 }
 
 fn read(line: &str) -> Option<(&str, Known)> {
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -19,9 +19,14 @@
     );
     std::fs::write(&path, [text.as_bytes(), b"\xff\xfe"].concat()).expect("a file");
     let handover = Handover::open(path.clone(), clock, 8000.0).expect("a handover");
-    let known: Vec<_> =
-        "abcdefgh".chars().map(|id| handover.before(&id.to_string()).map(|k| k.ran)).collect();
-    assert_eq!(known, [Some(true), Some(false), None, None, None, None, None, None]);
+    let known: Vec<_> = "abcdefgh"
+        .chars()
+        .map(|id| handover.before(&id.to_string()).map(|k| k.ran))
+        .collect();
+    assert_eq!(
+        known,
+        [Some(true), Some(false), None, None, None, None, None, None]
+    );
     assert!((handover.before("a").expect("known").end - near).abs() <= 1.0);
     std::fs::remove_file(path).expect("the file");
 }
--- a/src/net/links.rs
+++ b/src/net/links.rs
@@ -45,7 +45,9 @@
 impl Bounds {
     /// Links that a front door may hold at a backend beyond what its mean need and chance ask for.
     fn spare(&self) -> f64 {
-        (FLEET_SPARE / f64::from(self.doors.max(1))).max(LEAST_SPARE).floor()
+        (FLEET_SPARE / f64::from(self.doors.max(1)))
+            .max(LEAST_SPARE)
+            .floor()
     }
 }
 
@@ -157,8 +159,9 @@
 
     /// Whether links of this idle age, and of every lower one, hold.
     fn hold(&self, now: Millis, idle: Millis) -> bool {
-        let fails =
-            |band: &Band| band.broken * band.kept(now) >= FAILING && band.broken >= FAILING_PART * band.used;
+        let fails = |band: &Band| {
+            band.broken * band.kept(now) >= FAILING && band.broken >= FAILING_PART * band.used
+        };
         !self.0[..=Self::band(idle)].iter().any(fails)
     }
 }
@@ -196,7 +199,11 @@
     /// Brings the mean need up to now; call before what is out or waits changes.
     fn observe(&mut self, now: Millis) {
         let present = (self.busy + self.waiting.len()) as f64;
-        let memory = if present > self.need { NEED_RISE } else { NEED_MEMORY };
+        let memory = if present > self.need {
+            NEED_RISE
+        } else {
+            NEED_MEMORY
+        };
         let keep = (-(now - self.need_at).max(0.0) / memory).exp();
         self.need = self.need * keep + present * (1.0 - keep);
         self.need_at = now;
@@ -205,7 +212,9 @@
     /// Links that may be held, `spare` of them whatever the need.
     fn limit(&self, now: Millis, spare: f64) -> usize {
         let needed = (self.need + CHANCE * self.need.sqrt()).floor() + spare;
-        let room = self.most.map_or(f64::INFINITY, |most| most + (now - self.most_at).max(0.0) / GROW);
+        let room = self.most.map_or(f64::INFINITY, |most| {
+            most + (now - self.most_at).max(0.0) / GROW
+        });
         needed.min(room.floor()).max(1.0) as usize
     }
 }
@@ -228,7 +237,16 @@
     pub fn new(bounds: Bounds, seed: u64) -> Links<B> {
         let (shelves, ages) = (BTreeMap::new(), Ages::default());
         let rng = Pcg32::seed_from_u64(seed);
-        Links { bounds, shelves, ages, rng, rate: 0.0, rate_at: 0.0, open: 0, dialled: 0 }
+        Links {
+            bounds,
+            shelves,
+            ages,
+            rng,
+            rate: 0.0,
+            rate_at: 0.0,
+            open: 0,
+            dialled: 0,
+        }
     }
 
     /// Reckons with so many front doors from now on.
@@ -261,7 +279,10 @@
         let longest = self.longest_idle();
         let shelf = self.shelves.entry(to).or_default();
         shelf.observe(now);
-        let settled = shelf.idle.iter().rposition(|(_, since)| now - since >= SETTLED);
+        let settled = shelf
+            .idle
+            .iter()
+            .rposition(|(_, since)| now - since >= SETTLED);
         if let Some(place) = settled.or(shelf.idle.len().checked_sub(1)) {
             let (link, since) = shelf.idle[place];
             let idle = now - since;
@@ -284,8 +305,11 @@
     /// Begins the dials that are due: no more than wait, few at a time, and none beyond what may be held.
     fn dial(&mut self, now: Millis, to: B, effects: &mut Vec<Effect<B>>) {
         let spare = self.bounds.spare();
-        let Some(shelf) = self.shelves.get_mut(&to) else { return };
-        while shelf.dials.len() < shelf.waiting.len().min(AT_ONCE) && self.open < self.bounds.budget {
+        let Some(shelf) = self.shelves.get_mut(&to) else {
+            return;
+        };
+        while shelf.dials.len() < shelf.waiting.len().min(AT_ONCE) && self.open < self.bounds.budget
+        {
             // What is idle and was not good enough is no reason to go without.
             let held = shelf.busy + shelf.dials.len();
             if held > 0 && held >= shelf.limit(now, spare) {
@@ -307,7 +331,9 @@
 
     /// A time that was asked for has come.
     pub fn wake(&mut self, now: Millis, to: B, effects: &mut Vec<Effect<B>>) {
-        let Some(shelf) = self.shelves.get_mut(&to) else { return };
+        let Some(shelf) = self.shelves.get_mut(&to) else {
+            return;
+        };
         let ahead = shelf.ahead.take_if(|at| *at <= now).is_some();
         if ahead && shelf.held() == 0 && self.open < self.bounds.budget {
             self.dialled += 1;
@@ -335,7 +361,14 @@
     }
 
     /// A dial came up as this link: for whoever waits longest, or for later.
-    pub fn dialled(&mut self, now: Millis, to: B, dial: DialId, link: LinkId, effects: &mut Vec<Effect<B>>) {
+    pub fn dialled(
+        &mut self,
+        now: Millis,
+        to: B,
+        dial: DialId,
+        link: LinkId,
+        effects: &mut Vec<Effect<B>>,
+    ) {
         let Some(shelf) = self.over(to, dial) else {
             self.open = self.open.saturating_sub(1);
             effects.push(Effect::Close(link));
@@ -348,10 +381,19 @@
     }
 
     /// A dial did not come up; it was this front door's own doing (`own`) or the backend's.
-    pub fn refused(&mut self, now: Millis, to: B, dial: DialId, own: bool, effects: &mut Vec<Effect<B>>) {
+    pub fn refused(
+        &mut self,
+        now: Millis,
+        to: B,
+        dial: DialId,
+        own: bool,
+        effects: &mut Vec<Effect<B>>,
+    ) {
         self.open = self.open.saturating_sub(1);
         let spare = self.bounds.spare();
-        let Some(shelf) = self.over(to, dial) else { return };
+        let Some(shelf) = self.over(to, dial) else {
+            return;
+        };
         shelf.observe(now);
         let live = shelf.busy + shelf.idle.len() > 0;
         if live && !own {
@@ -373,7 +415,10 @@
     /// Takes a dial that is over off the shelf it was begun for; nothing if what it was begun for has changed since.
     fn over(&mut self, to: B, dial: DialId) -> Option<&mut Shelf> {
         let shelf = self.shelves.get_mut(&to)?;
-        let place = shelf.dials.iter().position(|under_way| *under_way == dial)?;
+        let place = shelf
+            .dials
+            .iter()
+            .position(|under_way| *under_way == dial)?;
         shelf.dials.remove(place);
         Some(shelf)
     }
@@ -400,7 +445,14 @@
     }
 
     /// A link comes back that has carried nothing since it had been idle for so long: it is as old as it was.
-    pub fn returned(&mut self, now: Millis, to: B, link: LinkId, idle: Millis, effects: &mut Vec<Effect<B>>) {
+    pub fn returned(
+        &mut self,
+        now: Millis,
+        to: B,
+        link: LinkId,
+        idle: Millis,
+        effects: &mut Vec<Effect<B>>,
+    ) {
         let Some(shelf) = self.shelves.get_mut(&to) else {
             self.open = self.open.saturating_sub(1);
             effects.push(Effect::Close(link));
@@ -412,7 +464,9 @@
             return;
         }
         shelf.busy = shelf.busy.saturating_sub(1);
-        let place = shelf.idle.partition_point(|(_, since)| *since <= now - idle);
+        let place = shelf
+            .idle
+            .partition_point(|(_, since)| *since <= now - idle);
         shelf.idle.insert(place, (link, now - idle));
     }
 
@@ -437,29 +491,46 @@
     /// What is idle to a backend leads nowhere: it drains, fell silent, or another process has its address. `anew` if
     /// dials under way lead nowhere either.
     pub fn close(&mut self, to: B, anew: bool, effects: &mut Vec<Effect<B>>) {
-        let Some(shelf) = self.shelves.get_mut(&to) else { return };
+        let Some(shelf) = self.shelves.get_mut(&to) else {
+            return;
+        };
         self.open = self.open.saturating_sub(shelf.idle.len());
         effects.extend(shelf.idle.drain(..).map(|(link, _)| Effect::Close(link)));
         if anew {
             shelf.dials.clear();
             (shelf.most, shelf.not_before, shelf.wakes, shelf.ahead) = (None, 0.0, 0.0, None);
-            effects.extend(shelf.waiting.drain(..).map(|who| Effect::Fail(who, Why::Gone)));
+            effects.extend(
+                shelf
+                    .waiting
+                    .drain(..)
+                    .map(|who| Effect::Fail(who, Why::Gone)),
+            );
         }
     }
 
     /// A backend that is gone. Links that carry something end with what they carry.
     pub fn forget(&mut self, to: B, effects: &mut Vec<Effect<B>>) {
         self.close(to, true, effects);
-        let Some(shelf) = self.shelves.remove(&to) else { return };
+        let Some(shelf) = self.shelves.remove(&to) else {
+            return;
+        };
         // What is still out comes back to nobody; the driver closes it and tells.
         if shelf.busy > 0 {
-            self.shelves.insert(to, Shelf { busy: shelf.busy, ..Shelf::default() });
+            self.shelves.insert(
+                to,
+                Shelf {
+                    busy: shelf.busy,
+                    ..Shelf::default()
+                },
+            );
         }
     }
 
     /// Whether a dial to a backend is under way.
     pub fn dialling(&self, to: B) -> bool {
-        self.shelves.get(&to).is_some_and(|shelf| !shelf.dials.is_empty())
+        self.shelves
+            .get(&to)
+            .is_some_and(|shelf| !shelf.dials.is_empty())
     }
 
     /// Links to a backend that carry nothing.
@@ -472,7 +543,9 @@
     #[cfg(test)]
     pub fn most(&self, now: Millis, to: B) -> usize {
         let spare = self.bounds.spare();
-        self.shelves.get(&to).map_or(spare as usize, |shelf| shelf.limit(now, spare))
+        self.shelves
+            .get(&to)
+            .map_or(spare as usize, |shelf| shelf.limit(now, spare))
     }
 
     /// Makes idle links older.
@@ -496,14 +569,28 @@
             let limit = shelf.limit(now, spare);
             let over = shelf.held().saturating_sub(limit);
             // The least recently used go first.
-            let old = shelf.idle.iter().take_while(|(_, since)| now - since >= longest).count();
+            let old = shelf
+                .idle
+                .iter()
+                .take_while(|(_, since)| now - since >= longest)
+                .count();
             let gone = old.max(over).min(shelf.idle.len());
             self.open = self.open.saturating_sub(gone);
-            effects.extend(shelf.idle.drain(..gone).map(|(link, _)| Effect::Close(link)));
+            effects.extend(
+                shelf
+                    .idle
+                    .drain(..gone)
+                    .map(|(link, _)| Effect::Close(link)),
+            );
         }
         self.shelves.retain(|_, shelf| {
-            let known = shelf.most.is_some_and(|most| most + (now - shelf.most_at) / GROW < 64.0);
-            shelf.held() + shelf.waiting.len() > 0 || shelf.ahead.is_some() || known || shelf.need > 0.01
+            let known = shelf
+                .most
+                .is_some_and(|most| most + (now - shelf.most_at) / GROW < 64.0);
+            shelf.held() + shelf.waiting.len() > 0
+                || shelf.ahead.is_some()
+                || known
+                || shelf.need > 0.01
         });
     }
 
@@ -530,7 +617,10 @@
 
     /// Closes the link that has been idle longest, wherever it leads; tells whether there was one.
     fn close_oldest(&mut self, effects: &mut Vec<Effect<B>>) -> bool {
-        let shelves = self.shelves.values_mut().filter(|shelf| !shelf.idle.is_empty());
+        let shelves = self
+            .shelves
+            .values_mut()
+            .filter(|shelf| !shelf.idle.is_empty());
         let oldest = shelves.min_by(|a, b| a.idle[0].1.total_cmp(&b.idle[0].1));
         let Some(shelf) = oldest else { return false };
         let (link, _) = shelf.idle.remove(0);
--- a/src/net/links/tests.rs
+++ b/src/net/links/tests.rs
@@ -6,7 +6,13 @@
 use std::collections::BTreeSet;
 
 fn bounds() -> Bounds {
-    Bounds { budget: 12, idle_close: 30_000.0, doors: 300, handshake_price: 0.02, connection_price: 0.0 }
+    Bounds {
+        budget: 12,
+        idle_close: 30_000.0,
+        doors: 300,
+        handshake_price: 0.02,
+        connection_price: 0.0,
+    }
 }
 
 fn links() -> Links<u32> {
@@ -30,7 +36,11 @@
     /// The oldest dial to a backend, which is over with this.
     fn oldest(&mut self, to: u32) -> DialId {
         self.settle();
-        let place = self.begun.iter().position(|(at, _)| *at == to).expect("a dial under way");
+        let place = self
+            .begun
+            .iter()
+            .position(|(at, _)| *at == to)
+            .expect("a dial under way");
         self.begun.remove(place).1
     }
 
@@ -73,12 +83,18 @@
         ages.learn(start, old, true);
         ages.learn(start, old, false);
     }
-    assert_eq!([young, old, older].map(|age| ages.hold(start, age)), [true, false, false]);
+    assert_eq!(
+        [young, old, older].map(|age| ages.hold(start, age)),
+        [true, false, false]
+    );
     let later = start + 8000.0;
     for _ in 0..10 {
         ages.learn(later, old, false);
     }
-    assert_eq!([young, old, older].map(|age| ages.hold(later, age)), [true; 3]);
+    assert_eq!(
+        [young, old, older].map(|age| ages.hold(later, age)),
+        [true; 3]
+    );
     // Silence too lets them be tried again.
     assert!(ages.hold(start + 60_000.0, older));
 }
@@ -87,9 +103,21 @@
 /// other; what is idle beyond the bound is closed, not taken.
 #[test]
 fn the_most_recently_used_link_is_taken_first() {
-    let (mut links, mut driver) = (Links::new(Bounds { doors: 3, ..bounds() }, 7), Driver::default());
+    let (mut links, mut driver) = (
+        Links::new(
+            Bounds {
+                doors: 3,
+                ..bounds()
+            },
+            7,
+        ),
+        Driver::default(),
+    );
     for link in 1..=3u64 {
-        assert_eq!(links.take(0.0, 1, Ticket(link), false, &mut driver.effects), Taken::Waits);
+        assert_eq!(
+            links.take(0.0, 1, Ticket(link), false, &mut driver.effects),
+            Taken::Waits
+        );
     }
     for link in 1..=3u64 {
         driver.up(&mut links, 1.0, 1, link);
@@ -99,11 +127,23 @@
     }
     driver.settle();
     assert_eq!((driver.dials.len(), driver.given.len()), (3, 3));
-    assert_eq!(links.take(301.0, 1, Ticket(4), false, &mut driver.effects), Taken::Kept(LinkId(2), 101));
-    assert_eq!(links.take(302.0, 1, Ticket(5), false, &mut driver.effects), Taken::Kept(LinkId(1), 202));
-    assert_eq!(links.take(302.5, 1, Ticket(6), false, &mut driver.effects), Taken::Kept(LinkId(3), 2));
+    assert_eq!(
+        links.take(301.0, 1, Ticket(4), false, &mut driver.effects),
+        Taken::Kept(LinkId(2), 101)
+    );
+    assert_eq!(
+        links.take(302.0, 1, Ticket(5), false, &mut driver.effects),
+        Taken::Kept(LinkId(1), 202)
+    );
+    assert_eq!(
+        links.take(302.5, 1, Ticket(6), false, &mut driver.effects),
+        Taken::Kept(LinkId(3), 2)
+    );
     links.freed(400.0, 1, LinkId(3), &mut driver.effects);
-    assert_eq!(links.take(18_500.0, 1, Ticket(7), false, &mut driver.effects), Taken::Waits);
+    assert_eq!(
+        links.take(18_500.0, 1, Ticket(7), false, &mut driver.effects),
+        Taken::Waits
+    );
     links.tidy(18_500.0, &mut driver.effects);
     driver.settle();
     assert_eq!(driver.closed, [LinkId(3)]);
@@ -124,22 +164,40 @@
         (2, &[(Ticket(1), LinkId(1)), (Ticket(2), LinkId(1))][..])
     );
     driver.up(&mut links, 4.0, 1, 2);
-    assert_eq!(links.take(10.0, 1, Ticket(3), false, &mut driver.effects), Taken::Kept(LinkId(2), 6));
+    assert_eq!(
+        links.take(10.0, 1, Ticket(3), false, &mut driver.effects),
+        Taken::Kept(LinkId(2), 6)
+    );
     // One breaks, so that there is room for another dial.
     links.lost(10.5, 1, &mut driver.effects);
     links.take(11.0, 1, Ticket(4), false, &mut driver.effects);
     links.left(12.0, 1, Ticket(4));
     driver.up(&mut links, 13.0, 1, 3);
-    assert_eq!(links.take(20.0, 1, Ticket(5), false, &mut driver.effects), Taken::Kept(LinkId(3), 7));
+    assert_eq!(
+        links.take(20.0, 1, Ticket(5), false, &mut driver.effects),
+        Taken::Kept(LinkId(3), 7)
+    );
 }
 
 /// Guards a backend against a burst of dials: few are under way at a time, and no more are held than the mean need and
 /// chance ask for; those beyond wait for what comes free.
 #[test]
 fn a_burst_dials_few_at_a_time_and_no_more_than_the_need() {
-    let (mut links, mut driver) = (Links::new(Bounds { budget: 100, ..bounds() }, 7), Driver::default());
+    let (mut links, mut driver) = (
+        Links::new(
+            Bounds {
+                budget: 100,
+                ..bounds()
+            },
+            7,
+        ),
+        Driver::default(),
+    );
     for who in 0..40 {
-        assert_eq!(links.take(0.0, 1, Ticket(who), false, &mut driver.effects), Taken::Waits);
+        assert_eq!(
+            links.take(0.0, 1, Ticket(who), false, &mut driver.effects),
+            Taken::Waits
+        );
     }
     driver.settle();
     assert_eq!(driver.dials.len(), AT_ONCE);
@@ -149,7 +207,11 @@
         up += 1;
         driver.settle();
     }
-    assert_eq!((driver.dials.len(), driver.given.len()), (2, 2), "no need has been seen yet");
+    assert_eq!(
+        (driver.dials.len(), driver.given.len()),
+        (2, 2),
+        "no need has been seen yet"
+    );
     // It lasts: the need is learnt, and more is held.
     for now in 1..200 {
         let link = driver.given.last().expect("a link").1;
@@ -168,7 +230,11 @@
             driver.settle();
         }
     }
-    assert!((20..=60).contains(&driver.dials.len()), "{} dials for a need of forty", driver.dials.len());
+    assert!(
+        (20..=60).contains(&driver.dials.len()),
+        "{} dials for a need of forty",
+        driver.dials.len()
+    );
 }
 
 /// Guards a table that all front doors share: a dial refused beside links that work halves what is held there, the
@@ -187,10 +253,19 @@
     driver.down(&mut links, 2.0, 1, false);
     driver.down(&mut links, 2.0, 1, false);
     driver.settle();
-    assert_eq!(driver.failed, [(Ticket(6), Why::Full), (Ticket(7), Why::Full)]);
+    assert_eq!(
+        driver.failed,
+        [(Ticket(6), Why::Full), (Ticket(7), Why::Full)]
+    );
     let shelf = &links.shelves[&1];
-    assert_eq!([2.0, 2.0 + GROW, 2.0 + 4.0 * GROW].map(|at| shelf.limit(at, 2.0)), [3, 4, 7]);
-    assert_eq!(links.take(3.0, 1, Ticket(20), false, &mut driver.effects), Taken::Waits);
+    assert_eq!(
+        [2.0, 2.0 + GROW, 2.0 + 4.0 * GROW].map(|at| shelf.limit(at, 2.0)),
+        [3, 4, 7]
+    );
+    assert_eq!(
+        links.take(3.0, 1, Ticket(20), false, &mut driver.effects),
+        Taken::Waits
+    );
     assert_eq!(driver.effects, [], "a dial to a full table");
 }
 
@@ -223,14 +298,21 @@
         driver.settle();
         let [before, after] = [driver.begun[0].1, driver.begun[1].1];
         // In whichever order they come up: the one begun before the change is told by its number.
-        let order = if late { [after, before] } else { [before, after] };
+        let order = if late {
+            [after, before]
+        } else {
+            [before, after]
+        };
         for (dial, link) in order.into_iter().zip(1..) {
             links.dialled(2.0, 1, dial, LinkId(link), &mut driver.effects);
         }
         driver.settle();
         let [stale, good] = if late { [2, 1] } else { [1, 2] };
         assert_eq!(driver.failed, [(Ticket(1), Why::Gone)]);
-        assert_eq!((driver.closed, driver.given), (vec![LinkId(stale)], vec![(Ticket(2), LinkId(good))]));
+        assert_eq!(
+            (driver.closed, driver.given),
+            (vec![LinkId(stale)], vec![(Ticket(2), LinkId(good))])
+        );
         assert_eq!(links.open(), 1);
     }
 }
@@ -245,8 +327,14 @@
     links.take(0.0, 1, Ticket(1), true, &mut driver.effects);
     driver.up(&mut links, 0.0, 1, 1);
     links.freed(0.0, 1, LinkId(1), &mut driver.effects);
-    assert_eq!(links.take(6000.0, 1, Ticket(2), true, &mut driver.effects), Taken::Waits);
-    assert_eq!(links.take(6000.0, 1, Ticket(3), false, &mut driver.effects), Taken::Kept(LinkId(1), 6000));
+    assert_eq!(
+        links.take(6000.0, 1, Ticket(2), true, &mut driver.effects),
+        Taken::Waits
+    );
+    assert_eq!(
+        links.take(6000.0, 1, Ticket(3), false, &mut driver.effects),
+        Taken::Kept(LinkId(1), 6000)
+    );
 }
 
 /// Guards a backend that a fleet hears of at one instant: the dials ahead of traffic are spread over the time they
@@ -255,12 +343,20 @@
 fn dials_ahead_of_traffic_are_spread() {
     let mut tenths = [0; 10];
     for door in 0..300 {
-        let (unpriced, mut driver) = (Bounds { handshake_price: 0.0, ..bounds() }, Driver::default());
+        let (unpriced, mut driver) = (
+            Bounds {
+                handshake_price: 0.0,
+                ..bounds()
+            },
+            Driver::default(),
+        );
         let mut links = Links::<u32>::new(unpriced, door);
         links.ahead(0.0, 1, 1000.0, &mut driver.effects);
         links.ahead(0.0, 1, 1000.0, &mut driver.effects);
         driver.settle();
-        let [(1, at)] = driver.wakes[..] else { panic!("{:?}", driver.wakes) };
+        let [(1, at)] = driver.wakes[..] else {
+            panic!("{:?}", driver.wakes)
+        };
         tenths[(at / 100.0) as usize] += 1;
         if door % 2 == 0 {
             links.take(at / 2.0, 1, Ticket(1), false, &mut driver.effects);
@@ -273,19 +369,38 @@
         priced.ahead(0.0, 1, 1000.0, &mut none);
         assert_eq!(none, [], "a priced handshake on a guess");
     }
-    assert!(tenths.iter().all(|count| (10..=60).contains(count)), "{tenths:?}");
+    assert!(
+        tenths.iter().all(|count| (10..=60).contains(count)),
+        "{tenths:?}"
+    );
 }
 
 /// Guards prices: where open links cost and handshakes are cheap, none is kept for longer than it is worth.
 #[test]
 fn a_link_is_kept_no_longer_than_it_is_worth() {
-    let mut links: Links<u32> = Links::new(Bounds { connection_price: 1.0, ..bounds() }, 7);
+    let mut links: Links<u32> = Links::new(
+        Bounds {
+            connection_price: 1.0,
+            ..bounds()
+        },
+        7,
+    );
     assert_eq!(links.longest_idle(), 18_000.0);
     for who in 0..1000u32 {
-        links.take(f64::from(who) * 50.0, who % 10, Ticket(u64::from(who)), false, &mut Vec::new());
+        links.take(
+            f64::from(who) * 50.0,
+            who % 10,
+            Ticket(u64::from(who)),
+            false,
+            &mut Vec::new(),
+        );
     }
     // 20 a second at 300 front doors, ten backends: 0.02 * 100 * 10 / 6000 s.
-    assert!((links.longest_idle() - 3.3).abs() < 0.3, "{}", links.longest_idle());
+    assert!(
+        (links.longest_idle() - 3.3).abs() < 0.3,
+        "{}",
+        links.longest_idle()
+    );
     links.bounds.connection_price = 0.0;
     assert_eq!(links.longest_idle(), 18_000.0);
 }
@@ -294,7 +409,10 @@
 fn churn(seed: u64, steps: u32) {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut pick = move |n: u32| rng.next_u32() % n;
-    let unpriced = Bounds { handshake_price: 0.0, ..bounds() };
+    let unpriced = Bounds {
+        handshake_price: 0.0,
+        ..bounds()
+    };
     let (mut links, mut driver, mut now) = (Links::new(unpriced, seed), Driver::default(), 0.0);
     let (mut number, mut dialling) = (0u64, Vec::<(u32, DialId)>::new());
     let (mut busy, mut idle) = (Vec::<(u32, LinkId)>::new(), BTreeSet::<LinkId>::new());
@@ -344,26 +462,48 @@
                 _ => links.tidy(now, &mut driver.effects),
             },
         }
-        let due: Vec<_> = driver.wakes.iter().filter(|(_, at)| *at <= now).copied().collect();
+        let due: Vec<_> = driver
+            .wakes
+            .iter()
+            .filter(|(_, at)| *at <= now)
+            .copied()
+            .collect();
         driver.wakes.retain(|(_, at)| *at > now);
-        due.into_iter().for_each(|(to, _)| links.wake(now, to, &mut driver.effects));
+        due.into_iter()
+            .for_each(|(to, _)| links.wake(now, to, &mut driver.effects));
         driver.settle();
         dialling.append(&mut driver.begun);
         for (who, link) in driver.given.drain(..) {
-            let place = waiting.iter().position(|(_, waits)| *waits == who).expect("one that waits");
+            let place = waiting
+                .iter()
+                .position(|(_, waits)| *waits == who)
+                .expect("one that waits");
             let (to, _) = waiting.swap_remove(place);
             assert!(idle.remove(&link), "a link given twice");
             busy.push((to, link));
         }
         for (who, _) in driver.failed.drain(..) {
-            let place = waiting.iter().position(|(_, waits)| *waits == who).expect("one that waits");
+            let place = waiting
+                .iter()
+                .position(|(_, waits)| *waits == who)
+                .expect("one that waits");
             waiting.swap_remove(place);
         }
         for link in driver.closed.drain(..) {
-            assert!(idle.remove(&link), "a link closed that carries something or is gone");
+            assert!(
+                idle.remove(&link),
+                "a link closed that carries something or is gone"
+            );
         }
-        assert_eq!(links.open(), dialling.len() + busy.len() + idle.len(), "step {step}");
-        assert!(links.open() <= bounds().budget, "over the budget of descriptors");
+        assert_eq!(
+            links.open(),
+            dialling.len() + busy.len() + idle.len(),
+            "step {step}"
+        );
+        assert!(
+            links.open() <= bounds().budget,
+            "over the budget of descriptors"
+        );
         for (to, who) in &waiting {
             let helped = dialling.iter().any(|(at, _)| at == to)
                 || busy.iter().any(|(at, _)| at == to)
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -58,13 +58,17 @@
     // Before anything else: until they are caught, both end the process.
     let mut reload = signal(SignalKind::hangup()).map_err(no_signals)?;
     let mut stop = signal(SignalKind::terminate()).map_err(no_signals)?;
-    let config =
-        Config::from_env().map_err(|error| Stopped { code: error.code(), why: error.to_string() })?;
+    let config = Config::from_env().map_err(|error| Stopped {
+        code: error.code(),
+        why: error.to_string(),
+    })?;
     let listen = config.listen;
     let listener = tokio::net::TcpListener::bind(listen)
         .await
         .map_err(|error| format!("cannot listen on {listen}: {error}"))?;
-    let bound = listener.local_addr().map_err(|error| format!("cannot listen on {listen}: {error}"))?;
+    let bound = listener
+        .local_addr()
+        .map_err(|error| format!("cannot listen on {listen}: {error}"))?;
     let door = Door::new(&config, woken)?;
     tokio::task::spawn_local(door.clone().keep_time());
     tokio::task::spawn_local(door.clone().tidy());
@@ -72,7 +76,12 @@
     let agent = watch::Sender::new(config.discovery);
     let backoff = Backoff::new(door.site.settings.gateways, config.seed);
     let callers = backoff.gateways();
-    tokio::task::spawn_local(discovery::follow(door.clone(), agent.subscribe(), config.known, backoff));
+    tokio::task::spawn_local(discovery::follow(
+        door.clone(),
+        agent.subscribe(),
+        config.known,
+        backoff,
+    ));
     let clients = Clients::new(door.clone(), door.site.clone(), sockets);
     tokio::task::spawn_local(clients.clone().accept(listener));
     tokio::task::spawn_local(clients.clone().sweep());
@@ -93,7 +102,17 @@
                 }
             };
             let (clock, told) = (door.site.clock, door.site.settings.gateways);
-            Some(Fleet::start(section, clock, told, config.seed, Box::new(load), Box::new(sized)).await?)
+            Some(
+                Fleet::start(
+                    section,
+                    clock,
+                    told,
+                    config.seed,
+                    Box::new(load),
+                    Box::new(sized),
+                )
+                .await?,
+            )
         }
         None => None,
     };
--- a/src/net/permit.rs
+++ b/src/net/permit.rs
@@ -17,7 +17,11 @@
 impl Permit {
     /// For an attempt of this client's request within this part of its time.
     pub fn new(client: Rc<dyn Presence>, part: Allowance, clock: Clock) -> Permit {
-        Permit { client, part, clock }
+        Permit {
+            client,
+            part,
+            clock,
+        }
     }
 
     /// Whether its client still waits and there is still time to begin.
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -50,7 +50,10 @@
 
 impl Written {
     fn begin(body: usize) -> Written {
-        Written { body_left: body, ..Written::default() }
+        Written {
+            body_left: body,
+            ..Written::default()
+        }
     }
 
     fn note(&mut self, bytes: &[u8]) {
@@ -141,7 +144,11 @@
             }
         }
         let permitted = !begun || self.permit.borrow().as_ref().is_none_or(Permit::holds);
-        Poll::Ready(if permitted { Ok(bytes.len()) } else { Err(io::ErrorKind::TimedOut.into()) })
+        Poll::Ready(if permitted {
+            Ok(bytes.len())
+        } else {
+            Err(io::ErrorKind::TimedOut.into())
+        })
     }
 
     fn note_written(&self, bytes: &[u8]) {
@@ -161,7 +168,9 @@
     fn quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let socket = self.socket.borrow();
-        let peeked = socket.as_ref().map(|stream| SockRef::from(stream).peek(&mut byte));
+        let peeked = socket
+            .as_ref()
+            .map(|stream| SockRef::from(stream).peek(&mut byte));
         matches!(peeked, Some(Err(error)) if error.kind() == io::ErrorKind::WouldBlock)
     }
 }
@@ -170,7 +179,11 @@
 struct WireIo(Rc<Wire>);
 
 impl AsyncRead for WireIo {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         match self.0.socket.borrow_mut().as_mut() {
             Some(stream) => Pin::new(stream).poll_read(cx, buf),
             None => Poll::Ready(Err(io::ErrorKind::NotConnected.into())),
@@ -179,7 +192,11 @@
 }
 
 impl AsyncWrite for WireIo {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let most = ready!(self.0.may_write(cx, buf))?;
         let mut socket = self.0.socket.borrow_mut();
         let Some(stream) = socket.as_mut() else {
@@ -247,7 +264,10 @@
     /// As though the request had been written whole, for a stand-in that writes nothing.
     #[cfg(test)]
     pub fn pretend_whole(&self) {
-        let written = Written { head_done: true, ..Written::default() };
+        let written = Written {
+            head_done: true,
+            ..Written::default()
+        };
         self.hold(&Rc::new(Wire::new(None, written)));
     }
 
@@ -307,11 +327,14 @@
             kept: RefCell::default(),
             waiting: RefCell::default(),
             places: RefCell::default(),
-            dial_timeout: Duration::try_from_secs_f64(told.dial_timeout / 1000.0).unwrap_or_default(),
+            dial_timeout: Duration::try_from_secs_f64(told.dial_timeout / 1000.0)
+                .unwrap_or_default(),
             numbers: Cell::new(0),
             round_trip: Cell::default(),
         };
-        Pools { shared: Rc::new(shared) }
+        Pools {
+            shared: Rc::new(shared),
+        }
     }
 
     /// Paces dials for a fleet of so many front doors from now on.
@@ -322,13 +345,22 @@
     /// A backend that may be sent to.
     pub fn open(&self, id: BackendId, dial: SocketAddr, born_ms: f64) {
         let mut places = self.shared.places.borrow_mut();
-        let place = places.entry(id).or_insert(Place { dial, born_ms, ready: true });
+        let place = places.entry(id).or_insert(Place {
+            dial,
+            born_ms,
+            ready: true,
+        });
         // What was open to another address or an earlier process leads nowhere.
         let moved = place.dial != dial || place.born_ms != born_ms;
-        *place = Place { dial, born_ms, ready: true };
+        *place = Place {
+            dial,
+            born_ms,
+            ready: true,
+        };
         drop(places);
         if moved {
-            self.shared.with_core(|core, _, effects| core.close(id, true, effects));
+            self.shared
+                .with_core(|core, _, effects| core.close(id, true, effects));
         }
     }
 
@@ -337,18 +369,21 @@
         if let Some(place) = self.shared.places.borrow_mut().get_mut(&id) {
             place.ready = false;
         }
-        self.shared.with_core(|core, _, effects| core.close(id, true, effects));
+        self.shared
+            .with_core(|core, _, effects| core.close(id, true, effects));
     }
 
     /// A backend that is gone.
     pub fn remove(&self, id: BackendId) {
         self.shared.places.borrow_mut().remove(&id);
-        self.shared.with_core(|core, _, effects| core.forget(id, effects));
+        self.shared
+            .with_core(|core, _, effects| core.forget(id, effects));
     }
 
     /// Closes idle connections to a backend.
     pub fn close_idle(&self, id: BackendId) {
-        self.shared.with_core(|core, _, effects| core.close(id, false, effects));
+        self.shared
+            .with_core(|core, _, effects| core.close(id, false, effects));
     }
 
     /// Whether a backend may be sent to.
@@ -363,13 +398,18 @@
 
     /// When a backend says that it was born, as it was told last; 0 for long ago.
     pub fn born(&self, id: BackendId) -> f64 {
-        self.shared.places.borrow().get(&id).map_or(0.0, |place| place.born_ms)
+        self.shared
+            .places
+            .borrow()
+            .get(&id)
+            .map_or(0.0, |place| place.born_ms)
     }
 
     /// Demand will use a backend: it gets a connection ahead of that, within `spread`.
     pub fn ahead(&self, id: BackendId, spread: Millis) {
         if self.takes_new(id) {
-            self.shared.with_core(|core, now, effects| core.ahead(now, id, spread, effects));
+            self.shared
+                .with_core(|core, now, effects| core.ahead(now, id, spread, effects));
         }
     }
 
@@ -390,7 +430,12 @@
             let who = Ticket(shared.number());
             let (sender, receiver) = oneshot::channel();
             shared.waiting.borrow_mut().insert(who, sender);
-            let waiting = Waiting { shared, id, who, receiver };
+            let waiting = Waiting {
+                shared,
+                id,
+                who,
+                receiver,
+            };
             match shared.with_core(|core, now, effects| core.take(now, id, who, once, effects)) {
                 Taken::Kept(link, _) => {
                     if let Some(out) = shared.rested(shared.out(id, link)).await {
@@ -400,7 +445,9 @@
                 Taken::NoRoom => return Err(NoConnection::Own),
                 Taken::Waits => {
                     let left = Duration::try_from_secs_f64((end - shared.clock.now()) / 1000.0);
-                    let out = waiting.wait(left.unwrap_or_default().min(shared.dial_timeout)).await?;
+                    let out = waiting
+                        .wait(left.unwrap_or_default().min(shared.dial_timeout))
+                        .await?;
                     if let Some(out) = shared.rested(out).await {
                         return Ok(out);
                     }
@@ -419,18 +466,26 @@
 
     /// Keeps a connection that has carried nothing since it was taken.
     pub fn put_back_unused(&self, out: Out) {
-        let idle = out.answered.map_or(0.0, |answered| self.shared.clock.now() - answered);
+        let idle = out
+            .answered
+            .map_or(0.0, |answered| self.shared.clock.now() - answered);
         self.keep(out, idle);
     }
 
     fn keep(&self, mut out: Out, idle: Millis) {
-        let Some(connection) = out.connection.take() else { return };
+        let Some(connection) = out.connection.take() else {
+            return;
+        };
         // It may have been opened to what its backend was before.
-        let same = self.shared.place(out.backend).is_some_and(|dial| dial == connection.dial);
+        let same = self
+            .shared
+            .place(out.backend)
+            .is_some_and(|dial| dial == connection.dial);
         if same && !connection.sender.is_closed() {
             self.shared.kept.borrow_mut().insert(out.link, connection);
             let (id, link) = (out.backend, out.link);
-            self.shared.with_core(|core, now, effects| core.returned(now, id, link, idle, effects));
+            self.shared
+                .with_core(|core, now, effects| core.returned(now, id, link, idle, effects));
         } else {
             out.connection = Some(connection);
         }
@@ -461,7 +516,8 @@
 
     /// Learns whether a connection that had been idle so long has borne another request.
     pub fn learn(&self, idle: Millis, broke: bool) {
-        self.shared.with_core(|core, now, _| core.learn(now, idle, broke));
+        self.shared
+            .with_core(|core, now, _| core.learn(now, idle, broke));
     }
 
     /// How long a dial may take at most.
@@ -478,7 +534,8 @@
     pub async fn tidy(&self) {
         loop {
             tokio::time::sleep(TIDY).await;
-            self.shared.with_core(|core, now, effects| core.tidy(now, effects));
+            self.shared
+                .with_core(|core, now, effects| core.tidy(now, effects));
         }
     }
 }
@@ -491,7 +548,11 @@
 
     /// Where to dial a backend that may be sent to.
     fn place(&self, id: BackendId) -> Option<SocketAddr> {
-        self.places.borrow().get(&id).filter(|place| place.ready).map(|place| place.dial)
+        self.places
+            .borrow()
+            .get(&id)
+            .filter(|place| place.ready)
+            .map(|place| place.dial)
     }
 
     /// Tells the core something and does what comes of it.
@@ -533,9 +594,17 @@
     /// Takes a connection out of those that carry nothing.
     fn out(self: &Rc<Self>, backend: BackendId, link: LinkId) -> Option<Out> {
         let connection = self.kept.borrow_mut().remove(&link);
-        let answered = connection.as_ref().and_then(|connection| connection.answered);
+        let answered = connection
+            .as_ref()
+            .and_then(|connection| connection.answered);
         let kept = answered.map(|answered| self.clock.now() - answered);
-        let out = Out { shared: self.clone(), backend, link, kept, connection };
+        let out = Out {
+            shared: self.clone(),
+            backend,
+            link,
+            kept,
+            connection,
+        };
         if out.connection.is_none() {
             // The core counts it as out.
             self.with_core(|core, now, effects| core.lost(now, backend, effects));
@@ -571,11 +640,15 @@
                 Ok(connection) => {
                     let link = LinkId(shared.number());
                     shared.kept.borrow_mut().insert(link, connection);
-                    shared.with_core(|core, now, effects| core.dialled(now, id, number, link, effects));
+                    shared.with_core(|core, now, effects| {
+                        core.dialled(now, id, number, link, effects)
+                    });
                 }
                 Err(why) => {
                     let own = why == NoConnection::Own;
-                    shared.with_core(|core, now, effects| core.refused(now, id, number, own, effects));
+                    shared.with_core(|core, now, effects| {
+                        core.refused(now, id, number, own, effects)
+                    });
                 }
             }
         });
@@ -596,13 +669,22 @@
             let _ = connection.await;
             closing.close();
         });
-        Ok(Connection { sender, wire, task: task.abort_handle(), dial, answered: None })
+        Ok(Connection {
+            sender,
+            wire,
+            task: task.abort_handle(),
+            dial,
+            answered: None,
+        })
     }
 
     /// A dial that came up took the way there and back, and whatever held it up: the least of late tells the way.
     fn learn_way(&self, took: Duration) {
         let took = took.as_secs_f64() * 1000.0;
-        let known = self.round_trip.get().map_or(took, |known| took.min(known * WAY_FADES));
+        let known = self
+            .round_trip
+            .get()
+            .map_or(took, |known| took.min(known * WAY_FADES));
         self.round_trip.set(Some(known));
     }
 }
@@ -638,11 +720,13 @@
     fn drop(&mut self) {
         let (id, who) = (self.id, self.who);
         if self.shared.waiting.borrow_mut().remove(&who).is_some() {
-            self.shared.with_core(|core, now, _| core.left(now, id, who));
+            self.shared
+                .with_core(|core, now, _| core.left(now, id, who));
         }
         self.receiver.close();
         if let Ok(Ok(link)) = self.receiver.try_recv() {
-            self.shared.with_core(|core, now, effects| core.freed(now, id, link, effects));
+            self.shared
+                .with_core(|core, now, effects| core.freed(now, id, link, effects));
         }
     }
 }
@@ -676,7 +760,8 @@
     fn drop(&mut self) {
         let id = self.backend;
         if self.connection.take().is_some() {
-            self.shared.with_core(|core, now, effects| core.lost(now, id, effects));
+            self.shared
+                .with_core(|core, now, effects| core.lost(now, id, effects));
         }
     }
 }
@@ -696,10 +781,9 @@
     fn from(error: io::Error) -> NoConnection {
         use io::ErrorKind::*;
         match error.kind() {
-            ConnectionRefused | ConnectionReset | ConnectionAborted | TimedOut | HostUnreachable
-            | NetworkUnreachable | BrokenPipe | NotConnected | UnexpectedEof | InvalidInput => {
-                NoConnection::Theirs
-            }
+            ConnectionRefused | ConnectionReset | ConnectionAborted | TimedOut
+            | HostUnreachable | NetworkUnreachable | BrokenPipe | NotConnected | UnexpectedEof
+            | InvalidInput => NoConnection::Theirs,
             _ => NoConnection::Own,
         }
     }
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -3,7 +3,9 @@
 
 use super::budget::Budget;
 use super::site::Site;
-use super::traffic::{Incoming, Order, Presence, IDEMPOTENCY_KEY, LONGEST_BODY, REQUEST_ID, REQUEST_TIMEOUT};
+use super::traffic::{
+    Incoming, Order, Presence, IDEMPOTENCY_KEY, LONGEST_BODY, REQUEST_ID, REQUEST_TIMEOUT,
+};
 use cometspool::settings::plain;
 use cometspool::{ClassId, CustomerId, Effect, Millis, PlanId, Settings};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -90,11 +92,17 @@
     let id = name(headers, &REQUEST_ID)?;
     let class = class(site, head)?;
     let plan_name = plain(text(headers, &API_PLAN)?);
-    let plan = site.names.plans.iter().position(|name| *name == plan_name).ok_or(Bad::Plan)?;
+    let plan = site
+        .names
+        .plans
+        .iter()
+        .position(|name| *name == plan_name)
+        .ok_or(Bad::Plan)?;
     let most = site.settings.classes[class].deadline;
     let budget = Budget::told(text(headers, &REQUEST_TIMEOUT)?, first, most);
     let budget = budget.ok_or(Bad::Header(REQUEST_TIMEOUT))?;
-    let terms = Terms::read(text(headers, &API_TERMS)?, &site.settings).ok_or(Bad::Header(API_TERMS))?;
+    let terms =
+        Terms::read(text(headers, &API_TERMS)?, &site.settings).ok_or(Bad::Header(API_TERMS))?;
     let path = head.uri.path_and_query().ok_or(Bad::Path)?;
     if !path.as_str().bytes().all(|byte| byte.is_ascii_graphic()) {
         return Err(Bad::Path);
@@ -121,7 +129,9 @@
             uri: Uri::from(path.clone()),
             key: headers.get(IDEMPOTENCY_KEY).cloned(),
             // One that is odd says nothing about the body: it is left out.
-            content_type: text(headers, &CONTENT_TYPE).ok().and_then(|_| headers.get(CONTENT_TYPE).cloned()),
+            content_type: text(headers, &CONTENT_TYPE)
+                .ok()
+                .and_then(|_| headers.get(CONTENT_TYPE).cloned()),
             body: Bytes::new(),
         },
     })
@@ -131,8 +141,17 @@
 fn class(site: &Site, head: &Parts) -> Result<usize, Bad> {
     let name = text(&head.headers, &REQUEST_CLASS)?;
     let plain_name = plain(name);
-    let class = site.names.classes.iter().position(|known| *known == plain_name).ok_or(Bad::Class)?;
-    let rest = head.uri.path().strip_prefix('/').and_then(|path| path.strip_prefix(name));
+    let class = site
+        .names
+        .classes
+        .iter()
+        .position(|known| *known == plain_name)
+        .ok_or(Bad::Class)?;
+    let rest = head
+        .uri
+        .path()
+        .strip_prefix('/')
+        .and_then(|path| path.strip_prefix(name));
     if !rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/')) {
         return Err(Bad::Class);
     }
@@ -165,10 +184,16 @@
             let again = match name {
                 "units" => {
                     let most = settings.max_units.max(1.0) * (1.0 + 1e-6);
-                    units.replace(positive(value).filter(|units| *units <= most)?).is_some()
+                    units
+                        .replace(positive(value).filter(|units| *units <= most)?)
+                        .is_some()
                 }
-                "spread" => spread.replace(whole(value).filter(|n| (1..=doors).contains(n))?).is_some(),
-                "first" => first.replace(whole(value).filter(|n| *n < doors)?).is_some(),
+                "spread" => spread
+                    .replace(whole(value).filter(|n| (1..=doors).contains(n))?)
+                    .is_some(),
+                "first" => first
+                    .replace(whole(value).filter(|n| *n < doors)?)
+                    .is_some(),
                 _ => false,
             };
             if again {
@@ -176,7 +201,10 @@
             }
         }
         first?;
-        Some(Terms { units: units?, spread: f64::from(spread?) })
+        Some(Terms {
+            units: units?,
+            spread: f64::from(spread?),
+        })
     }
 }
 
@@ -193,8 +221,10 @@
 /// A header that names something: neither empty nor long, and no spaces.
 fn name<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, Bad> {
     let value = text(headers, name)?;
-    let good = (1..=LONGEST_NAME).contains(&value.len()) && value.bytes().all(|byte| byte.is_ascii_graphic());
-    good.then_some(value).ok_or_else(|| Bad::Header(name.clone()))
+    let good = (1..=LONGEST_NAME).contains(&value.len())
+        && value.bytes().all(|byte| byte.is_ascii_graphic());
+    good.then_some(value)
+        .ok_or_else(|| Bad::Header(name.clone()))
 }
 
 /// Whether the client marks a further try. What cannot be read is no mark: it says nothing about the request.
@@ -203,27 +233,38 @@
 }
 
 fn positive(text: &str) -> Option<f64> {
-    text.parse().ok().filter(|number: &f64| number.is_finite() && *number > 0.0)
+    text.parse()
+        .ok()
+        .filter(|number: &f64| number.is_finite() && *number > 0.0)
 }
 
 /// A whole number, also where it is written with decimals.
 fn whole(text: &str) -> Option<u32> {
     let number: f64 = text.parse().ok()?;
-    (number >= 0.0 && number.fract() == 0.0 && number <= f64::from(u32::MAX)).then_some(number as u32)
+    (number >= 0.0 && number.fract() == 0.0 && number <= f64::from(u32::MAX))
+        .then_some(number as u32)
 }
 
 /// The customer that the one cookie of that name tells.
 fn customer(headers: &HeaderMap) -> Option<CustomerId> {
     let line = text(headers, &COOKIE).ok()?;
-    let mut names = line.split(';').filter_map(|one| one.trim().strip_prefix("client="));
+    let mut names = line
+        .split(';')
+        .filter_map(|one| one.trim().strip_prefix("client="));
     let name = names.next()?;
     let hex = name.len() == 16 && name.bytes().all(|byte| byte.is_ascii_hexdigit());
-    let number = u64::from_str_radix(name, 16).ok().filter(|number| hex && *number < CUSTOMERS)?;
+    let number = u64::from_str_radix(name, 16)
+        .ok()
+        .filter(|number| hex && *number < CUSTOMERS)?;
     names.next().is_none().then_some(CustomerId(number))
 }
 
 /// Reads a body that has to be there by `end`.
-pub async fn read_body(body: IncomingBody, method: &Method, end: tokio::time::Instant) -> Result<Bytes, Bad> {
+pub async fn read_body(
+    body: IncomingBody,
+    method: &Method,
+    end: tokio::time::Instant,
+) -> Result<Bytes, Bad> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
--- a/src/net/schedules.rs
+++ b/src/net/schedules.rs
@@ -63,7 +63,13 @@
         if let Some(fate) = self.fates.pop_front() {
             return fate;
         }
-        let Some(rng) = &mut self.rng else { return Fate { after: 10.0, whole: true, outcome: Outcome::Ok } };
+        let Some(rng) = &mut self.rng else {
+            return Fate {
+                after: 10.0,
+                whole: true,
+                outcome: Outcome::Ok,
+            };
+        };
         let mut pick = |n: u32| rng.next_u32() % n;
         let outcome = match pick(10) {
             0 => Outcome::Error,
@@ -73,8 +79,16 @@
             _ => Outcome::Ok,
         };
         // One in five hangs for longer than any request has.
-        let after = if pick(5) == 0 { 1e5 } else { f64::from(1 + pick(900)) };
-        Fate { after, whole: outcome != Outcome::ConnectFailed && pick(8) > 0, outcome }
+        let after = if pick(5) == 0 {
+            1e5
+        } else {
+            f64::from(1 + pick(900))
+        };
+        Fate {
+            after,
+            whole: outcome != Outcome::ConnectFailed && pick(8) > 0,
+            outcome,
+        }
     }
 }
 
@@ -95,13 +109,25 @@
 }
 
 fn settings(copies: bool) -> Settings {
-    let class = |effect| Class { aim: 1200.0, deadline: LONGEST, effect, ..Class::default() };
-    let keyed = Effect::Keyed { group: Group::All, memory: 5000.0 };
+    let class = |effect| Class {
+        aim: 1200.0,
+        deadline: LONGEST,
+        effect,
+        ..Class::default()
+    };
+    let keyed = Effect::Keyed {
+        group: Group::All,
+        memory: 5000.0,
+    };
     Settings {
         gateways: 2,
         tick: 4.0,
         classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
-        plans: vec![Plan { rate: 1000.0, burst: 4000.0, ..Plan::default() }],
+        plans: vec![Plan {
+            rate: 1000.0,
+            burst: 4000.0,
+            ..Plan::default()
+        }],
         max_attempts: 4,
         second_copies: copies,
         cancel: true,
@@ -114,9 +140,17 @@
 /// A driver over the stand-in, with a list of backends.
 fn door(settings: Settings, seed: u64, backends: u32, world: &Rc<RefCell<World>>) -> Rc<Door> {
     let links = Links::default();
-    let told = Told { settings, metrics: Vec::new(), names: Names::default(), links };
+    let told = Told {
+        settings,
+        metrics: Vec::new(),
+        names: Names::default(),
+        links,
+    };
     let address = "127.0.0.1:1".parse().expect("an address");
-    let limits = Limits { sockets: 64, memory_mb: 32 };
+    let limits = Limits {
+        sockets: 64,
+        memory_mb: 32,
+    };
     let config = Config {
         name: "a".into(),
         listen: address,
@@ -134,8 +168,20 @@
         let (fate, begun) = (seen.borrow_mut().fate(), clock.now());
         let place = seen.borrow().seen.len();
         let id = order.id.clone();
-        seen.borrow_mut().seen.push(Seen { id, backend, part, begun, ended: None, never_ran: false });
-        let noted = Noted { world: seen.clone(), clock, place, line };
+        seen.borrow_mut().seen.push(Seen {
+            id,
+            backend,
+            part,
+            begun,
+            ended: None,
+            never_ran: false,
+        });
+        let noted = Noted {
+            world: seen.clone(),
+            clock,
+            place,
+            line,
+        };
         Box::pin(async move {
             if fate.whole {
                 noted.line.pretend_whole();
@@ -147,7 +193,8 @@
         }) as Pin<Box<dyn Future<Output = Ended>>>
     };
     let pools = Rc::new(Pools::new(links, 8, 1, seed, clock));
-    let door = Door::with(&config, Woken::new(), clock, pools, Box::new(carrier)).expect("a front door");
+    let door =
+        Door::with(&config, Woken::new(), clock, pools, Box::new(carrier)).expect("a front door");
     let host = |i: u32| Member {
         host: format!("s-{i}"),
         dial: SocketAddr::from(([127, 0, 0, 1], 1 + i as u16)),
@@ -157,7 +204,14 @@
         share: 1.0,
         born_ms: 0.0,
     };
-    door.list_changed(&Members { seq: 1, whole: true, hosts: (0..backends).map(host).collect() }, News::Told);
+    door.list_changed(
+        &Members {
+            seq: 1,
+            whole: true,
+            hosts: (0..backends).map(host).collect(),
+        },
+        News::Told,
+    );
     tokio::task::spawn_local(door.clone().keep_time());
     door
 }
@@ -191,13 +245,21 @@
 fn held(door: &Rc<Door>) -> (usize, usize, usize) {
     let mut state = door.state.borrow_mut();
     state.drop_dead_timers();
-    let live = state.timers.iter().filter(|Reverse(timer)| !matches!(timer.due, Due::Alarm(_))).count();
+    let live = state
+        .timers
+        .iter()
+        .filter(|Reverse(timer)| !matches!(timer.due, Due::Alarm(_)))
+        .count();
     (state.requests.len(), live, Rc::strong_count(door))
 }
 
 fn play<T>(scene: impl Future<Output = T>) -> T {
     let mut builder = tokio::runtime::Builder::new_current_thread();
-    let runtime = builder.enable_time().start_paused(true).build().expect("a runtime");
+    let runtime = builder
+        .enable_time()
+        .start_paused(true)
+        .build()
+        .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, scene)
 }
 
@@ -213,7 +275,10 @@
 
 async fn schedule(seed: u64, copies: bool, backends: u32, stop: Option<u32>) {
     let mut rng = Pcg32::seed_from_u64(seed);
-    let world = Rc::new(RefCell::new(World { rng: Some(Pcg32::seed_from_u64(!seed)), ..World::default() }));
+    let world = Rc::new(RefCell::new(World {
+        rng: Some(Pcg32::seed_from_u64(!seed)),
+        ..World::default()
+    }));
     let door = door(settings(copies), seed, backends, &world);
     let before = Rc::strong_count(&door);
     let told: Rc<RefCell<Vec<Client>>> = Rc::default();
@@ -232,15 +297,22 @@
         let leaves = (rng.next_u32() % 6 == 0).then(|| f64::from(rng.next_u32() % 1500));
         let incoming = incoming(&door, &format!("{}-{i}", i % 3), (i % 3) as usize, seconds);
         // What comes after the stop's own end is turned away on the spot.
-        let end = stopped.map_or(incoming.budget.end(), |stop| incoming.budget.end().min(stop));
+        let end = stopped.map_or(incoming.budget.end(), |stop| {
+            incoming.budget.end().min(stop)
+        });
         let end = end.max(incoming.at);
         let (id, answer) = door.arrive(incoming).expect("an id of its own");
-        told.borrow_mut().push(Client { end, answered: None });
+        told.borrow_mut().push(Client {
+            end,
+            answered: None,
+        });
         let (place, told, door) = (i as usize, told.clone(), door.clone());
         tokio::task::spawn_local(async move {
             let answer = match leaves {
                 Some(after) => {
-                    tokio::time::timeout(Duration::from_secs_f64(after / 1000.0), answer).await.ok()
+                    tokio::time::timeout(Duration::from_secs_f64(after / 1000.0), answer)
+                        .await
+                        .ok()
                 }
                 None => Some(answer.await),
             };
@@ -260,25 +332,57 @@
     pass(2.0 * LONGEST).await;
     for told in told.borrow().iter() {
         let (at, _) = told.answered.expect("an answer to each");
-        assert!(at <= told.end + GRAIN, "answered {:.3} ms after its time", at - told.end);
+        assert!(
+            at <= told.end + GRAIN,
+            "answered {:.3} ms after its time",
+            at - told.end
+        );
     }
     let world = world.borrow();
     for seen in &world.seen {
         let ended = seen.ended.expect("an end of each attempt");
-        assert!(ended <= seen.part.until() + GRAIN, "{:.3} ms beyond its part", ended - seen.part.until());
+        assert!(
+            ended <= seen.part.until() + GRAIN,
+            "{:.3} ms beyond its part",
+            ended - seen.part.until()
+        );
         // Whatever else is out of this request at the time: another backend, and only where a copy is permitted.
-        let beside = world.seen.iter().filter(|other| other.id == seen.id && other.begun <= seen.begun);
-        let beside: Vec<_> = beside.filter(|other| other.ended.is_some_and(|end| end > seen.begun)).collect();
-        assert!(beside.len() <= if copies { 2 } else { 1 }, "{} copies at once", beside.len());
-        assert!(beside.len() < 2 || beside[0].backend != beside[1].backend, "two copies at one backend");
+        let beside = world
+            .seen
+            .iter()
+            .filter(|other| other.id == seen.id && other.begun <= seen.begun);
+        let beside: Vec<_> = beside
+            .filter(|other| other.ended.is_some_and(|end| end > seen.begun))
+            .collect();
+        assert!(
+            beside.len() <= if copies { 2 } else { 1 },
+            "{} copies at once",
+            beside.len()
+        );
+        assert!(
+            beside.len() < 2 || beside[0].backend != beside[1].backend,
+            "two copies at one backend"
+        );
     }
     for name in (0..120).filter(|i| i % 3 == 2).map(|i| format!("2-{i}")) {
-        let ran = world.seen.iter().filter(|seen| *seen.id == *name && !seen.never_ran).count();
+        let ran = world
+            .seen
+            .iter()
+            .filter(|seen| *seen.id == *name && !seen.never_ran)
+            .count();
         assert!(ran <= 1, "{name} may have run {ran} times");
     }
     // One backend alone that hangs is soon left alone.
-    assert!(world.seen.len() > if backends > 1 { 10 } else { 0 }, "only {} sent", world.seen.len());
-    assert_eq!(held(&door), (0, 0, before), "requests, timers or tasks stayed behind");
+    assert!(
+        world.seen.len() > if backends > 1 { 10 } else { 0 },
+        "only {} sent",
+        world.seen.len()
+    );
+    assert_eq!(
+        held(&door),
+        (0, 0, before),
+        "requests, timers or tasks stayed behind"
+    );
 }
 
 proptest! {
@@ -302,25 +406,47 @@
 
 /// A scene with scripted fates for the attempts, in order.
 fn scripted(fates: &[Fate]) -> Rc<RefCell<World>> {
-    Rc::new(RefCell::new(World { fates: fates.iter().copied().collect(), ..World::default() }))
+    Rc::new(RefCell::new(World {
+        fates: fates.iter().copied().collect(),
+        ..World::default()
+    }))
 }
 
-const HANGS: Fate = Fate { after: 1e5, whole: true, outcome: Outcome::Ok };
+const HANGS: Fate = Fate {
+    after: 1e5,
+    whole: true,
+    outcome: Outcome::Ok,
+};
 
 /// Guards second copies: the copy has the end of the first and no time of its own; when the copy fails the first is whole
 /// and its answer is served, and when the copy is served the first is called off at once.
 #[test]
 fn a_second_copy_shares_the_budget_and_its_end_leaves_the_first_whole() {
     // Twenty good answers teach the module what is usual; then the first copy hangs.
-    let usual = [Fate { after: 10.0, whole: true, outcome: Outcome::Ok }; 20];
-    for (outcome, first_after, served_at) in [(Outcome::Error, 900.0, 900.0), (Outcome::Ok, 1e5, 530.0)] {
-        let first = Fate { after: first_after, ..HANGS };
-        let copy = Fate { after: 50.0, whole: true, outcome };
+    let usual = [Fate {
+        after: 10.0,
+        whole: true,
+        outcome: Outcome::Ok,
+    }; 20];
+    for (outcome, first_after, served_at) in
+        [(Outcome::Error, 900.0, 900.0), (Outcome::Ok, 1e5, 530.0)]
+    {
+        let first = Fate {
+            after: first_after,
+            ..HANGS
+        };
+        let copy = Fate {
+            after: 50.0,
+            whole: true,
+            outcome,
+        };
         let world = scripted(&[&usual[..], &[first, copy]].concat());
         play(async {
             let door = door(settings(true), 1, 2, &world);
             for i in 0..20 {
-                let (_, answer) = door.arrive(incoming(&door, &format!("u-{i}"), 0, 3.0)).expect("taken");
+                let (_, answer) = door
+                    .arrive(incoming(&door, &format!("u-{i}"), 0, 3.0))
+                    .expect("taken");
                 assert!(matches!(answer.await, Ok(Answer::Served(_))));
                 pass(100.0).await;
             }
@@ -328,12 +454,21 @@
             let (_, answer) = door.arrive(incoming(&door, "it", 0, 3.0)).expect("taken");
             assert!(matches!(answer.await, Ok(Answer::Served(_))), "{outcome:?}");
             let took = door.site.clock.now() - begun;
-            assert!((took - served_at).abs() < 40.0, "{outcome:?}: served after {took}");
+            assert!(
+                (took - served_at).abs() < 40.0,
+                "{outcome:?}: served after {took}"
+            );
             pass(10.0).await;
             let world = world.borrow();
-            let [first, copy] = &world.seen[20..] else { panic!("{:?}", &world.seen[20..]) };
+            let [first, copy] = &world.seen[20..] else {
+                panic!("{:?}", &world.seen[20..])
+            };
             assert_ne!(first.backend, copy.backend);
-            assert_eq!(copy.part.until(), first.part.until(), "the copy has a time of its own");
+            assert_eq!(
+                copy.part.until(),
+                first.part.until(),
+                "the copy has a time of its own"
+            );
             // The one that was not served ended with the answer, not with the time.
             assert!([first, copy]
                 .iter()
@@ -350,13 +485,22 @@
         let world = scripted(&[HANGS]);
         play(async {
             let door = door(settings(copies), 1, 2, &world);
-            let (_, answer) = door.arrive(incoming(&door, "it", class, 3.0)).expect("taken");
+            let (_, answer) = door
+                .arrive(incoming(&door, "it", class, 3.0))
+                .expect("taken");
             let answer = answer.await.expect("an answer");
             assert!(!matches!(answer, Answer::Refused(_)) || class == 0);
             let world = world.borrow();
-            let longest = world.seen.iter().filter(|seen| seen.begun < seen.part.until()).count();
+            let longest = world
+                .seen
+                .iter()
+                .filter(|seen| seen.begun < seen.part.until())
+                .count();
             assert!(world.seen.len() == 1 || class == 0, "sent {longest} times");
-            let together = world.seen.windows(2).any(|two| two[0].ended.is_none_or(|end| end > two[1].begun));
+            let together = world
+                .seen
+                .windows(2)
+                .any(|two| two[0].ended.is_none_or(|end| end > two[1].begun));
             assert!(!together, "two copies at once");
         });
     }
@@ -376,14 +520,25 @@
         let (_, answer) = door.arrive(late).expect("taken");
         assert!(matches!(answer.await, Ok(Answer::Failed)));
         assert!(door.site.clock.now() <= end + GRAIN);
-        assert!(world.borrow().seen.iter().all(|seen| seen.part.until() <= end));
+        assert!(world
+            .borrow()
+            .seen
+            .iter()
+            .all(|seen| seen.part.until() <= end));
         let sent = world.borrow().seen.len();
         let mut dead = incoming(&door, "dead", 2, 3.0);
         dead.budget = Budget::told("1", dead.at - 1500.0, LONGEST).expect("a time");
         let begun = door.site.clock.now();
         let (_, answer) = door.arrive(dead).expect("taken");
         assert!(matches!(answer.await, Ok(Answer::Failed)));
-        assert_eq!((door.site.clock.now(), world.borrow().seen.len(), held(&door).0), (begun, sent, 0));
+        assert_eq!(
+            (
+                door.site.clock.now(),
+                world.borrow().seen.len(),
+                held(&door).0
+            ),
+            (begun, sent, 0)
+        );
     });
 }
 
@@ -394,10 +549,14 @@
     let world = scripted(&[HANGS, HANGS]);
     play(async {
         let door = door(settings(false), 1, 3, &world);
-        let (_, taken) = door.arrive(incoming(&door, "taken", 2, 3.0)).expect("taken");
+        let (_, taken) = door
+            .arrive(incoming(&door, "taken", 2, 3.0))
+            .expect("taken");
         let end = door.site.clock.now() + 700.0;
         door.stopping(end);
-        let (_, early) = door.arrive(incoming(&door, "early", 2, 3.0)).expect("taken");
+        let (_, early) = door
+            .arrive(incoming(&door, "early", 2, 3.0))
+            .expect("taken");
         pass(100.0).await;
         door.turn_away();
         let (_, late) = door.arrive(incoming(&door, "late", 0, 3.0)).expect("taken");
@@ -437,13 +596,24 @@
             share: 1.0,
             born_ms,
         };
-        let first = door.entry(&mut door.state.borrow_mut(), &member(ahead)).started.expect("a start");
+        let first = door
+            .entry(&mut door.state.borrow_mut(), &member(ahead))
+            .started
+            .expect("a start");
         assert!(first <= door.site.clock.now());
         pass(5000.0).await;
-        let again = door.entry(&mut door.state.borrow_mut(), &member(ahead)).started;
+        let again = door
+            .entry(&mut door.state.borrow_mut(), &member(ahead))
+            .started;
         assert_eq!(again, Some(first), "told again, it is no other start");
-        let later = door.entry(&mut door.state.borrow_mut(), &member(ahead + 1.0)).started.expect("a start");
-        assert!(later > first && later <= door.site.clock.now(), "a new start is a new one");
+        let later = door
+            .entry(&mut door.state.borrow_mut(), &member(ahead + 1.0))
+            .started
+            .expect("a start");
+        assert!(
+            later > first && later <= door.site.clock.now(),
+            "a new start is a new one"
+        );
     });
 }
 
@@ -470,24 +640,49 @@
             play(async {
                 let door = door(settings(false), 1, 0, &world);
                 let hosts: Vec<Member> = order.into_iter().cloned().collect();
-                let lists =
-                    if at_once { vec![hosts] } else { hosts.into_iter().map(|host| vec![host]).collect() };
+                let lists = if at_once {
+                    vec![hosts]
+                } else {
+                    hosts.into_iter().map(|host| vec![host]).collect()
+                };
                 for (hosts, seq) in lists.into_iter().zip(2..) {
-                    door.list_changed(&Members { seq, whole: false, hosts }, News::Told);
+                    door.list_changed(
+                        &Members {
+                            seq,
+                            whole: false,
+                            hosts,
+                        },
+                        News::Told,
+                    );
                 }
                 for i in 0..6 {
-                    let (_, answer) = door.arrive(incoming(&door, &format!("r-{i}"), 0, 3.0)).expect("taken");
+                    let (_, answer) = door
+                        .arrive(incoming(&door, &format!("r-{i}"), 0, 3.0))
+                        .expect("taken");
                     assert!(matches!(answer.await, Ok(Answer::Served(_))));
                 }
-                let to: HashSet<_> = world.borrow().seen.iter().map(|seen| seen.backend.0).collect();
+                let to: HashSet<_> = world
+                    .borrow()
+                    .seen
+                    .iter()
+                    .map(|seen| seen.backend.0)
+                    .collect();
                 assert_eq!(to, HashSet::from([number_of("s-new")]));
                 // One that has moved away leaves the address to whoever comes.
                 door.list_changed(
-                    &Members { seq: 9, whole: false, hosts: vec![up("s-new", 10, 3000.0)] },
+                    &Members {
+                        seq: 9,
+                        whole: false,
+                        hosts: vec![up("s-new", 10, 3000.0)],
+                    },
                     News::Told,
                 );
                 door.list_changed(
-                    &Members { seq: 10, whole: false, hosts: vec![up("s-late", 9, 2500.0)] },
+                    &Members {
+                        seq: 10,
+                        whole: false,
+                        hosts: vec![up("s-late", 9, 2500.0)],
+                    },
                     News::Told,
                 );
                 assert!(door.pools.takes_new(BackendId(number_of("s-new"))));
--- a/src/net/site.rs
+++ b/src/net/site.rs
@@ -22,11 +22,20 @@
     pub fn new(told: &Told, woken: Woken, clock: Clock) -> Site {
         let since = clock.of(woken.start());
         let (settings, names) = (told.settings.clone(), told.names.clone());
-        Site { clock, lag: Lag::new(woken, since), settings, names }
+        Site {
+            clock,
+            lag: Lag::new(woken, since),
+            settings,
+            names,
+        }
     }
 
     /// The longest that a client waits.
     pub fn longest(&self) -> Millis {
-        self.settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max)
+        self.settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .fold(0.0, f64::max)
     }
 }
--- a/src/net/traffic.rs
+++ b/src/net/traffic.rs
@@ -115,7 +115,14 @@
 impl Ended {
     /// An end without an answer.
     pub fn of(outcome: Outcome) -> Ended {
-        Ended { outcome, body: Bytes::new(), used: None, charge: None, report: Report::default(), broken: 0 }
+        Ended {
+            outcome,
+            body: Bytes::new(),
+            used: None,
+            charge: None,
+            report: Report::default(),
+            broken: 0,
+        }
     }
 }
 
--- a/src/rules/admission.rs
+++ b/src/rules/admission.rs
@@ -84,7 +84,13 @@
 
 impl Quotas {
     pub fn new(terms: Arc<Terms>) -> Quotas {
-        Quotas { terms, customers: BTreeMap::new(), evict_at: 0.0, usual: 1.0, told: f64::NEG_INFINITY }
+        Quotas {
+            terms,
+            customers: BTreeMap::new(),
+            evict_at: 0.0,
+            usual: 1.0,
+            told: f64::NEG_INFINITY,
+        }
     }
 
     /// Whether a request is within what this gateway may let in, or how long the reason to refuse it lasts.
@@ -92,16 +98,25 @@
         let plan = &self.terms.set.plans[request.plan.0];
         let part = self.part(request);
         self.usual += (request.units - self.usual) / USUAL_MEMORY;
-        let customer = self.customers.entry(request.customer).or_insert_with(|| Customer {
-            born: now,
-            slice: part.depth,
-            flow: part.even,
-            t: now - seen.age,
-            cap: OpenCap { at: now, ..OpenCap::default() },
-            metered: Metered { at: now, ..Metered::default() },
-            share: 1.0,
-            ..Customer::default()
-        });
+        let customer = self
+            .customers
+            .entry(request.customer)
+            .or_insert_with(|| Customer {
+                born: now,
+                slice: part.depth,
+                flow: part.even,
+                t: now - seen.age,
+                cap: OpenCap {
+                    at: now,
+                    ..OpenCap::default()
+                },
+                metered: Metered {
+                    at: now,
+                    ..Metered::default()
+                },
+                share: 1.0,
+                ..Customer::default()
+            });
         customer.largest = customer.largest.max(request.units);
         let excess = customer.excess(now, plan, &part, seen);
         customer.refill(now, plan, &part, seen.pressure, excess > 1.0);
@@ -113,23 +128,34 @@
                 return Err((Why::Box, Some((rate / part.limit).ln() / part.lambda)));
             }
             // Guards against slices too small to tell use past the quota: slivers let in by all evidence.
-            let strain = if part.sliver { excess.max(UNKNOWN_USE) } else { excess.min(1.0) };
+            let strain = if part.sliver {
+                excess.max(UNKNOWN_USE)
+            } else {
+                excess.min(1.0)
+            };
             customer.share = seen.opening / strain.max(seen.opening);
             // By Little's law a cap on attempts out is a rate too: what others have out is not seen.
             let others = excess.min(1.0) * plan.rate * seen.per_unit * (1.0 - 1.0 / part.spread);
             let spare = f64::from(plan.max_open) - f64::from(customer.cap.open);
             let capped = part.open < 1.0 && others > 0.0 && plan.over_worth <= plan.over_cost;
-            let fits = if capped { spare / (others + others.sqrt()) } else { 1.0 };
-            let sudden =
-                if part.sliver { customer.sudden(now, plan, &part, request, seen.opening) } else { 0.0 };
+            let fits = if capped {
+                spare / (others + others.sqrt())
+            } else {
+                1.0
+            };
+            let sudden = if part.sliver {
+                customer.sudden(now, plan, &part, request, seen.opening)
+            } else {
+                0.0
+            };
             // Past a dry quota it only takes the place of what others let in, the more of them there are.
             let past = strain.max(sudden).max(1.0).powf(part.spread.ln());
             if seen.luck > fits.min(customer.share / past) {
                 return Err((Why::Chance, None));
             }
             // Under pressure a slice keeps a reserve: those nearest the end of their quotas give way first.
-            let short =
-                request.units + seen.pressure * (part.depth - request.units).max(0.0) - customer.slice;
+            let short = request.units + seen.pressure * (part.depth - request.units).max(0.0)
+                - customer.slice;
             if short > 0.0 {
                 return Err((Why::Slice, Some(1000.0 * short / customer.flow)));
             }
@@ -138,7 +164,11 @@
         if plan.ceiling.is_some() && customer.ceiling.0 < request.units {
             return Err((Why::Ceiling, None));
         }
-        customer.cap.allows(plan, part.open).then_some(()).ok_or((Why::OpenCap, None))
+        customer
+            .cap
+            .allows(plan, part.open)
+            .then_some(())
+            .ok_or((Why::OpenCap, None))
     }
 
     /// A request that was let in has its backend: its units are taken.
@@ -155,7 +185,9 @@
     pub fn settle(&mut self, now: Millis, request: &Request, settled: &Settled) {
         let part = self.part(request);
         let plan = &self.terms.set.plans[request.plan.0];
-        let Some(customer) = self.customers.get_mut(&request.customer) else { return };
+        let Some(customer) = self.customers.get_mut(&request.customer) else {
+            return;
+        };
         customer.cap.pass_time(now, part.open, self.terms.aim);
         customer.cap.open = customer.cap.open.saturating_sub(1);
         if let Some(true_units) = settled.true_units.filter(|u| u.is_finite()) {
@@ -164,7 +196,11 @@
         }
         // A figure that is absurd counts no more than one at which the box shuts.
         let most = part.limit / plan.rate.max(1e-9);
-        if let Some(used) = settled.use_of_quota.filter(|u| u.is_finite() && *u >= 0.0).map(|u| u.min(most)) {
+        if let Some(used) = settled
+            .use_of_quota
+            .filter(|u| u.is_finite() && *u >= 0.0)
+            .map(|u| u.min(most))
+        {
             self.told = now;
             let metered = &mut customer.metered;
             let held = plan.rate * (now - metered.at).min(self.terms.set.meter_period) / 1000.0;
@@ -183,16 +219,34 @@
 
     /// Decay of the recent average, per millisecond; where there is no burst length, in longest deadlines.
     fn lambda(&self, plan: &Plan) -> f64 {
-        let deadlines = || self.terms.set.classes.iter().map(|c| c.deadline).fold(1000.0, f64::max);
+        let deadlines = || {
+            self.terms
+                .set
+                .classes
+                .iter()
+                .map(|c| c.deadline)
+                .fold(1000.0, f64::max)
+        };
         let bursts = plan.rate > 0.0 && plan.burst > 0.0;
-        LN_2 / if bursts { Self::halflife(plan) } else { HALFLIFE_DEADLINES * deadlines() }
+        LN_2 / if bursts {
+            Self::halflife(plan)
+        } else {
+            HALFLIFE_DEADLINES * deadlines()
+        }
     }
 
     fn part(&self, request: &Request) -> Part {
         let plan = &self.terms.set.plans[request.plan.0];
-        let largest = self.customers.get(&request.customer).map_or(0.0, |c| c.largest).max(request.units);
+        let largest = self
+            .customers
+            .get(&request.customer)
+            .map_or(0.0, |c| c.largest)
+            .max(request.units);
         let lambda = self.lambda(plan);
-        let (even, open) = (plan.burst / request.spread, f64::from(plan.max_open) / request.spread);
+        let (even, open) = (
+            plan.burst / request.spread,
+            f64::from(plan.max_open) / request.spread,
+        );
         let sliver = request.spread > 1.0 && even < SLICE_LEAST * self.usual;
         let held = if sliver { plan.burst } else { even };
         Part {
@@ -205,7 +259,11 @@
             spread: request.spread,
             usual: self.usual,
             told: self.told,
-            open: if plan.max_open > 0 { open } else { f64::INFINITY },
+            open: if plan.max_open > 0 {
+                open
+            } else {
+                f64::INFINITY
+            },
         }
     }
 
@@ -219,7 +277,8 @@
         let age = EVICT_HALFLIVES * longest;
         self.evict_at = now + age / 4.0;
         let left = |c: &Customer| c.average.left(now, LN_2 / longest);
-        self.customers.retain(|_, c| c.cap.open > 0 || now - c.t < age || left(c) > 0.01);
+        self.customers
+            .retain(|_, c| c.cap.open > 0 || now - c.t < age || left(c) > 0.01);
     }
 }
 
@@ -246,9 +305,19 @@
         }
         let quota = plan.rate / 1000.0 / part.lambda * (1.0 - (-part.lambda * seen.age).exp());
         let doubt = plan.doubt(1.0 - seen.opening);
-        let sure = |asked: f64, held: f64| (asked + deviations(doubt) * (asked * usual).sqrt()) / held;
-        let burst = if self.metered.used > self.metered.held { 0.0 } else { plan.burst };
-        sure(asked, held + burst).max(sure(self.average.left(now, part.lambda), quota + plan.burst)).max(0.0)
+        let sure =
+            |asked: f64, held: f64| (asked + deviations(doubt) * (asked * usual).sqrt()) / held;
+        let burst = if self.metered.used > self.metered.held {
+            0.0
+        } else {
+            plan.burst
+        };
+        sure(asked, held + burst)
+            .max(sure(
+                self.average.left(now, part.lambda),
+                quota + plan.burst,
+            ))
+            .max(0.0)
     }
 
     /// What was let in here of late over what the quota holds then: the meter tells when it is over. Which
@@ -258,24 +327,44 @@
         let quick = HALFLIFE_BURSTS * part.lambda;
         let (holds, told) = (plan.rate / 1000.0 / quick + plan.burst, &self.metered);
         let likely = zipf_part(part.spread, plan.doubt(1.0 - opening));
-        let least = if now - part.told < 1.0 / part.lambda { likely } else { 1.0 };
+        let least = if now - part.told < 1.0 / part.lambda {
+            likely
+        } else {
+            1.0
+        };
         let span = 1.0 - (part.lambda * (self.born - now)).exp();
         let asked = (plan.rate * told.asked * span).max(1e-9);
         let here = self.average.rate(now, part.lambda) * told.held / asked;
-        let trust = if here < ODD_PART { told.held * (part.recall * (told.at - now)).exp() } else { 0.0 };
+        let trust = if here < ODD_PART {
+            told.held * (part.recall * (told.at - now)).exp()
+        } else {
+            0.0
+        };
         let here = (holds * least + trust * here.clamp(least, 1.0)) / (holds + trust);
-        let repeat = if of.again { of.units * opening / likely } else { 0.0 };
+        let repeat = if of.again {
+            of.units * opening / likely
+        } else {
+            0.0
+        };
         (self.recent.left(now, quick) / here).max(repeat) / holds.max(1e-9)
     }
 
     /// Brings slice and ceiling part up to now; the slice's flow follows demand as the design says.
     fn refill(&mut self, now: Millis, plan: &Plan, part: &Part, pressure: f64, past_quota: bool) {
         let span = (now - self.t).max(0.0) / 1000.0;
-        let wanted = (RISE_FACTOR * self.average.rate(now, part.lambda)).min(plan.rate).max(part.even);
-        let target = if past_quota { part.even } else { part.even + (wanted - part.even) * (1.0 - pressure) };
+        let wanted = (RISE_FACTOR * self.average.rate(now, part.lambda))
+            .min(plan.rate)
+            .max(part.even);
+        let target = if past_quota {
+            part.even
+        } else {
+            part.even + (wanted - part.even) * (1.0 - pressure)
+        };
         let rise = 1.0 - (-part.lambda * 1000.0 * span / (RISE_HALFLIVES * LN_2)).exp();
         let rise = if part.sliver { 1.0 } else { rise };
-        self.flow = target.min(self.flow + (target - self.flow).max(0.0) * rise).max(part.even);
+        self.flow = target
+            .min(self.flow + (target - self.flow).max(0.0) * rise)
+            .max(part.even);
         self.slice = (self.slice + self.flow * span).min(part.depth);
         self.ceiling.refill(plan, part.spread, span);
         self.t = now;
--- a/src/rules/attempts.rs
+++ b/src/rules/attempts.rs
@@ -40,7 +40,16 @@
 impl Live {
     pub fn new(request: Request, arrived: Millis) -> Live {
         let (started, answered, slow) = (false, false, false);
-        Live { request, arrived, sends: 0, out: Vec::new(), ran: None, started, answered, slow }
+        Live {
+            request,
+            arrived,
+            sends: 0,
+            out: Vec::new(),
+            ran: None,
+            started,
+            answered,
+            slow,
+        }
     }
 }
 
@@ -55,7 +64,9 @@
 
 impl Reach {
     pub fn holds(self, entry: &BackendEntry) -> bool {
-        self == Reach::Anywhere || self == Reach::Zone(entry.zone) || self == Reach::Cell(entry.cell)
+        self == Reach::Anywhere
+            || self == Reach::Zone(entry.zone)
+            || self == Reach::Cell(entry.cell)
     }
 }
 
@@ -64,19 +75,27 @@
     terms: Arc<Terms>,
     pub live: BTreeMap<RequestId, Live>,
     pub retries: f64,
-    pub broke_at: Millis,               // when a connection to a backend broke last
+    pub broke_at: Millis, // when a connection to a backend broke last
     quick: BTreeMap<ClassId, Quantile>, // the time that few good answers came within, after the first
 }
 
 impl Attempts {
     pub fn new(terms: Arc<Terms>) -> Attempts {
         let (live, quick) = (BTreeMap::new(), BTreeMap::new());
-        Attempts { terms, live, retries: RETRY_DEPTH, broke_at: f64::NEG_INFINITY, quick }
+        Attempts {
+            terms,
+            live,
+            retries: RETRY_DEPTH,
+            broke_at: f64::NEG_INFINITY,
+            quick,
+        }
     }
 
     /// A request that nothing has been answered to yet.
     pub fn waiting(&self, id: RequestId) -> Option<&Live> {
-        self.live.get(&id).filter(|live| !live.answered && !live.started)
+        self.live
+            .get(&id)
+            .filter(|live| !live.answered && !live.started)
     }
 
     fn class(&self, live: &Live) -> &Class {
@@ -93,13 +112,19 @@
 
     /// Whether an attempt begun now can end in what is left of its request's time.
     pub fn fits(&self, now: Millis, live: &Live) -> bool {
-        let quick = self.quick.get(&live.request.class).map_or(0.0, Quantile::get);
+        let quick = self
+            .quick
+            .get(&live.request.class)
+            .map_or(0.0, Quantile::get);
         self.cut(live) - now > quick.max(self.terms.set.tick)
     }
 
     /// The time of few good answers of a class, moved by one that took `elapsed`.
     pub fn observe_service(&mut self, class: ClassId, elapsed: Millis) {
-        let quick = self.quick.entry(class).or_insert(Quantile::new(elapsed / 2.0));
+        let quick = self
+            .quick
+            .entry(class)
+            .or_insert(Quantile::new(elapsed / 2.0));
         quick.feed(elapsed, QUICKEST, QUICK_STEP);
     }
 
@@ -118,7 +143,8 @@
         let again = matches!(class.effect, Effect::Safe)
             || matches!(class.effect, Effect::Keyed { group: Group::All, memory } if memory > class.aim);
         let limit = (HUNG * expected).max(HUNG_AIMS * class.aim);
-        let fits = 2.0 * limit <= self.cut(live) - now && live.sends + 1 < self.terms.set.max_attempts;
+        let fits =
+            2.0 * limit <= self.cut(live) - now && live.sends + 1 < self.terms.set.max_attempts;
         if again && fits && calm && self.retries >= 1.0 {
             limit
         } else {
@@ -138,21 +164,36 @@
 
     /// When the key of what has run is forgotten, an attempt that is out being taken to run.
     pub fn key_expires(&self, live: &Live) -> Option<Millis> {
-        let Effect::Keyed { memory, .. } = self.class(live).effect else { return None };
-        let first = live.ran.iter().chain(&live.out).map(|sent| sent.at).reduce(f64::min)?;
+        let Effect::Keyed { memory, .. } = self.class(live).effect else {
+            return None;
+        };
+        let first = live
+            .ran
+            .iter()
+            .chain(&live.out)
+            .map(|sent| sent.at)
+            .reduce(f64::min)?;
         Some(first + memory - 2.0 * self.terms.set.tick)
     }
 
     /// Where a request may be sent after what has happened to it, an attempt that is out being taken to run.
     pub fn reach(&self, now: Millis, live: &Live) -> Reach {
-        let Some(ran) = live.ran.as_ref().or(live.out.first()) else { return Reach::Anywhere };
+        let Some(ran) = live.ran.as_ref().or(live.out.first()) else {
+            return Reach::Anywhere;
+        };
         match self.class(live).effect {
             Effect::Safe => Reach::Anywhere,
             Effect::Unsafe => Reach::Nowhere,
             _ if self.key_expires(live).is_some_and(|expires| now >= expires) => Reach::Nowhere,
-            Effect::Keyed { group: Group::All, .. } => Reach::Anywhere,
-            Effect::Keyed { group: Group::Zone, .. } => Reach::Zone(ran.zone),
-            Effect::Keyed { group: Group::Cell, .. } => Reach::Cell(ran.cell),
+            Effect::Keyed {
+                group: Group::All, ..
+            } => Reach::Anywhere,
+            Effect::Keyed {
+                group: Group::Zone, ..
+            } => Reach::Zone(ran.zone),
+            Effect::Keyed {
+                group: Group::Cell, ..
+            } => Reach::Cell(ran.cell),
         }
     }
 }
--- a/src/rules/backends.rs
+++ b/src/rules/backends.rs
@@ -54,7 +54,7 @@
     pace: Ratio, // time over load at the send, over recent answers
     last_answer: Millis,
     answered: BTreeMap<ClassId, Millis>, // when it last answered each that it was sent
-    faults: BTreeMap<Fault, Fading>,     // how far it is at fault, from nought to one, and as of when
+    faults: BTreeMap<Fault, Fading>, // how far it is at fault, from nought to one, and as of when
     set_aside: bool,
     ejected_until: Millis, // beyond that time it is half-open
     pub ejections: u32,    // in a row
@@ -73,7 +73,10 @@
             set_aside: false,
             ejected_until: f64::NEG_INFINITY,
             ejections: 0,
-            due: Due { units: -debt, at: now },
+            due: Due {
+                units: -debt,
+                at: now,
+            },
         }
     }
 
@@ -83,7 +86,14 @@
         self.out.values().map(|f| f.units).sum()
     }
 
-    pub fn sent(&mut self, now: Millis, id: RequestId, flight: Flight, even_rate: f64, set: &Settings) {
+    pub fn sent(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        flight: Flight,
+        even_rate: f64,
+        set: &Settings,
+    ) {
         let units = self.due.now(now, set, &self.entry, even_rate) - flight.units;
         self.due = Due { units, at: now };
         self.out.insert(id, flight);
@@ -107,11 +117,19 @@
 
 impl Fleet {
     pub fn new(terms: Arc<Terms>) -> Fleet {
-        Fleet { doors: terms.gateways, terms, all: Vec::new(), ready: Vec::new(), pace: Ratio::default() }
+        Fleet {
+            doors: terms.gateways,
+            terms,
+            all: Vec::new(),
+            ready: Vec::new(),
+            pace: Ratio::default(),
+        }
     }
 
     pub fn find(&self, id: BackendId) -> Option<usize> {
-        self.all.binary_search_by_key(&id, |backend| backend.entry.id).ok()
+        self.all
+            .binary_search_by_key(&id, |backend| backend.entry.id)
+            .ok()
     }
 
     fn get(&self, id: BackendId) -> Option<&Backend> {
@@ -125,7 +143,11 @@
 
     /// Time per unit of load at a backend; with few answers, nearer to that of all.
     pub fn pace(&self, backend: &Backend) -> f64 {
-        let prior = if self.pace.below > 0.0 { self.pace.below / PACE_MEMORY } else { 1.0 };
+        let prior = if self.pace.below > 0.0 {
+            self.pace.below / PACE_MEMORY
+        } else {
+            1.0
+        };
         (backend.pace.above + prior * self.common_pace()) / (backend.pace.below + prior)
     }
 
@@ -145,15 +167,32 @@
         let hangs = |class| self.fault(now, backend, Fault::Hanging(class)) > FORGOTTEN;
         let speaks = |flight: &&Flight| flight.class == class || !hangs(flight.class);
         let silent = |flight: &Flight| {
-            let answered = if flight.class == class { None } else { Some(backend.last_answer) };
+            let answered = if flight.class == class {
+                None
+            } else {
+                Some(backend.last_answer)
+            };
             self.silent(now, backend, flight, answered)
         };
-        backend.out.values().filter(speaks).map(silent).fold(0.0, f64::max)
+        backend
+            .out
+            .values()
+            .filter(speaks)
+            .map(silent)
+            .fold(0.0, f64::max)
     }
 
     /// How long an attempt is overdue without news of its class from its backend.
-    fn silent(&self, now: Millis, backend: &Backend, flight: &Flight, news: Option<Millis>) -> Millis {
-        let answered = news.or(backend.answered.get(&flight.class).copied()).unwrap_or(flight.at);
+    fn silent(
+        &self,
+        now: Millis,
+        backend: &Backend,
+        flight: &Flight,
+        news: Option<Millis>,
+    ) -> Millis {
+        let answered = news
+            .or(backend.answered.get(&flight.class).copied())
+            .unwrap_or(flight.at);
         now - flight.at.max(answered) - SILENCE * self.pace(backend) * flight.load
     }
 
@@ -166,7 +205,10 @@
 
     /// How far a backend is at fault in something, by now.
     fn fault(&self, now: Millis, backend: &Backend, fault: Fault) -> f64 {
-        backend.faults.get(&fault).map_or(0.0, |score| score.left(now, self.halflife(fault)))
+        backend
+            .faults
+            .get(&fault)
+            .map_or(0.0, |score| score.left(now, self.halflife(fault)))
     }
 
     fn halflife(&self, fault: Fault) -> Millis {
@@ -187,12 +229,19 @@
     /// How far it is for one.
     pub fn distrust(&self, now: Millis, backend: &Backend, request: &Request) -> f64 {
         let known = [Fault::Full(request.plan), Fault::Hanging(request.class)];
-        known.iter().map(|f| self.fault(now, backend, *f)).fold(self.shunned(now, backend), f64::max)
+        known
+            .iter()
+            .map(|f| self.fault(now, backend, *f))
+            .fold(self.shunned(now, backend), f64::max)
     }
 
     /// Whether so many are ejected that the rest would be overrun, or that it is no fault of theirs.
     pub fn panics(&self, now: Millis) -> bool {
-        let out = self.ready.iter().filter(|at| now < self.all[**at].ejected_until).count();
+        let out = self
+            .ready
+            .iter()
+            .filter(|at| now < self.all[**at].ejected_until)
+            .count();
         out as f64 > PANIC_PART * self.ready.len() as f64
     }
 
@@ -205,14 +254,23 @@
     }
 
     /// What an outcome tells of its backend; it may be told to the operators, and close connections.
-    pub fn learn(&mut self, now: Millis, asked: &Request, settled: &Settled, rng: &mut Pcg32) -> Vec<Action> {
+    pub fn learn(
+        &mut self,
+        now: Millis,
+        asked: &Request,
+        settled: &Settled,
+        rng: &mut Pcg32,
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
-        let Some(at) = self.find(settled.backend) else { return actions };
+        let Some(at) = self.find(settled.backend) else {
+            return actions;
+        };
         let (class, outcome) = (asked.class, settled.outcome);
         let flight = self.all[at].out.remove(&asked.id);
         // Nothing has come from there since this attempt went out: its other connections may be as dead.
         let silent = flight.is_some_and(|flight| flight.at >= self.all[at].last_answer);
-        let hung = flight.is_some_and(|flight| self.silent(now, &self.all[at], &flight, None) > 0.0);
+        let hung =
+            flight.is_some_and(|flight| self.silent(now, &self.all[at], &flight, None) > 0.0);
         // The last attempt of a request is called off at its cut, before its own time-out.
         let slow = matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
         if silent && (outcome == Outcome::Timeout || (outcome == Outcome::Cancelled && hung)) {
@@ -220,16 +278,27 @@
         }
         if let Some(flight) = flight.filter(|_| outcome == Outcome::Ok || (slow && !hung)) {
             let others = self.all.len().saturating_sub(1).max(1) as f64;
-            self.all[at].pace.feed(PACE_MEMORY, settled.elapsed.max(0.0), flight.load);
-            self.pace.feed(PACE_MEMORY * others, settled.elapsed.max(0.0), flight.load);
+            self.all[at]
+                .pace
+                .feed(PACE_MEMORY, settled.elapsed.max(0.0), flight.load);
+            self.pace
+                .feed(PACE_MEMORY * others, settled.elapsed.max(0.0), flight.load);
         }
         self.all[at].answered.entry(class).or_insert(now);
         self.all[at].last_answer = now;
         // Guards against trouble on the way taken for sick backends: where connections break everywhere, each
         // would be set aside in turn and the rest be crowded. It costs some requests at a backend that takes
         // connections and breaks every one; a process that died refuses the next one, and that tells enough.
-        let broke = if settled.broken > 0 { Some(BREAK_STEP) } else { None };
-        let (failing, hanging, none) = (Fault::Failing, Fault::Hanging(class), (Fault::Failing, 0.0, 0.0));
+        let broke = if settled.broken > 0 {
+            Some(BREAK_STEP)
+        } else {
+            None
+        };
+        let (failing, hanging, none) = (
+            Fault::Failing,
+            Fault::Hanging(class),
+            (Fault::Failing, 0.0, 0.0),
+        );
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
             self.all[at].answered.insert(class, now);
             self.blame(now, at, (hanging, 0.0, 0.5));
@@ -252,7 +321,8 @@
         let (times, shunned) = (backend.ejections, self.shunned(now, backend));
         let tried = flight.is_some_and(|flight| times > 0 && flight.at >= backend.ejected_until);
         let wrong = times == 0 && self.fault(now, backend, Fault::Errors) > SET_ASIDE;
-        let ejected = (outcome == Outcome::Error && (tried || wrong)).then(|| self.ejection(times + 1, rng));
+        let ejected =
+            (outcome == Outcome::Error && (tried || wrong)).then(|| self.ejection(times + 1, rng));
         let backend = &mut self.all[at];
         if let Some(span) = ejected {
             (backend.ejections, backend.ejected_until) = (times + 1, now + span);
@@ -261,7 +331,11 @@
         }
         let aside = shunned > SET_ASIDE || (backend.set_aside && shunned >= SET_ASIDE / 2.0);
         if aside != std::mem::replace(&mut backend.set_aside, aside) {
-            let what = if aside { format!("set aside: {outcome:?}") } else { "taken back".to_owned() };
+            let what = if aside {
+                format!("set aside: {outcome:?}")
+            } else {
+                "taken back".to_owned()
+            };
             actions.push(Action::Log(format!("backend {} {what}", settled.backend.0)));
         }
         actions
@@ -270,26 +344,44 @@
     /// Moves a fault of a backend toward a value, by this part of the way.
     fn blame(&mut self, now: Millis, at: usize, (fault, toward, step): (Fault, f64, f64)) {
         let halflife = self.halflife(fault);
-        self.all[at].faults.entry(fault).or_default().move_to(now, halflife, toward, step);
+        self.all[at]
+            .faults
+            .entry(fault)
+            .or_default()
+            .move_to(now, halflife, toward, step);
     }
 
     /// Takes up the list, the whole of it or what has changed.
     pub fn listed(&mut self, now: Millis, whole: bool, entries: &[BackendEntry], rng: &mut Pcg32) {
         if whole {
-            self.all.iter_mut().for_each(|backend| backend.entry.availability = Availability::Gone);
+            self.all
+                .iter_mut()
+                .for_each(|backend| backend.entry.availability = Availability::Gone);
         }
         for entry in entries {
-            let entry = BackendEntry { size: in_range(entry.size, 0.01, 1e6, 1.0), ..*entry };
+            let entry = BackendEntry {
+                size: in_range(entry.size, 0.01, 1e6, 1.0),
+                ..*entry
+            };
             // Guards against all gateways' first requests in one instant: each has yet to earn a part.
             let debt = self.terms.set.max_units.max(1.0) * chance(rng);
             let fresh = Backend::new(entry, now, debt);
-            match self.all.binary_search_by_key(&entry.id, |backend| backend.entry.id) {
+            match self
+                .all
+                .binary_search_by_key(&entry.id, |backend| backend.entry.id)
+            {
                 Ok(at) if self.all[at].entry.started == entry.started => self.all[at].entry = entry,
-                Ok(at) => self.all[at] = Backend { out: std::mem::take(&mut self.all[at].out), ..fresh },
+                Ok(at) => {
+                    self.all[at] = Backend {
+                        out: std::mem::take(&mut self.all[at].out),
+                        ..fresh
+                    }
+                }
                 Err(at) => self.all.insert(at, fresh),
             }
         }
-        self.all.retain(|b| b.entry.availability != Availability::Gone || !b.out.is_empty());
+        self.all
+            .retain(|b| b.entry.availability != Availability::Gone || !b.out.is_empty());
         let ready = |at: &usize| self.all[*at].entry.availability == Availability::Ready;
         self.ready = (0..self.all.len()).filter(ready).collect();
     }
--- a/src/rules/choice.rs
+++ b/src/rules/choice.rs
@@ -42,7 +42,13 @@
 
 impl Subset {
     pub fn new(terms: Arc<Terms>) -> Subset {
-        Subset { terms, demand: Cewma::default(), kept: Vec::new(), kept_at: 0.0, warm: Vec::new() }
+        Subset {
+            terms,
+            demand: Cewma::default(),
+            kept: Vec::new(),
+            kept_at: 0.0,
+            warm: Vec::new(),
+        }
     }
 
     /// Units within the quotas ask to be sent on.
@@ -80,18 +86,24 @@
         let first = (own * count as f64) as usize + count - slack;
         let subset = |step: usize| fleet.ready[(first + step) % count];
         let mut kept = vec![false; fleet.all.len()];
-        has.iter().filter_map(|id| fleet.find(*id)).for_each(|at| kept[at] = true);
+        has.iter()
+            .filter_map(|id| fleet.find(*id))
+            .for_each(|at| kept[at] = true);
         let near = (has.len().max(wanted as usize) + 2 * slack).min(count);
         let known = |step: &usize| *step < near && kept[subset(*step)];
         let rest = (slack..count).chain(0..slack).filter(|step| !known(step));
         let mut held = 0.0;
-        let circle = (0..near).filter(known).chain(rest).map(subset).take_while(|at| {
-            let (backend, more) = (&fleet.all[*at], held < wanted);
-            if backend.ejections == 0 && fleet.shunned(now, backend) <= FORGOTTEN {
-                held += self.terms.set.warmth(now, &backend.entry);
-            }
-            more
-        });
+        let circle = (0..near)
+            .filter(known)
+            .chain(rest)
+            .map(subset)
+            .take_while(|at| {
+                let (backend, more) = (&fleet.all[*at], held < wanted);
+                if backend.ejections == 0 && fleet.shunned(now, backend) <= FORGOTTEN {
+                    held += self.terms.set.warmth(now, &backend.entry);
+                }
+                more
+            });
         circle.collect()
     }
 
@@ -105,7 +117,8 @@
         let within = 1000.0 / rate.max(1e-6);
         if within < self.terms.set.warm_up / 4.0 {
             let fresh = circle.iter().map(id).filter(|id| !self.kept.contains(id));
-            self.warm.extend(fresh.map(|backend| Action::Warm { backend, within }));
+            self.warm
+                .extend(fresh.map(|backend| Action::Warm { backend, within }));
         }
         self.kept = circle.iter().map(id).collect();
         let part = 4.0 * (now - self.kept_at) / self.terms.set.warm_up.max(1.0);
@@ -123,14 +136,23 @@
     fn able(&self, now: Millis, fleet: &Fleet, circle: &[usize]) -> f64 {
         let (size, able) = circle.iter().fold((0.0, 0.0), |(size, able), at| {
             let entry = &fleet.all[*at].entry;
-            (size + entry.size, able + entry.size * self.terms.set.warmth(now, entry))
+            (
+                size + entry.size,
+                able + entry.size * self.terms.set.warmth(now, entry),
+            )
         });
         f64::max(able, size / self.terms.set.overload_factor.max(1.0)).max(0.01)
     }
 
     /// Of these backends, the one with the least expected time; `rates` are the gateway's demand and what a
     /// warm backend of size one gets of it.
-    fn least_cost(&self, ask: &Ask, rates: (f64, f64), among: &[usize], rng: &mut Pcg32) -> Option<Choice> {
+    fn least_cost(
+        &self,
+        ask: &Ask,
+        rates: (f64, f64),
+        among: &[usize],
+        rng: &mut Pcg32,
+    ) -> Option<Choice> {
         let (now, fleet, set, (demand, even_rate)) = (ask.now, ask.fleet, &self.terms.set, rates);
         let safe = set.classes[ask.live.request.class.0].effect == Effect::Safe;
         let pace = fleet.common_pace();
@@ -139,7 +161,10 @@
         let bars = among.iter().any(|at| fleet.all[*at].ejections > 0) && !fleet.panics(now);
         let mut best: Option<(f64, Choice)> = None;
         for backend in among.iter().map(|at| &fleet.all[*at]) {
-            let (id, due) = (backend.entry.id, backend.due.now(now, set, &backend.entry, even_rate));
+            let (id, due) = (
+                backend.entry.id,
+                backend.due.now(now, set, &backend.entry, even_rate),
+            );
             let copied = ask.live.out.iter().any(|out| out.to == id);
             let barred = bars && backend.barred(now, safe);
             let too_cold = due <= 0.0 && set.warmth(now, &backend.entry) < 1.0;
@@ -148,9 +173,18 @@
             }
             let pace = fleet.pace(backend);
             let wait = pace * backend.load_out();
-            let cost = self.cost(ask, backend, wait, pace) * (1.0 + 0.05 * chance(rng)) - turn * due;
+            let cost =
+                self.cost(ask, backend, wait, pace) * (1.0 + 0.05 * chance(rng)) - turn * due;
             if best.is_none_or(|(least, _)| cost < least) {
-                best = Some((cost, Choice { backend: id, wait, pace, even_rate }));
+                best = Some((
+                    cost,
+                    Choice {
+                        backend: id,
+                        wait,
+                        pace,
+                        even_rate,
+                    },
+                ));
             }
         }
         best.map(|(_, choice)| choice)
@@ -159,12 +193,20 @@
     /// What sending a request to a backend is expected to cost, as time.
     fn cost(&self, ask: &Ask, backend: &Backend, wait: Millis, pace: f64) -> Millis {
         let (set, request, now) = (&self.terms.set, &ask.live.request, ask.now);
-        let doubt = if set.classes[request.class.0].effect == Effect::Unsafe { 2.0 } else { 1.0 };
+        let doubt = if set.classes[request.class.0].effect == Effect::Unsafe {
+            2.0
+        } else {
+            1.0
+        };
         let overdue = ask.fleet.overdue(now, backend, request.class);
         let distrust = ask.fleet.distrust(now, backend, request) * doubt;
         let time = wait.max(overdue) + pace * request.units;
         let crossing = CROSSING_AIMS * set.cross_zone_price * self.terms.aim;
-        let crossing = if backend.entry.zone == set.zone { 0.0 } else { crossing };
+        let crossing = if backend.entry.zone == set.zone {
+            0.0
+        } else {
+            crossing
+        };
         time + (distrust - FORGOTTEN).max(0.0) * self.terms.aim + crossing
     }
 }
--- a/src/rules/guards.rs
+++ b/src/rules/guards.rs
@@ -30,7 +30,13 @@
     pub fn new(terms: Arc<Terms>) -> Opening {
         // One of many does not see what all let in at once, so it begins part open; one alone, open.
         let open = OPENING_START + (1.0 - OPENING_START) / terms.gateways;
-        Opening { terms, open, answer_at: 0.0, pressure: 0.0, pressure_at: 0.0 }
+        Opening {
+            terms,
+            open,
+            answer_at: 0.0,
+            pressure: 0.0,
+            pressure_at: 0.0,
+        }
     }
 
     pub fn observe_pressure(&mut self, now: Millis, least_wait: Millis) {
@@ -90,7 +96,11 @@
 
     pub fn allows(&self, plan: &Plan, part: f64) -> bool {
         let open = f64::from(self.open + 1);
-        let most = if part < 1.0 { f64::from(plan.max_open) } else { part };
+        let most = if part < 1.0 {
+            f64::from(plan.max_open)
+        } else {
+            part
+        };
         open <= most.ceil() && (open <= most.floor() || self.spare > 0.0)
     }
 }
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -49,7 +49,11 @@
     /// A gateway with these settings; `seed` is its only source of chance.
     pub fn new(set: Settings, seed: u64) -> Self {
         let gateways = f64::from(set.gateways.max(1));
-        let terms = Arc::new(Terms { aim: set.shortest_aim(), set, gateways });
+        let terms = Arc::new(Terms {
+            aim: set.shortest_aim(),
+            set,
+            gateways,
+        });
         Gateway {
             rng: Pcg32::seed_from_u64(seed),
             born: None,
@@ -70,7 +74,10 @@
             Event::Backends(kind, entries) => self.listed(now, kind, &entries, actions),
             Event::Arrival(request) => self.arrived(now, request, actions),
             Event::StreamStarted(id) => {
-                self.attempts.live.entry(id).and_modify(|live| live.started = true);
+                self.attempts
+                    .live
+                    .entry(id)
+                    .and_modify(|live| live.started = true);
             }
             Event::Settled(settled) => self.settled(now, &settled, actions),
             Event::ClientGone(id) => self.abandon(id, actions),
@@ -94,7 +101,11 @@
     fn arrived(&mut self, now: Millis, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         let Some(request) = request.bounded(now, &self.terms.set) else {
-            actions.push(Action::Refuse { request: id, retry_after: None, why: Why::Unknown });
+            actions.push(Action::Refuse {
+                request: id,
+                retry_after: None,
+                why: Why::Unknown,
+            });
             return;
         };
         if let Some(end) = self.stop {
@@ -107,7 +118,10 @@
             Ok(choice) => {
                 self.attempts.earn_retries();
                 let at = self.slow_mark(&live).min(self.attempts.cut(&live));
-                actions.push(Action::SetAlarm { at, alarm: AlarmId(u64::from(id.0)) });
+                actions.push(Action::SetAlarm {
+                    at,
+                    alarm: AlarmId(u64::from(id.0)),
+                });
                 self.attempts.live.insert(id, live);
                 self.send(now, id, choice, actions);
             }
@@ -141,67 +155,122 @@
 
     fn choose(&mut self, now: Millis, live: &Live) -> Option<Choice> {
         let reach = self.attempts.reach(now, live);
-        self.subset.choose(&Ask { now, live, reach, fleet: &self.fleet }, &mut self.rng)
+        self.subset.choose(
+            &Ask {
+                now,
+                live,
+                reach,
+                fleet: &self.fleet,
+            },
+            &mut self.rng,
+        )
     }
 
     fn refusal(&self, request: RequestId, (why, wait): Refused) -> Action {
         let advised = wait.filter(|_| self.terms.set.retry_after);
         let retry_after = advised.map(|wait| wait.clamp(0.0, self.terms.set.max_retry_after));
-        Action::Refuse { request, retry_after, why }
+        Action::Refuse {
+            request,
+            retry_after,
+            why,
+        }
     }
 
     /// When an answer is slow. It is observed at once: a time-out is news when queues have long filled.
     fn slow_mark(&self, live: &Live) -> Millis {
         // A larger request than usual has more time.
         let size = (live.request.units / self.quotas.usual.max(0.01)).max(1.0);
-        live.arrived + (guards::SLOW_AIMS * size).min(1.0) * self.terms.set.classes[live.request.class.0].aim
+        live.arrived
+            + (guards::SLOW_AIMS * size).min(1.0) * self.terms.set.classes[live.request.class.0].aim
     }
 
     fn send(&mut self, now: Millis, id: RequestId, to: Choice, actions: &mut Vec<Action>) {
-        let (Some(live), Some(at)) = (self.attempts.live.get(&id), self.fleet.find(to.backend)) else {
+        let (Some(live), Some(at)) = (self.attempts.live.get(&id), self.fleet.find(to.backend))
+        else {
             return;
         };
         let units = live.request.units.max(0.01);
         let load = self.fleet.all[at].load_out() + units;
         let expected = self.fleet.pace(&self.fleet.all[at]) * load;
         let left = self.attempts.cut(live) - now;
-        let patience = self.attempts.patience(now, live, expected, self.opening.calm());
+        let patience = self
+            .attempts
+            .patience(now, live, expected, self.opening.calm());
         // A second copy costs less than giving up: the first may still answer.
         let copy = self.terms.set.second_copies && patience < left;
         let limit = if copy { left } else { patience.min(left) }.max(self.terms.set.tick);
         if copy && live.out.is_empty() {
             let alarm = AlarmId(u64::from(live.sends + 1) << 32 | u64::from(id.0));
-            actions.push(Action::SetAlarm { at: now + patience, alarm });
+            actions.push(Action::SetAlarm {
+                at: now + patience,
+                alarm,
+            });
         }
-        let (delivery, begin_before) = (self.attempts.delivery(now, live), self.attempts.key_expires(live));
-        let flight = Flight { at: now, class: live.request.class, load, units };
-        self.quotas.customers.entry(live.request.customer).and_modify(|customer| customer.cap.open += 1);
+        let (delivery, begin_before) = (
+            self.attempts.delivery(now, live),
+            self.attempts.key_expires(live),
+        );
+        let flight = Flight {
+            at: now,
+            class: live.request.class,
+            load,
+            units,
+        };
+        self.quotas
+            .customers
+            .entry(live.request.customer)
+            .and_modify(|customer| customer.cap.open += 1);
         self.fleet.all[at].sent(now, id, flight, to.even_rate, &self.terms.set);
         let BackendEntry { zone, cell, .. } = self.fleet.all[at].entry;
         self.attempts.live.entry(id).and_modify(|live| {
-            live.out.push(Try { attempt: live.sends, to: to.backend, at: now, zone, cell });
+            live.out.push(Try {
+                attempt: live.sends,
+                to: to.backend,
+                at: now,
+                zone,
+                cell,
+            });
             live.sends += 1;
         });
         let (backend, limit) = (to.backend, Some(limit));
-        actions.push(Action::Send { request: id, backend, limit, begin_before, delivery });
+        actions.push(Action::Send {
+            request: id,
+            backend,
+            limit,
+            begin_before,
+            delivery,
+        });
     }
 
     fn settled(&mut self, now: Millis, settled: &Settled, actions: &mut Vec<Action>) {
         let id = settled.request;
-        let Some(live) = self.attempts.live.get_mut(&id) else { return };
+        let Some(live) = self.attempts.live.get_mut(&id) else {
+            return;
+        };
         let ended = |out: &Try| out.attempt == settled.attempt && out.to == settled.backend;
-        let Some(ended) = live.out.iter().position(ended).map(|place| live.out.remove(place)) else { return };
+        let Some(ended) = live
+            .out
+            .iter()
+            .position(ended)
+            .map(|place| live.out.remove(place))
+        else {
+            return;
+        };
         if !settled.outcome.never_ran() {
             live.ran = live.ran.filter(|ran| ran.at <= ended.at).or(Some(ended));
         }
         let live = live.clone();
         let served = settled.outcome == Outcome::Ok;
         if served {
-            self.attempts.observe_service(live.request.class, settled.elapsed.max(0.0));
+            self.attempts
+                .observe_service(live.request.class, settled.elapsed.max(0.0));
         }
         if served && !live.slow {
             let mark = self.slow_mark(&live) - live.arrived;
-            self.opening.observe_answer(now, (guards::SLOW_AIMS * (now - live.arrived) / mark).min(1.0));
+            self.opening.observe_answer(
+                now,
+                (guards::SLOW_AIMS * (now - live.arrived) / mark).min(1.0),
+            );
         }
         if settled.broken > 0 {
             self.attempts.broke_at = now;
@@ -232,7 +301,9 @@
 
     /// Sends a second copy beside an attempt that has hung for too long, within the same time.
     fn copy(&mut self, now: Millis, id: RequestId, attempt: u32, actions: &mut Vec<Action>) {
-        let Some(live) = self.attempts.waiting(id) else { return };
+        let Some(live) = self.attempts.waiting(id) else {
+            return;
+        };
         let alone = live.out.len() == 1 && live.out[0].attempt == attempt;
         if !alone || !self.opening.calm() || !self.attempts.may_send_again(now, live) {
             return;
@@ -254,39 +325,65 @@
     }
 
     fn out_of_time(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(live) = self.attempts.waiting(id) else { return };
+        let Some(live) = self.attempts.waiting(id) else {
+            return;
+        };
         let cut = self.attempts.cut(live);
         if now >= cut || live.slow {
             actions.push(self.last_word(now, live));
             self.abandon(id, actions);
             return;
         }
-        actions.push(Action::SetAlarm { at: cut, alarm: AlarmId(u64::from(id.0)) });
+        actions.push(Action::SetAlarm {
+            at: cut,
+            alarm: AlarmId(u64::from(id.0)),
+        });
         // What hangs is no sign of queues: a fallen opening would refuse what the backends have room for.
-        if !live.out.first().is_some_and(|out| self.fleet.hung(now, out.to, id)) {
+        if !live
+            .out
+            .first()
+            .is_some_and(|out| self.fleet.hung(now, out.to, id))
+        {
             self.opening.observe_answer(now, 1.0);
         }
-        self.attempts.live.entry(id).and_modify(|live| live.slow = true);
+        self.attempts
+            .live
+            .entry(id)
+            .and_modify(|live| live.slow = true);
     }
 
     /// Ends a request, calling off an attempt that is still out.
     fn abandon(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(live) = self.attempts.live.get_mut(&id) else { return };
+        let Some(live) = self.attempts.live.get_mut(&id) else {
+            return;
+        };
         live.answered = true;
         if live.out.is_empty() {
             self.attempts.live.remove(&id);
         } else if self.terms.set.cancel && !live.started {
-            actions.extend(live.out.iter().map(|out| Action::CallOff { request: id, attempt: out.attempt }));
+            actions.extend(live.out.iter().map(|out| Action::CallOff {
+                request: id,
+                attempt: out.attempt,
+            }));
         }
     }
 
-    fn listed(&mut self, now: Millis, kind: ListKind, entries: &[BackendEntry], actions: &mut Vec<Action>) {
+    fn listed(
+        &mut self,
+        now: Millis,
+        kind: ListKind,
+        entries: &[BackendEntry],
+        actions: &mut Vec<Action>,
+    ) {
         match kind {
             _ if self.terms.set.discovery == Discovery::Pushed => {}
             ListKind::Cached => actions.push(Action::Subscribe),
             ListKind::Failed => {
                 let pause = self.terms.set.ask_within / 8.0 * (0.5 + chance(&mut self.rng));
-                actions.push(Action::SetAlarm { at: now + pause, alarm: LIST_ALARM });
+                actions.push(Action::SetAlarm {
+                    at: now + pause,
+                    alarm: LIST_ALARM,
+                });
             }
             ListKind::Full | ListKind::Changes => {}
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -65,7 +65,12 @@
 
 impl Default for Links {
     fn default() -> Self {
-        Links { dial_timeout: 250.0, idle_close: 10_000.0, handshake_price: 0.0, connection_price: 0.0 }
+        Links {
+            dial_timeout: 250.0,
+            idle_close: 10_000.0,
+            handshake_price: 0.0,
+            connection_price: 0.0,
+        }
     }
 }
 
@@ -80,7 +85,10 @@
     fn get<T: FromStr>(&self, path: &str, otherwise: T) -> Result<T, String> {
         match self.0.get(path) {
             None => Ok(otherwise),
-            Some(text) => text.trim().parse().map_err(|_| format!("settings: {path}={text} cannot be read")),
+            Some(text) => text
+                .trim()
+                .parse()
+                .map_err(|_| format!("settings: {path}={text} cannot be read")),
         }
     }
 
@@ -95,25 +103,48 @@
 
     fn list(&self, path: &str) -> Vec<String> {
         let text = self.0.get(path).copied().unwrap_or_default();
-        text.split(',').filter(|name| !name.is_empty()).map(str::to_owned).collect()
+        text.split(',')
+            .filter(|name| !name.is_empty())
+            .map(str::to_owned)
+            .collect()
     }
 
     fn names(&self, list: &str) -> Result<Vec<String>, String> {
-        let name =
-            |i| self.0.get(format!("{list}.{i}.name").as_str()).copied().unwrap_or_default().to_owned();
-        Ok((0..self.get(&format!("{list}.count"), 0)?).map(name).collect())
+        let name = |i| {
+            self.0
+                .get(format!("{list}.{i}.name").as_str())
+                .copied()
+                .unwrap_or_default()
+                .to_owned()
+        };
+        Ok((0..self.get(&format!("{list}.count"), 0)?)
+            .map(name)
+            .collect())
     }
 
-    fn choice<T: Copy>(&self, path: &str, otherwise: T, choices: &[(&str, T)]) -> Result<T, String> {
-        let Some(text) = self.0.get(path) else { return Ok(otherwise) };
+    fn choice<T: Copy>(
+        &self,
+        path: &str,
+        otherwise: T,
+        choices: &[(&str, T)],
+    ) -> Result<T, String> {
+        let Some(text) = self.0.get(path) else {
+            return Ok(otherwise);
+        };
         let found = choices.iter().find(|(word, _)| word == text);
-        found.map(|(_, value)| *value).ok_or_else(|| format!("settings: {path}={text} is not a known choice"))
+        found
+            .map(|(_, value)| *value)
+            .ok_or_else(|| format!("settings: {path}={text} is not a known choice"))
     }
 }
 
 /// Reads the facts; an error names the one that cannot be read.
 pub fn parse(text: &str) -> Result<Told, String> {
-    let facts = Facts(text.lines().filter_map(|line| line.split_once('=')).collect());
+    let facts = Facts(
+        text.lines()
+            .filter_map(|line| line.split_once('='))
+            .collect(),
+    );
     let base = Settings::default();
     let links = Links::default();
     let names = Names {
@@ -127,19 +158,30 @@
         me: facts.get("me", base.me)?,
         zone: ZoneId(facts.get("my_zone", base.zone.0)?),
         tick: facts.number("tick", base.tick)?,
-        classes: (0..facts.get("grades.count", 0)?).map(|i| class(&facts, i)).collect::<Result<_, _>>()?,
-        plans: (0..facts.get("plans.count", 0)?).map(|i| plan(&facts, i)).collect::<Result<_, _>>()?,
+        classes: (0..facts.get("grades.count", 0)?)
+            .map(|i| class(&facts, i))
+            .collect::<Result<_, _>>()?,
+        plans: (0..facts.get("plans.count", 0)?)
+            .map(|i| plan(&facts, i))
+            .collect::<Result<_, _>>()?,
         max_units: facts.number("extra.max_units", base.max_units)?,
         meter_period: facts.number("extra.meter", base.meter_period)?,
         discovery: facts.choice(
             "registry_mode",
             base.discovery,
-            &[("pushed", Discovery::Pushed), ("on_request", Discovery::OnRequest)],
+            &[
+                ("pushed", Discovery::Pushed),
+                ("on_request", Discovery::OnRequest),
+            ],
         )?,
         reports: facts.choice(
             "report.via",
             base.reports,
-            &[("off", Reports::Off), ("inline", Reports::Inline), ("on_probe", Reports::OnProbe)],
+            &[
+                ("off", Reports::Off),
+                ("inline", Reports::Inline),
+                ("on_probe", Reports::OnProbe),
+            ],
         )?,
         max_attempts: facts.get("policy_limits.send_cap", base.max_attempts)?,
         second_copies: facts.get("policy_limits.second_copies", base.second_copies)?,
@@ -172,12 +214,20 @@
 fn class(facts: &Facts<'_>, index: usize) -> Result<Class, String> {
     let path = |key: &str| format!("grades.{index}.{key}");
     let base = Class::default();
-    let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+    let groups = [
+        ("all", Group::All),
+        ("zone", Group::Zone),
+        ("cell", Group::Cell),
+    ];
     let keyed = Effect::Keyed {
         group: facts.choice(&path("group"), Group::Cell, &groups)?,
         memory: facts.number(&path("memory_span"), 0.0)?,
     };
-    let effects = [("safe", Effect::Safe), ("keyed", keyed), ("unsafe", Effect::Unsafe)];
+    let effects = [
+        ("safe", Effect::Safe),
+        ("keyed", keyed),
+        ("unsafe", Effect::Unsafe),
+    ];
     Ok(Class {
         aim: facts.number(&path("aim"), base.aim)?,
         deadline: facts.number(&path("give_up"), base.deadline)?,
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -5,7 +5,11 @@
 use common::*;
 
 fn open_plan() -> Plan {
-    Plan { rate: 1e5, burst: 1e6, ..Plan::default() }
+    Plan {
+        rate: 1e5,
+        burst: 1e6,
+        ..Plan::default()
+    }
 }
 
 /// A gateway that has had 60 answers of each class after `took`, with four backends.
@@ -14,8 +18,16 @@
     let mut now = 0.0;
     for i in 0..180u32 {
         now = f64::from(i) * 500.0;
-        let at = stage.arrive(now, request(i, (i % 3) as usize, now)).expect("a calm gateway sends");
-        stage.play(now + took, Event::Settled(Settled { elapsed: took, ..settled(i, 0, at, Outcome::Ok) }));
+        let at = stage
+            .arrive(now, request(i, (i % 3) as usize, now))
+            .expect("a calm gateway sends");
+        stage.play(
+            now + took,
+            Event::Settled(Settled {
+                elapsed: took,
+                ..settled(i, 0, at, Outcome::Ok)
+            }),
+        );
     }
     (stage, now + 500.0)
 }
@@ -29,10 +41,23 @@
         let at = stage.arrive(now, request(900, 0, now)).expect("sent");
         stage.play(
             now + after,
-            Event::Settled(Settled { elapsed: after, ..settled(900, 0, at, Outcome::Error) }),
+            Event::Settled(Settled {
+                elapsed: after,
+                ..settled(900, 0, at, Outcome::Error)
+            }),
+        );
+        assert_eq!(
+            stage.sent().is_some(),
+            again,
+            "after {after} of an aim of a second"
+        );
+        assert_eq!(
+            stage
+                .actions
+                .iter()
+                .any(|a| matches!(a, Action::Refuse { .. })),
+            !again
         );
-        assert_eq!(stage.sent().is_some(), again, "after {after} of an aim of a second");
-        assert_eq!(stage.actions.iter().any(|a| matches!(a, Action::Refuse { .. })), !again);
     }
 }
 
@@ -41,13 +66,31 @@
 fn what_waited_unread_is_begun_only_where_it_can_end_in_time() {
     for (waited, sent) in [(0.0, true), (600.0, true), (900.0, false), (5000.0, false)] {
         let (mut stage, now) = taught(settings(open_plan(), 1), 150.0);
-        let asked = Request { waited, ..request(900, 0, now) };
-        assert_eq!(stage.arrive(now, asked).is_some(), sent, "after {waited} of an aim of a second");
+        let asked = Request {
+            waited,
+            ..request(900, 0, now)
+        };
+        assert_eq!(
+            stage.arrive(now, asked).is_some(),
+            sent,
+            "after {waited} of an aim of a second"
+        );
     }
     // What makes no sense is no wait.
     let (mut stage, now) = taught(settings(open_plan(), 1), 150.0);
     for (id, waited) in [(900, f64::NAN), (901, -1e9), (902, f64::NEG_INFINITY)] {
-        assert!(stage.arrive(now, Request { waited, ..request(id, 0, now) }).is_some(), "{waited}");
+        assert!(
+            stage
+                .arrive(
+                    now,
+                    Request {
+                        waited,
+                        ..request(id, 0, now)
+                    }
+                )
+                .is_some(),
+            "{waited}"
+        );
     }
 }
 
@@ -59,11 +102,17 @@
     let mut sent = 0;
     for i in 0..200u32 {
         let now = start + f64::from(i) * 100.0;
-        let asked =
-            Request { waited: 500.0, customer: CustomerId(u64::from(i)), ..request(1000 + i, 0, now) };
+        let asked = Request {
+            waited: 500.0,
+            customer: CustomerId(u64::from(i)),
+            ..request(1000 + i, 0, now)
+        };
         if let Some(at) = stage.arrive(now, asked) {
             sent += 1;
-            let end = Settled { elapsed: 100.0, ..settled(1000 + i, 0, at, Outcome::Ok) };
+            let end = Settled {
+                elapsed: 100.0,
+                ..settled(1000 + i, 0, at, Outcome::Ok)
+            };
             stage.play(now + 99.0, Event::Settled(end));
         }
     }
@@ -74,12 +123,22 @@
 /// ones, beyond a few saved up; each gateway does so alone, so the fleet does.
 #[test]
 fn further_attempts_stay_a_share_of_first_ones_through_an_outage() {
-    for outcome in [Outcome::Error, Outcome::Full, Outcome::ConnectFailed, Outcome::Reset] {
-        let mut stage = Stage::new(settings(open_plan(), 1), (0..8).map(|id| ready(id, 0)).collect());
+    for outcome in [
+        Outcome::Error,
+        Outcome::Full,
+        Outcome::ConnectFailed,
+        Outcome::Reset,
+    ] {
+        let mut stage = Stage::new(
+            settings(open_plan(), 1),
+            (0..8).map(|id| ready(id, 0)).collect(),
+        );
         let (mut firsts, mut sends) = (0u32, 0u32);
         for i in 0..4000u32 {
             let now = f64::from(i) * 20.0;
-            let Some(mut at) = stage.arrive(now, request(i, 0, now)) else { continue };
+            let Some(mut at) = stage.arrive(now, request(i, 0, now)) else {
+                continue;
+            };
             firsts += 1;
             for attempt in 0.. {
                 sends += 1;
@@ -90,7 +149,10 @@
         }
         assert!(firsts > 500, "{outcome:?}: only {firsts} were let in");
         let most = f64::from(firsts) * 1.2 + 10.0;
-        assert!(f64::from(sends) <= most, "{outcome:?}: {sends} sends for {firsts} first attempts");
+        assert!(
+            f64::from(sends) <= most,
+            "{outcome:?}: {sends} sends for {firsts} first attempts"
+        );
         assert!(sends > firsts, "{outcome:?}: nothing was tried again");
     }
 }
@@ -99,13 +161,21 @@
 /// what clients follow; what was out before goes on.
 #[test]
 fn a_stop_turns_away_with_a_time_and_leaves_the_rest() {
-    let set = Settings { retry_after: true, max_retry_after: 2000.0, ..settings(open_plan(), 1) };
+    let set = Settings {
+        retry_after: true,
+        max_retry_after: 2000.0,
+        ..settings(open_plan(), 1)
+    };
     let (mut stage, now) = taught(set, 100.0);
     let at = stage.arrive(now, request(900, 0, now)).expect("sent");
     stage.play(now + 1.0, Event::Stopping(now + 1500.0));
     for (id, then, wait) in [(901, 100.0, 1400.0), (902, 1600.0, 0.0)] {
         stage.play(now + then, Event::Arrival(request(id, 0, now + then)));
-        let refused = Action::Refuse { request: RequestId(id), retry_after: Some(wait), why: Why::Stopping };
+        let refused = Action::Refuse {
+            request: RequestId(id),
+            retry_after: Some(wait),
+            why: Why::Stopping,
+        };
         assert_eq!(stage.actions, [refused]);
     }
     stage.settle(now + 200.0, 900, 0, at, Outcome::Error);
@@ -114,18 +184,29 @@
 
 /// Whether nothing was sent, called off or answered: dead connections may be closed.
 fn nothing_said(stage: &Stage) -> bool {
-    stage.actions.iter().all(|action| matches!(action, Action::CloseIdle(_)))
+    stage
+        .actions
+        .iter()
+        .all(|action| matches!(action, Action::CloseIdle(_)))
 }
 
 /// A gateway whose first attempt of request 900, sent to the first backend, has hung until its alarm.
 fn hung(class: usize, copies: bool) -> (Stage, f64, BackendId, Option<AlarmId>) {
-    let set = Settings { second_copies: copies, cancel: true, ..settings(open_plan(), 1) };
+    let set = Settings {
+        second_copies: copies,
+        cancel: true,
+        ..settings(open_plan(), 1)
+    };
     let (mut stage, now) = taught(set, 20.0);
     let at = stage.arrive(now, request(900, class, now)).expect("sent");
-    let mut alarms = stage.actions.iter().rev().filter_map(|action| match action {
-        Action::SetAlarm { alarm, .. } if alarm.0 > u64::from(u32::MAX) => Some(*alarm),
-        _ => None,
-    });
+    let mut alarms = stage
+        .actions
+        .iter()
+        .rev()
+        .filter_map(|action| match action {
+            Action::SetAlarm { alarm, .. } if alarm.0 > u64::from(u32::MAX) => Some(*alarm),
+            _ => None,
+        });
     let alarm = alarms.next();
     (stage, now, at, alarm)
 }
@@ -145,12 +226,16 @@
     stage.settle(now + 450.0, 900, 1, copy, Outcome::Reset);
     assert!(nothing_said(&stage));
     stage.settle(now + 500.0, 900, 0, first, Outcome::Ok);
-    assert!(!stage
-        .actions
-        .iter()
-        .any(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_) | Action::Send { .. })));
+    assert!(!stage.actions.iter().any(|a| matches!(
+        a,
+        Action::Refuse { .. } | Action::Fail(_) | Action::Send { .. }
+    )));
     for (class, copies) in [(2, true), (0, false)] {
-        assert_eq!(hung(class, copies).3, None, "class {class}, copies {copies}");
+        assert_eq!(
+            hung(class, copies).3,
+            None,
+            "class {class}, copies {copies}"
+        );
     }
 }
 
@@ -159,12 +244,31 @@
 fn the_answer_of_one_copy_calls_the_other_off() {
     for (winner, loser) in [(0, 1), (1, 0)] {
         let (mut stage, now, first, alarm) = hung(0, true);
-        stage.play(now + 400.0, Event::Alarm(alarm.expect("an alarm for a copy")));
+        stage.play(
+            now + 400.0,
+            Event::Alarm(alarm.expect("an alarm for a copy")),
+        );
         let at = [first, stage.sent().expect("a copy")];
         stage.settle(now + 450.0, 900, winner, at[winner as usize], Outcome::Ok);
-        let off = Action::CallOff { request: RequestId(900), attempt: loser };
-        assert_eq!(stage.actions.iter().filter(|action| **action == off).count(), 1);
-        stage.settle(now + 450.0, 900, loser, at[loser as usize], Outcome::Cancelled);
+        let off = Action::CallOff {
+            request: RequestId(900),
+            attempt: loser,
+        };
+        assert_eq!(
+            stage
+                .actions
+                .iter()
+                .filter(|action| **action == off)
+                .count(),
+            1
+        );
+        stage.settle(
+            now + 450.0,
+            900,
+            loser,
+            at[loser as usize],
+            Outcome::Cancelled,
+        );
         assert!(nothing_said(&stage));
     }
 }
@@ -173,33 +277,55 @@
 #[test]
 fn two_copies_end_in_one_answer() {
     let (mut stage, now, first, alarm) = hung(0, true);
-    stage.play(now + 400.0, Event::Alarm(alarm.expect("an alarm for a copy")));
+    stage.play(
+        now + 400.0,
+        Event::Alarm(alarm.expect("an alarm for a copy")),
+    );
     let copy = stage.sent().expect("a copy");
     stage.play(now + 450.0, Event::ClientGone(RequestId(900)));
-    let off = |attempt| Action::CallOff { request: RequestId(900), attempt };
+    let off = |attempt| Action::CallOff {
+        request: RequestId(900),
+        attempt,
+    };
     assert_eq!(stage.actions, [off(0), off(1)]);
     for (attempt, at) in [(0, first), (1, copy)] {
         stage.settle(now + 450.0, 900, attempt, at, Outcome::Cancelled);
         assert!(nothing_said(&stage));
     }
     let (mut stage, now, first, alarm) = hung(0, true);
-    stage.play(now + 400.0, Event::Alarm(alarm.expect("an alarm for a copy")));
+    stage.play(
+        now + 400.0,
+        Event::Alarm(alarm.expect("an alarm for a copy")),
+    );
     let copy = stage.sent().expect("a copy");
     stage.settle(now + 990.0, 900, 0, first, Outcome::Reset);
     assert!(nothing_said(&stage));
     stage.settle(now + 995.0, 900, 1, copy, Outcome::Reset);
-    assert_eq!(stage.actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count(), 1);
+    assert_eq!(
+        stage
+            .actions
+            .iter()
+            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .count(),
+        1
+    );
 }
 
 /// Guards an outage against copies as against any further attempt: they come out of the same budget of retries.
 #[test]
 fn second_copies_come_out_of_the_budget_of_retries() {
-    let set = Settings { second_copies: true, cancel: true, ..settings(open_plan(), 1) };
+    let set = Settings {
+        second_copies: true,
+        cancel: true,
+        ..settings(open_plan(), 1)
+    };
     let (mut stage, start) = taught(set, 20.0);
     let mut copies = 0;
     for i in 0..200u32 {
         let (id, now) = (1000 + i, start + f64::from(i) * 1000.0);
-        let Some(first) = stage.arrive(now, request(id, 0, now)) else { continue };
+        let Some(first) = stage.arrive(now, request(id, 0, now)) else {
+            continue;
+        };
         let alarm = stage.actions.iter().rev().find_map(|action| match action {
             Action::SetAlarm { alarm, .. } if alarm.0 > u64::from(u32::MAX) => Some(*alarm),
             _ => None,
@@ -213,5 +339,8 @@
             stage.settle(now + 410.0, id, 0, first, Outcome::Ok);
         }
     }
-    assert!((10..=50).contains(&copies), "{copies} copies of 200 first attempts");
+    assert!(
+        (10..=50).contains(&copies),
+        "{copies} copies of 200 first attempts"
+    );
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,8 +10,16 @@
 
 /// One gateway of `spread` with a plan and a class of each effect: 0 safe, 1 keyed, 2 unsafe.
 pub fn settings(plan: Plan, gateways: u32) -> Settings {
-    let class = |effect| Class { aim: 1000.0, deadline: 3000.0, effect, ..Class::default() };
-    let keyed = Effect::Keyed { group: Group::Zone, memory: 2000.0 };
+    let class = |effect| Class {
+        aim: 1000.0,
+        deadline: 3000.0,
+        effect,
+        ..Class::default()
+    };
+    let keyed = Effect::Keyed {
+        group: Group::Zone,
+        memory: 2000.0,
+    };
     Settings {
         gateways,
         classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
@@ -57,7 +65,10 @@
 
     /// One of several gateways, each with a seed of its own.
     pub fn seeded(settings: Settings, seed: u64, backends: Vec<BackendEntry>) -> Stage {
-        let mut stage = Stage { gateway: Gateway::new(settings, seed), actions: Vec::new() };
+        let mut stage = Stage {
+            gateway: Gateway::new(settings, seed),
+            actions: Vec::new(),
+        };
         stage.play(0.0, Event::Backends(ListKind::Cached, backends));
         stage
     }
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -33,14 +33,24 @@
 
 /// Idle clients, every fourth of which has asked something before.
 fn idle_clients(program: &Program, count: usize) -> Vec<Wire> {
-    (0..count).map(|i| if i % 4 == 0 { assert_healthy(program) } else { program.client() }).collect()
+    (0..count)
+        .map(|i| {
+            if i % 4 == 0 {
+                assert_healthy(program)
+            } else {
+                program.client()
+            }
+        })
+        .collect()
 }
 
 /// A request by a new client gets to this backend and is served.
 fn assert_served(program: &Program, backend: &Place, id: &str) {
     let mut client = program.client();
     client.write(request_of(id, "read", "wide", "8"));
-    let mut wire = backend.accept_or(&client).expect("a request that is sent on");
+    let mut wire = backend
+        .accept_or(&client)
+        .expect("a request that is sent on");
     assert_eq!(wire.read().header("request-id"), Some(id));
     wire.answer(200, "Connection: close\r\n", id);
     assert_eq!(client.read().body, id.as_bytes());
@@ -62,7 +72,11 @@
     let meanwhile = idle_clients(&program, CROWD);
     assert_healthy(&program);
     assert_served(&program, &backend, "down");
-    assert!(program.descriptors() <= SOCKETS as usize, "{} descriptors", program.descriptors());
+    assert!(
+        program.descriptors() <= SOCKETS as usize,
+        "{} descriptors",
+        program.descriptors()
+    );
     // Discovery can be reached again; the call that hung has no answer.
     let back = Instant::now();
     let mut again = discovery.accept();
@@ -74,14 +88,23 @@
     let places = [backend, fresh];
     wait_for("the list in force", || {
         let mut client = program.client();
-        client.write(request_of(&format!("{:?}", back.elapsed()), "read", "wide", "8"));
+        client.write(request_of(
+            &format!("{:?}", back.elapsed()),
+            "read",
+            "wide",
+            "8",
+        ));
         let (place, mut wire) = accept_any_or(&places, &client)?;
         wire.read();
         wire.answer(200, "Connection: close\r\n", "");
         assert_eq!(client.read().status(), 200);
         (place == 1).then_some(())
     });
-    assert!(back.elapsed() < IN_FORCE, "in force after {:?}", back.elapsed());
+    assert!(
+        back.elapsed() < IN_FORCE,
+        "in force after {:?}",
+        back.elapsed()
+    );
     assert_healthy(&program);
     assert_served(&program, &places[1], "back");
     // The idle ones leave: as many as there is room for come in and stay.
@@ -106,7 +129,10 @@
         client.write(HEALTH);
     }
     program.resume();
-    let unanswered = asking.iter_mut().filter(|client| !client.hears(PATIENCE)).count();
+    let unanswered = asking
+        .iter_mut()
+        .filter(|client| !client.hears(PATIENCE))
+        .count();
     assert_eq!(unanswered, 0, "of {BURST} closed without an answer");
     drop(idle);
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,9 +8,16 @@
 /// that is killed, one that stands still and one that is stopped break no rule, and those that went on lose nothing.
 #[test]
 fn processes_that_share_nothing_keep_the_rules_under_kills_and_pauses() {
-    let mut rig = Rig::start(&Plan { processes: 4, fleet: None, ..Plan::default() }).expect("a rig");
+    let mut rig = Rig::start(&Plan {
+        processes: 4,
+        fleet: None,
+        ..Plan::default()
+    })
+    .expect("a rig");
     let load = rig.load(Pace::default());
-    rig.wait("all four taken in", |_| (load.taken_in() == 4).then_some(()));
+    rig.wait("all four taken in", |_| {
+        (load.taken_in() == 4).then_some(())
+    });
     let more = |rig: &mut Rig, count: u64| {
         let until = load.asked() + count;
         rig.wait("more requests", |_| (load.asked() >= until).then_some(()));
@@ -31,7 +38,12 @@
     let events = rig.history.events();
     assert_eq!(check::all(&events), []);
     let count = |what: &str| events.iter().filter(|event| event.what == what).count();
-    assert!(count("asked") >= 200 && count("ran") >= 100, "{} asked, {} ran", count("asked"), count("ran"));
+    assert!(
+        count("asked") >= 200 && count("ran") >= 100,
+        "{} asked, {} ran",
+        count("asked"),
+        count("ran")
+    );
 }
 
 /// Guards what a front door keeps for its successor against a disk that is full for a while, and a running front door against a
@@ -39,7 +51,12 @@
 /// predecessor left is still refused to run again.
 #[test]
 fn a_full_disk_and_a_clock_that_is_set_stop_nobody() {
-    let plan = Plan { processes: 2, fleet: None, handover: true, ..Plan::default() };
+    let plan = Plan {
+        processes: 2,
+        fleet: None,
+        handover: true,
+        ..Plan::default()
+    };
     let mut rig = Rig::start(&plan).expect("a rig");
     let load = rig.load(Pace::default());
     rig.wait("both taken in", |_| (load.taken_in() == 2).then_some(()));
@@ -48,7 +65,8 @@
             let says = |event: &cometspool_rig::history::Event| {
                 event.who == "n0" && event.text("text").contains(text)
             };
-            rig.history.read(|events| events.iter().any(says).then_some(()))
+            rig.history
+                .read(|events| events.iter().any(says).then_some(()))
         });
     };
     rig.processes[0]
@@ -62,9 +80,14 @@
     rig.processes[0].fill(false).expect("no limit");
     said(&mut rig, "handed over again");
     let file = std::fs::read_to_string(rig.processes[0].data().join("handover")).expect("the file");
-    let ends: Vec<f64> = file.lines().filter_map(|line| line.split(' ').nth(1)?.parse().ok()).collect();
-    let now =
-        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock").as_millis();
+    let ends: Vec<f64> = file
+        .lines()
+        .filter_map(|line| line.split(' ').nth(1)?.parse().ok())
+        .collect();
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("a clock")
+        .as_millis();
     // The clock was set back an hour while it ran: its times did not move.
     let late = |end: &f64| *end > now as f64 - 1_800_000.0;
     assert!(!ends.is_empty() && ends.iter().all(late), "{file}");
@@ -77,7 +100,9 @@
 
 /// A counter of the way that a process tells.
 fn way(rig: &Rig, i: usize, name: &str) -> u64 {
-    rig.told(i).and_then(|event| event.more["way"][name].as_u64()).unwrap_or_default()
+    rig.told(i)
+        .and_then(|event| event.more["way"][name].as_u64())
+        .unwrap_or_default()
 }
 
 /// Guards membership on real processes: a start, a death, a pause past all limits, a planned stop, and a split that heals,
@@ -86,14 +111,25 @@
 fn processes_find_lose_and_find_each_other() {
     // With all that the live size paces switched on.
     let pace = serde_json::json!({"pace": {"discovery": true, "dials": true, "trials": true}});
-    let plan = Plan { processes: 6, fleet: Some(pace), ..Plan::default() };
+    let plan = Plan {
+        processes: 6,
+        fleet: Some(pace),
+        ..Plan::default()
+    };
     let mut rig = Rig::start(&plan).expect("a rig");
-    let load = rig.load(Pace { per_s: 40.0, ..Pace::default() });
+    let load = rig.load(Pace {
+        per_s: 40.0,
+        ..Pace::default()
+    });
     let all = [0, 1, 2, 3, 4, 5];
     rig.agree(&all, "six that know each other");
     rig.wait("the loads of all at each", |rig| {
         let known = |i| {
-            rig.told(i).and_then(|event| event.more["members"]["loads"].as_object().map(|loads| loads.len()))
+            rig.told(i).and_then(|event| {
+                event.more["members"]["loads"]
+                    .as_object()
+                    .map(|loads| loads.len())
+            })
         };
         all.iter().all(|i| known(*i) == Some(6)).then_some(())
     });
@@ -134,7 +170,11 @@
             "{by}: leaving is no failure"
         );
     }
-    assert!(rig.acted()["lost"] > 100, "the split acted: {:?}", rig.acted());
+    assert!(
+        rig.acted()["lost"] > 100,
+        "the split acted: {:?}",
+        rig.acted()
+    );
 }
 
 /// Guards the way against what comes from outside, and against peers that are cut off in the middle: each is counted, ends
@@ -142,10 +182,17 @@
 #[test]
 fn foreign_damaged_and_halved_frames_are_counted_and_end_their_connection() {
     use std::io::{Read, Write};
-    let mut rig = Rig::start(&Plan { processes: 2, ..Plan::default() }).expect("a rig");
+    let mut rig = Rig::start(&Plan {
+        processes: 2,
+        ..Plan::default()
+    })
+    .expect("a rig");
     rig.agree(&[0, 1], "two that know each other");
-    let at: std::net::SocketAddr =
-        rig.processes[0].config["fleet"]["listen"].as_str().unwrap().parse().unwrap();
+    let at: std::net::SocketAddr = rig.processes[0].config["fleet"]["listen"]
+        .as_str()
+        .unwrap()
+        .parse()
+        .unwrap();
     let mut head = b"CS\0\x01\0\x01\0\0".to_vec();
     head.extend([0; 16]);
     let strangers: [(&str, Vec<u8>); 3] = [
@@ -165,11 +212,18 @@
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a socket");
     let before = way(&rig, 0, "mark");
     socket.send_to(b"no frame", at).expect("sent");
-    rig.wait("a counted datagram", |rig| (way(rig, 0, "mark") > before).then_some(()));
+    rig.wait("a counted datagram", |rig| {
+        (way(rig, 0, "mark") > before).then_some(())
+    });
     // From now on one byte of each datagram is changed: checksums find all of them, and each takes the other for gone.
-    let damaged = cometspool_rig::link::Quality { damage: 1.0, ..Default::default() };
+    let damaged = cometspool_rig::link::Quality {
+        damage: 1.0,
+        ..Default::default()
+    };
     rig.between(&[0], &[1], &damaged);
-    rig.wait("damage found", |rig| (way(rig, 0, "checksum") + way(rig, 1, "checksum") >= 5).then_some(()));
+    rig.wait("damage found", |rig| {
+        (way(rig, 0, "checksum") + way(rig, 1, "checksum") >= 5).then_some(())
+    });
     rig.agree(&[0], "one alone");
     rig.heal();
     rig.agree(&[0, 1], "two again");
@@ -178,13 +232,25 @@
 /// Guards a running fleet against a bad section at SIGHUP: it is told with its key, and the old one goes on.
 #[test]
 fn a_bad_section_at_sighup_changes_nothing() {
-    let mut rig = Rig::start(&Plan { processes: 2, ..Plan::default() }).expect("a rig");
+    let mut rig = Rig::start(&Plan {
+        processes: 2,
+        ..Plan::default()
+    })
+    .expect("a rig");
     rig.agree(&[0, 1], "two that know each other");
-    rig.processes[0].reload(|config| config["fleet"]["links"] = 0.into()).expect("a file");
+    rig.processes[0]
+        .reload(|config| config["fleet"]["links"] = 0.into())
+        .expect("a file");
     rig.wait("a word on the bad key", |rig| {
-        let told =
-            |text: &str| text.contains("the old configuration goes on") && text.contains("fleet.links");
-        rig.history.read(|events| events.iter().any(|event| told(event.text("text"))).then_some(()))
+        let told = |text: &str| {
+            text.contains("the old configuration goes on") && text.contains("fleet.links")
+        };
+        rig.history.read(|events| {
+            events
+                .iter()
+                .any(|event| told(event.text("text")))
+                .then_some(())
+        })
     });
     // It still finds the other when that comes back.
     rig.processes[1].kill();
@@ -204,7 +270,10 @@
     let cases = [
         ("fleet.listen", json!({"listen": "nowhere"})),
         ("fleet.listen", json!({"listen": "127.0.0.1:0"})),
-        ("fleet.peers[0].dial", json!({"peers": [{"name": "a", "dial": "x"}]})),
+        (
+            "fleet.peers[0].dial",
+            json!({"peers": [{"name": "a", "dial": "x"}]}),
+        ),
         (
             "fleet.peers[1].name",
             json!({"peers": [{"name": "a", "dial": "127.0.0.1:1"}, {"name": "a", "dial": "127.0.0.1:2"}]}),
@@ -217,7 +286,10 @@
     ];
     for (key, change) in cases {
         let mut fleet = good.clone();
-        fleet.as_object_mut().unwrap().extend(change.as_object().unwrap().clone());
+        fleet
+            .as_object_mut()
+            .unwrap()
+            .extend(change.as_object().unwrap().clone());
         let config = json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
             "limits": {"sockets": 256}, "settings": settings(), "fleet": fleet,
@@ -226,15 +298,24 @@
         let output = child.wait_with_output().expect("an exit");
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{key}: {text}");
-        assert!(text.contains(key) && text.lines().count() == 1, "{key}: {text}");
+        assert!(
+            text.contains(key) && text.lines().count() == 1,
+            "{key}: {text}"
+        );
     }
     let config = json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
         "limits": {"sockets": 256}, "settings": settings(), "clock": {"rate": 2.0},
     });
-    let output = spawn(&config.to_string(), &[]).0.wait_with_output().expect("an exit");
+    let output = spawn(&config.to_string(), &[])
+        .0
+        .wait_with_output()
+        .expect("an exit");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(output.status.code() == Some(1) && text.contains("clock: only a test"), "{text}");
+    assert!(
+        output.status.code() == Some(1) && text.contains("clock: only a test"),
+        "{text}"
+    );
 }
 
 /// Guards the rules under the fixed schedules, each of which has to act: what it says it does must show in its history.
@@ -251,7 +332,17 @@
         (
             "bad links",
             include_str!("schedules/bad-links.toml"),
-            &["lost", "duplicated", "reordered", "damaged", "delayed", "ended", "reset", "halve", "refusals"],
+            &[
+                "lost",
+                "duplicated",
+                "reordered",
+                "damaged",
+                "delayed",
+                "ended",
+                "reset",
+                "halve",
+                "refusals",
+            ],
         ),
         (
             "clocks and stops",
@@ -274,8 +365,9 @@
         let outcome = play(&schedule, None, None).expect("a rig");
         assert_eq!(outcome.violations, [], "{name}");
         let seen = |act: &&str| {
-            let of =
-                |map: &std::collections::BTreeMap<String, u64>| map.get(*act).copied().unwrap_or_default();
+            let of = |map: &std::collections::BTreeMap<String, u64>| {
+                map.get(*act).copied().unwrap_or_default()
+            };
             of(&outcome.acted) + of(&outcome.counted)
         };
         for act in acts {
--- a/tests/front_door.rs
+++ b/tests/front_door.rs
@@ -19,11 +19,18 @@
     assert_eq!(sent.header("request-id"), Some("id-1"));
     assert_eq!(sent.header("idempotency-key"), Some("5c0f6e1a"));
     assert_eq!(sent.body, b"hello");
-    let wait: f64 = sent.header("request-timeout").expect("a time").parse().unwrap();
+    let wait: f64 = sent
+        .header("request-timeout")
+        .expect("a time")
+        .parse()
+        .unwrap();
     assert!(wait > 0.0 && wait <= 8.0, "{wait}");
     backend.answer(200, "Api-Usage: 55\r\nApi-Charge: 2\r\n", "paid");
     let answer = client.read();
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"paid"[..]));
+    assert_eq!(
+        (answer.status(), answer.body.as_slice()),
+        (200, &b"paid"[..])
+    );
 }
 
 /// Guards against a new connection for every request: they cost the backend work.
@@ -38,7 +45,12 @@
         backend.answer(200, "", id);
         assert_eq!(client.read().body, id.as_bytes());
         if id != "id-3" {
-            client.write(request_of(if id == "id-1" { "id-2" } else { "id-3" }, "read", "wide", LONG));
+            client.write(request_of(
+                if id == "id-1" { "id-2" } else { "id-3" },
+                "read",
+                "wide",
+                LONG,
+            ));
         }
     }
     assert!(scene.nobody_called());
@@ -51,13 +63,25 @@
     type Play = fn(&mut Wire);
     let plays: [(&str, Play); 6] = [
         ("500", |b| b.answer(500, "", "")),
-        ("500 that claims not to have started", |b| b.answer(500, "Not-Started: 1\r\n", "")),
+        ("500 that claims not to have started", |b| {
+            b.answer(500, "Not-Started: 1\r\n", "")
+        }),
         ("503 without a word", |b| b.answer(503, "", "")),
-        ("504 with another word", |b| b.answer(504, "Not-Started: 0\r\n", "")),
-        ("end without an answer", |b| b.reader.get_mut().shutdown(std::net::Shutdown::Both).unwrap()),
+        ("504 with another word", |b| {
+            b.answer(504, "Not-Started: 0\r\n", "")
+        }),
+        ("end without an answer", |b| {
+            b.reader
+                .get_mut()
+                .shutdown(std::net::Shutdown::Both)
+                .unwrap()
+        }),
         ("end within an answer", |b| {
             b.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
-            b.reader.get_mut().shutdown(std::net::Shutdown::Both).unwrap();
+            b.reader
+                .get_mut()
+                .shutdown(std::net::Shutdown::Both)
+                .unwrap();
         }),
     ];
     for (name, play) in plays {
@@ -96,8 +120,11 @@
 fn a_refused_connection_counts_as_never_run() {
     let discovery = Place::new();
     let (gone, _held) = refusing_place();
-    let program =
-        Program::start(settings(), discovery.address(), members(1, true, &[member("s", gone, "up")]));
+    let program = Program::start(
+        settings(),
+        discovery.address(),
+        members(1, true, &[member("s", gone, "up")]),
+    );
     let mut client = program.client();
     client.write(request_of("id-1", "charge", "wide", LONG));
     assert_eq!(client.read().status(), 429);
@@ -113,7 +140,11 @@
     backend.read();
     backend.answer(200, "", "one");
     assert_eq!(client.read().body, b"one");
-    backend.reader.get_mut().shutdown(std::net::Shutdown::Write).unwrap();
+    backend
+        .reader
+        .get_mut()
+        .shutdown(std::net::Shutdown::Write)
+        .unwrap();
     // The front door has seen the end once it has closed its own side.
     backend.expect_end();
     client.write(request_of("id-2", "charge", "wide", LONG));
@@ -134,7 +165,11 @@
     let mut backend = scene.backends[0].accept();
     backend.read();
     let answer = client.read();
-    assert!(answer.status() >= 500 && answer.status() != 503, "{}", answer.status());
+    assert!(
+        answer.status() >= 500 && answer.status() != 503,
+        "{}",
+        answer.status()
+    );
     assert!(begun.elapsed().as_secs_f64() >= 2.3, "given up early");
     // The answer crosses the end of the connection; either way the client must not see it.
     let _ = std::io::Write::write_all(
@@ -228,14 +263,20 @@
     backend.read();
     backend.answer(200, "", "ok");
     assert_eq!(client.read().status(), 200);
-    let line = members(8, false, &[member("s-0", scene.backends[0].address(), "draining")]);
+    let line = members(
+        8,
+        false,
+        &[member("s-0", scene.backends[0].address(), "draining")],
+    );
     scene.watch.line(&line.to_string());
     backend.expect_end();
     client.write(request_of("id-2", "read", "wide", LONG));
     assert_eq!(client.read().status(), 429);
     assert!(scene.nobody_called());
     // Told that it is back, the front door sends again; until the line has come, it refuses.
-    scene.watch.line(&members(9, true, &[member("s-0", scene.backends[0].address(), "up")]).to_string());
+    scene
+        .watch
+        .line(&members(9, true, &[member("s-0", scene.backends[0].address(), "up")]).to_string());
     let mut backend = (3..)
         .find_map(|id| {
             client.write(request_of(&format!("id-{id}"), "read", "wide", LONG));
@@ -264,12 +305,17 @@
     let mut watch = Watch::begin(wire);
     let mut client = program.client();
     client.write(request_of("id-1", "charge", "wide", LONG));
-    wait_for("a dial that hangs", || dialling(backend.address()).then_some(()));
+    wait_for("a dial that hangs", || {
+        dialling(backend.address()).then_some(())
+    });
     watch.line(&members(8, false, &[member("s-0", backend.address(), "draining")]).to_string());
     watch.0.write("0\r\n\r\n");
     drop(watch);
     // Asking from 8 shows that the line has been taken in.
-    assert_eq!(discovery.accept().read().first, "GET /catalog/members?watch=1&from=8 HTTP/1.1");
+    assert_eq!(
+        discovery.accept().read().first,
+        "GET /catalog/members?watch=1&from=8 HTTP/1.1"
+    );
     for _ in &fillers {
         backend.accept();
     }
@@ -288,14 +334,20 @@
     scene.watch.0.write("0\r\n\r\n");
     drop(scene.watch);
     let mut wire = scene.discovery.accept();
-    assert_eq!(wire.read().first, "GET /catalog/members?watch=1&from=12 HTTP/1.1");
+    assert_eq!(
+        wire.read().first,
+        "GET /catalog/members?watch=1&from=12 HTTP/1.1"
+    );
     let mut watch = Watch::begin(wire);
     watch.line("{\"seq\":13,\"whole\":");
     let mut wire = scene.discovery.accept();
     assert_eq!(wire.read().first, "GET /catalog/members HTTP/1.1");
     wire.answer(200, "", &members(20, true, &hosts).to_string());
     let mut wire = scene.discovery.accept();
-    assert_eq!(wire.read().first, "GET /catalog/members?watch=1&from=20 HTTP/1.1");
+    assert_eq!(
+        wire.read().first,
+        "GET /catalog/members?watch=1&from=20 HTTP/1.1"
+    );
 }
 
 /// Guards an overbooked discovery against being asked for more: one that turns a watch away knows the version, so
@@ -307,10 +359,16 @@
     drop(scene.watch);
     for status in [503, 503, 500, 404] {
         let mut wire = scene.discovery.accept();
-        assert_eq!(wire.read().first, "GET /catalog/members?watch=1&from=7 HTTP/1.1");
+        assert_eq!(
+            wire.read().first,
+            "GET /catalog/members?watch=1&from=7 HTTP/1.1"
+        );
         wire.answer(status, "", "");
     }
-    assert_eq!(scene.discovery.accept().read().first, "GET /catalog/members HTTP/1.1");
+    assert_eq!(
+        scene.discovery.accept().read().first,
+        "GET /catalog/members HTTP/1.1"
+    );
 }
 
 /// Guards against a watch whose other end has vanished: it says nothing and does not end.
@@ -318,7 +376,10 @@
 fn a_silent_watch_is_opened_again() {
     let scene = Scene::new(1);
     let mut wire = scene.discovery.accept();
-    assert_eq!(wire.read().first, "GET /catalog/members?watch=1&from=7 HTTP/1.1");
+    assert_eq!(
+        wire.read().first,
+        "GET /catalog/members?watch=1&from=7 HTTP/1.1"
+    );
 }
 
 /// Guards the start: the front is told to come only when there is a list to serve from.
@@ -333,9 +394,16 @@
     client.write(health);
     assert_eq!(client.read().status(), 503);
     let backend = Place::new();
-    wire.answer(200, "", &members(1, true, &[member("s-0", backend.address(), "up")]).to_string());
+    wire.answer(
+        200,
+        "",
+        &members(1, true, &[member("s-0", backend.address(), "up")]).to_string(),
+    );
     // The watch that follows shows that the list has been taken in.
-    assert_eq!(discovery.accept().read().first, "GET /catalog/members?watch=1&from=1 HTTP/1.1");
+    assert_eq!(
+        discovery.accept().read().first,
+        "GET /catalog/members?watch=1&from=1 HTTP/1.1"
+    );
     client.write(health);
     assert_eq!(client.read().status(), 200);
 }
@@ -362,7 +430,10 @@
     let kept = |backend: &mut Wire, client: &mut Wire| {
         backend.answer(200, "", "kept");
         let answer = client.read();
-        assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"kept"[..]));
+        assert_eq!(
+            (answer.status(), answer.body.as_slice()),
+            (200, &b"kept"[..])
+        );
         assert_eq!(answer.header("connection"), Some("close"));
         client.expect_end();
     };
@@ -373,7 +444,10 @@
     // A connection that never carried a request does not hold the program up.
     let begun = std::time::Instant::now();
     assert_eq!(scene.program.wait().code(), Some(0));
-    assert!(begun.elapsed().as_secs_f64() < 5.0, "held up until its last call");
+    assert!(
+        begun.elapsed().as_secs_f64() < 5.0,
+        "held up until its last call"
+    );
     unused.expect_end();
 }
 
@@ -386,17 +460,27 @@
         let lines = good.split("\r\n").filter(|line| !line.starts_with(name));
         lines.collect::<Vec<_>>().join("\r\n")
     };
-    let mut cases: Vec<(String, u16)> =
-        ["Request-Id", "Request-Class", "Api-Plan", "Cookie", "Request-Timeout", "Api-Terms"]
-            .iter()
-            .map(|name| (without(name), 400))
-            .collect();
+    let mut cases: Vec<(String, u16)> = [
+        "Request-Id",
+        "Request-Class",
+        "Api-Plan",
+        "Cookie",
+        "Request-Timeout",
+        "Api-Terms",
+    ]
+    .iter()
+    .map(|name| (without(name), 400))
+    .collect();
     for (from, to, status) in [
         ("Request-Class: charge", "Request-Class: refund", 400),
         ("POST /charge/", "POST /read/", 400),
         ("POST /charge/", "PUT /charge/", 400),
         ("POST /charge/", "GET /charge/", 400),
-        ("Content-Length: 5", "Idempotency-Key: 1\r\nContent-Length: 5", 400),
+        (
+            "Content-Length: 5",
+            "Idempotency-Key: 1\r\nContent-Length: 5",
+            400,
+        ),
         ("Api-Plan: wide", "Api-Plan: broad", 400),
         ("client=00000000b4d65521", "client=b4d65521", 400),
         ("client=00000000b4d65521", "client=0000000200000000", 400),
@@ -421,8 +505,16 @@
         ("Host: ser", "Host: other\r\nHost: ser", 400),
         ("Host: ser", "Host: s\u{e9}r", 400),
         ("Host: ser", "Request-Id: id-2\r\nHost: ser", 400),
-        ("Host: ser", "Cookie: client=00000000b4d65521\r\nHost: ser", 400),
-        ("Host: ser", "Api-Terms: units=1,spread=1,first=0\r\nHost: ser", 400),
+        (
+            "Host: ser",
+            "Cookie: client=00000000b4d65521\r\nHost: ser",
+            400,
+        ),
+        (
+            "Host: ser",
+            "Api-Terms: units=1,spread=1,first=0\r\nHost: ser",
+            400,
+        ),
         ("Request-Id: id-1", "Request-Id: id 1", 400),
         ("/charge/a", "/charge/\u{e9}", 400),
         ("/charge/a", "/charger/a", 400),
@@ -470,7 +562,10 @@
         assert_eq!(client.read().status(), 200);
         held.push(client);
     }
-    assert!(program.child.try_wait().unwrap().is_none(), "ended by itself");
+    assert!(
+        program.child.try_wait().unwrap().is_none(),
+        "ended by itself"
+    );
 }
 
 /// Guards against clients that begin a request and never end it: at the limit they make room too.
@@ -526,7 +621,11 @@
     assert!(served <= 2, "{served} units of a burst of 2");
     let answer = client.read();
     assert_eq!(answer.status(), 429);
-    let advice: f64 = answer.header("retry-after").expect("advice").parse().unwrap();
+    let advice: f64 = answer
+        .header("retry-after")
+        .expect("advice")
+        .parse()
+        .unwrap();
     assert!(advice > 0.0 && advice <= 2.0, "{advice}");
 }
 
@@ -546,14 +645,25 @@
         (with("listen", "nowhere".into()), "BALANCER_LISTEN"),
         (with("seed", "xyz".into()), "seed"),
         (with("limits", serde_json::json!({"sockets": 3})), "sockets"),
-        (with("settings", serde_json::json!({"tick": "soon"})), "tick=soon"),
+        (
+            with("settings", serde_json::json!({"tick": "soon"})),
+            "tick=soon",
+        ),
     ];
     for (config, expected) in cases {
         let (mut child, _) = spawn(&config, &[]);
         let mut text = String::new();
-        child.stderr.take().unwrap().read_to_string(&mut text).unwrap();
+        child
+            .stderr
+            .take()
+            .unwrap()
+            .read_to_string(&mut text)
+            .unwrap();
         let status: ExitStatus = child.wait().unwrap();
-        assert!(!status.success() && text.contains(expected) && text.lines().count() == 1, "{text}");
+        assert!(
+            !status.success() && text.contains(expected) && text.lines().count() == 1,
+            "{text}"
+        );
     }
 }
 
@@ -567,7 +677,10 @@
     let mut backend = scene.backends[0].accept();
     backend.read();
     let mut config = scene.program.config.clone();
-    for bad in ["{", "{\"seed\":\"1\",\"limits\":{\"sockets\":256},\"settings\":{},\"discovery\":\"x\"}"] {
+    for bad in [
+        "{",
+        "{\"seed\":\"1\",\"limits\":{\"sockets\":256},\"settings\":{},\"discovery\":\"x\"}",
+    ] {
         scene.program.reload(bad);
         let line = scene.program.log_line();
         assert!(line.contains("old configuration goes on"), "{line}");
@@ -582,7 +695,8 @@
         scene.program.reload(&config.to_string());
         let mut wire = fresh.accept();
         let first = wire.read().first;
-        (first == "GET /catalog/members?watch=1&from=8 HTTP/1.1").then(|| scene.watch.0.expect_end())
+        (first == "GET /catalog/members?watch=1&from=8 HTTP/1.1")
+            .then(|| scene.watch.0.expect_end())
     });
     // What was taken before is answered.
     backend.answer(200, "", "kept");
@@ -596,7 +710,11 @@
     let scene = Scene::new(1);
     let hidden = request_of("id-2", "charge", "wide", LONG);
     let (length, chunks) = ("Content-Length: 5", "Transfer-Encoding: chunked");
-    for framing in [format!("{length}\r\n{chunks}"), format!("{chunks}\r\n{length}"), chunks.to_owned()] {
+    for framing in [
+        format!("{length}\r\n{chunks}"),
+        format!("{chunks}\r\n{length}"),
+        chunks.to_owned(),
+    ] {
         let good = request_of("id-1", "charge", "wide", LONG).replacen(length, &framing, 1);
         let head = good.strip_suffix("hello").unwrap();
         let mut client = scene.program.client();
@@ -684,7 +802,12 @@
     let mut client = scene.program.client();
     client.write(request_of("id-1", "charge", "wide", "79"));
     let mut backend = scene.backends[0].accept();
-    let wait: f64 = backend.read().header("request-timeout").expect("a time").parse().unwrap();
+    let wait: f64 = backend
+        .read()
+        .header("request-timeout")
+        .expect("a time")
+        .parse()
+        .unwrap();
     assert!(wait > 0.0 && wait <= 8.0, "{wait}");
     backend.answer(200, "", "once");
     assert_eq!(client.read().status(), 200);
@@ -699,7 +822,12 @@
 #[test]
 fn what_comes_behind_an_answer_goes_to_nobody() {
     let copy = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
-    for (behind, together) in [(copy, true), ("noise", true), (copy, false), ("noise", false)] {
+    for (behind, together) in [
+        (copy, true),
+        ("noise", true),
+        (copy, false),
+        ("noise", false),
+    ] {
         let scene = Scene::new(1);
         let mut client = scene.program.client();
         client.write(request_of("id-1", "charge", "wide", LONG));
@@ -727,14 +855,32 @@
 /// request fails at once, its connection is closed, and the next one is served on another.
 #[test]
 fn a_spoilt_answer_is_a_failure_at_once() {
-    let endless = format!("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}", "x".repeat(80_000));
-    let head = format!("HTTP/1.1 200 OK\r\n{}", "X-Pad: pppppppppppp\r\n".repeat(4000));
+    let endless = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}",
+        "x".repeat(80_000)
+    );
+    let head = format!(
+        "HTTP/1.1 200 OK\r\n{}",
+        "X-Pad: pppppppppppp\r\n".repeat(4000)
+    );
     let cases = [
         ("noise", "\u{83}\u{4}no\r\n\r\n"),
-        ("no status", "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nno"),
-        ("two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nno"),
-        ("bad chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\nzz\r\n"),
-        ("another protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n"),
+        (
+            "no status",
+            "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nno",
+        ),
+        (
+            "two lengths",
+            "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nno",
+        ),
+        (
+            "bad chunks",
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\nzz\r\n",
+        ),
+        (
+            "another protocol",
+            "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n",
+        ),
         ("an answer without end", endless.as_str()),
         ("a head without end", head.as_str()),
     ];
@@ -748,7 +894,10 @@
         // The front door may close before all is written.
         let _ = std::io::Write::write_all(backend.reader.get_mut(), text.as_bytes());
         assert_eq!(client.read().status(), 502, "{name}");
-        assert!(begun.elapsed().as_secs_f64() < 3.0, "{name}: waited for more");
+        assert!(
+            begun.elapsed().as_secs_f64() < 3.0,
+            "{name}: waited for more"
+        );
         backend.expect_end();
         client.write(request_of("id-2", "charge", "wide", LONG));
         let mut second = scene.backends[0].accept();
@@ -767,9 +916,16 @@
     let mut backend = scene.backends[0].accept();
     backend.read();
     backend.write("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n");
-    backend.answer(200, "Api-Usage: %%%\r\nApi-Usage: 9e99\r\nApi-Charge: =,=\r\nApi-Charge: 1\r\n", "paid");
+    backend.answer(
+        200,
+        "Api-Usage: %%%\r\nApi-Usage: 9e99\r\nApi-Charge: =,=\r\nApi-Charge: 1\r\n",
+        "paid",
+    );
     let answer = client.read();
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"paid"[..]));
+    assert_eq!(
+        (answer.status(), answer.body.as_slice()),
+        (200, &b"paid"[..])
+    );
 }
 
 /// Guards backends against blame for the front door's own shortage: with no room for a further connection a request
@@ -799,7 +955,10 @@
     program.terminate();
     let mut log = String::new();
     program.log.read_to_string(&mut log).unwrap();
-    assert!(log.contains("stopping") && !log.contains("set aside"), "{log}");
+    assert!(
+        log.contains("stopping") && !log.contains("set aside"),
+        "{log}"
+    );
 }
 
 /// Guards long answers: a good one far beyond the agreed 64 KiB is passed on whole, told by its length or in chunks, and
@@ -822,7 +981,11 @@
         }
         let answer = client.read();
         assert_eq!(answer.status(), 200, "number {number}");
-        assert!(answer.body == long.as_bytes(), "number {number}: {} bytes", answer.body.len());
+        assert!(
+            answer.body == long.as_bytes(),
+            "number {number}: {} bytes",
+            answer.body.len()
+        );
         client.write(request_of(&format!("id-{number}"), "charge", "wide", LONG));
     }
 }
