--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -26,14 +26,19 @@
 fn leave_all(clients: Vec<Wire>, how: Leaves) {
     let ends = |client: &Wire| {
         let stream = client.reader.get_ref();
-        (stream.local_addr().expect("an address"), stream.peer_addr().expect("an address"))
+        (
+            stream.local_addr().expect("an address"),
+            stream.peer_addr().expect("an address"),
+        )
     };
     let pairs: Vec<(SocketAddr, SocketAddr)> = clients.iter().map(ends).collect();
     for client in clients.iter().filter(|_| matches!(how, Leaves::Resets)) {
         client.reset_on_close();
     }
     drop(clients);
-    wait_for("the end of connections", || (!connected(&pairs)).then_some(()));
+    wait_for("the end of connections", || {
+        (!connected(&pairs)).then_some(())
+    });
 }
 
 /// Settings that permit calling attempts off, or do not.
@@ -60,7 +65,10 @@
 fn a_dial_that_comes_up_after_the_leaving_carries_nothing() {
     let scenes: Vec<_> = [true, false]
         .into_iter()
-        .flat_map(|cancel| WAYS.into_iter().flat_map(move |how| [(cancel, how, true), (cancel, how, false)]))
+        .flat_map(|cancel| {
+            WAYS.into_iter()
+                .flat_map(move |how| [(cancel, how, true), (cancel, how, false)])
+        })
         .map(|(cancel, how, one_turn)| {
             std::thread::spawn(move || {
                 let name = format!("cancel {cancel}, {how:?}, one turn {one_turn}");
@@ -70,7 +78,9 @@
                 let program = Program::start(cancelling(cancel), discovery.address(), list);
                 let mut client = program.client();
                 client.write(request_of("left", "charge", "wide", LONG));
-                wait_for("a dial that hangs", || dialling(backend.address()).then_some(()));
+                wait_for("a dial that hangs", || {
+                    dialling(backend.address()).then_some(())
+                });
                 if one_turn {
                     program.pause();
                 }
@@ -79,22 +89,34 @@
                     backend.accept();
                 }
                 // The system asks again by itself.
-                wait_for("a dial that is up", || (!dialling(backend.address())).then_some(()));
+                wait_for("a dial that is up", || {
+                    (!dialling(backend.address())).then_some(())
+                });
                 if one_turn {
                     program.resume();
                 }
                 let mut link = Some(backend.accept());
-                only_the_next_is_sent(&program, || link.take().expect("the link that was dialled"), &name);
+                only_the_next_is_sent(
+                    &program,
+                    || link.take().expect("the link that was dialled"),
+                    &name,
+                );
             })
         })
         .collect();
-    scenes.into_iter().for_each(|scene| scene.join().expect("a scene that held"));
+    scenes
+        .into_iter()
+        .for_each(|scene| scene.join().expect("a scene that held"));
 }
 
 /// Guards a request that waits for a link: its client leaves in the turn in which another's answer frees one.
 #[test]
 fn a_link_that_comes_free_with_the_leaving_carries_nothing() {
-    for (cancel, how) in [(true, Leaves::Closes), (false, Leaves::Closes), (false, Leaves::Resets)] {
+    for (cancel, how) in [
+        (true, Leaves::Closes),
+        (false, Leaves::Closes),
+        (false, Leaves::Resets),
+    ] {
         let discovery = Place::new();
         let (backend, fillers) = crowded_place();
         for _ in &fillers {
@@ -106,11 +128,15 @@
         first.write(request_of("first", "charge", "wide", LONG));
         let mut link = backend.accept();
         link.read();
-        let _fillers: Vec<TcpStream> =
-            fillers.iter().map(|_| TcpStream::connect(backend.address()).expect("room for two")).collect();
+        let _fillers: Vec<TcpStream> = fillers
+            .iter()
+            .map(|_| TcpStream::connect(backend.address()).expect("room for two"))
+            .collect();
         let mut client = program.client();
         client.write(request_of("left", "charge", "wide", LONG));
-        wait_for("a dial that hangs", || dialling(backend.address()).then_some(()));
+        wait_for("a dial that hangs", || {
+            dialling(backend.address()).then_some(())
+        });
         program.pause();
         link.answer(200, "", "one");
         leave(client, how);
@@ -118,7 +144,11 @@
         assert_eq!(first.read().body, b"one");
         let mut link = Some(link);
         let name = format!("cancel {cancel}, {how:?}");
-        only_the_next_is_sent(&program, || link.take().expect("the link that came free"), &name);
+        only_the_next_is_sent(
+            &program,
+            || link.take().expect("the link that came free"),
+            &name,
+        );
     }
 }
 
@@ -127,10 +157,18 @@
 #[test]
 fn no_retry_goes_out_for_a_client_that_has_left() {
     for cancel in [true, false] {
-        for (how, behind) in [(Leaves::Closes, false), (Leaves::Resets, false), (Leaves::Closes, true)] {
+        for (how, behind) in [
+            (Leaves::Closes, false),
+            (Leaves::Resets, false),
+            (Leaves::Closes, true),
+        ] {
             let scene = Scene::with(cancelling(cancel), 2);
             let mut client = scene.program.client();
-            let further = if behind { request_of("behind", "charge", "wide", LONG) } else { String::new() };
+            let further = if behind {
+                request_of("behind", "charge", "wide", LONG)
+            } else {
+                String::new()
+            };
             client.write(request_of("left", "charge", "wide", LONG) + &further);
             let (_, mut backend) = scene.accept_any();
             assert_eq!(backend.read().header("request-id"), Some("left"));
@@ -187,7 +225,11 @@
         settings["grades"][0][key] = 600_000.0.into();
     }
     // Behind it: a further request, more than is read ahead, and what is no request at all.
-    for behind in [request_of("behind", "read", "wide", "600"), "x".repeat(200_000), "\r\n\r\n".to_owned()] {
+    for behind in [
+        request_of("behind", "read", "wide", "600"),
+        "x".repeat(200_000),
+        "\r\n\r\n".to_owned(),
+    ] {
         let scene = Scene::with(settings.clone(), 1);
         let mut client = scene.program.client();
         client.write(request_of("left", "read", "wide", "600"));
@@ -198,7 +240,11 @@
         let _ = std::io::Write::write(client.reader.get_mut(), behind.as_bytes());
         leave(client, Leaves::Closes);
         backend.expect_end();
-        only_the_next_is_sent(&scene.program, || scene.backends[0].accept(), &behind[..behind.len().min(12)]);
+        only_the_next_is_sent(
+            &scene.program,
+            || scene.backends[0].accept(),
+            &behind[..behind.len().min(12)],
+        );
     }
 }
 
@@ -214,7 +260,11 @@
         let up = |(i, (place, _)): (usize, &(Place, Vec<TcpStream>))| {
             member(&format!("s-{i}"), place.address(), "up")
         };
-        let list = members(7, true, &backends.iter().enumerate().map(up).collect::<Vec<_>>());
+        let list = members(
+            7,
+            true,
+            &backends.iter().enumerate().map(up).collect::<Vec<_>>(),
+        );
         // Nothing ends by its time, however slow the machine is.
         let mut settings = cancelling(cancel);
         settings["policy_limits"]["dial_timeout"] = 60_000.0.into();
@@ -230,21 +280,27 @@
             })
             .collect();
         for (place, _) in &backends {
-            wait_for("a dial that hangs", || dialling(place.address()).then_some(()));
+            wait_for("a dial that hangs", || {
+                dialling(place.address()).then_some(())
+            });
         }
         // Whoever is refused at once waits no longer.
         let waits = |client: &Option<Wire>| client.as_ref().is_some_and(|client| !client.speaks());
         let mut left = 0;
         // In two bursts, by both ways of leaving.
         for how in WAYS {
-            let burst = (0..count).filter(|i| i % STAY > 0 && (i % 2 == 0) == matches!(how, Leaves::Closes));
+            let burst = (0..count)
+                .filter(|i| i % STAY > 0 && (i % 2 == 0) == matches!(how, Leaves::Closes));
             let burst: Vec<Option<Wire>> = burst.map(|i| clients[i].take()).collect();
             left += burst.iter().filter(|client| waits(client)).count();
             leave_all(burst.into_iter().flatten().collect(), how);
         }
         assert!(left >= 15, "only {left} left while they waited");
-        let staying: Vec<(usize, Wire)> =
-            clients.into_iter().enumerate().filter_map(|(i, client)| Some((i, client?))).collect();
+        let staying: Vec<(usize, Wire)> = clients
+            .into_iter()
+            .enumerate()
+            .filter_map(|(i, client)| Some((i, client?)))
+            .collect();
         // From now on whatever comes up is answered.
         let sent = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
         for (place, fillers) in backends {
@@ -269,7 +325,11 @@
         for (i, mut client) in staying {
             let answer = client.read();
             // One that found no room was refused at once; nobody is given another's answer.
-            assert!(matches!(answer.status(), 200 | 429), "r-{i}: {}", answer.status());
+            assert!(
+                matches!(answer.status(), 200 | 429),
+                "r-{i}: {}",
+                answer.status()
+            );
             if answer.status() == 200 {
                 assert_eq!(answer.body, format!("r-{i}").as_bytes());
                 served += 1;
@@ -279,7 +339,11 @@
         sent.sort();
         let number = |id: &String| id[2..].parse::<usize>().expect("a number");
         let late = sent.iter().filter(|id| number(id) % STAY > 0).count();
-        assert_eq!(late, 0, "cancel {cancel}: sent on for clients that had left, of {}", left);
+        assert_eq!(
+            late, 0,
+            "cancel {cancel}: sent on for clients that had left, of {}",
+            left
+        );
         assert_eq!(sent.len(), served, "cancel {cancel}: {sent:?}");
         sent.dedup();
         assert_eq!(sent.len(), served, "sent twice");
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -48,30 +48,51 @@
     let indented = format!("{:#}", members(9, false, &[]));
     let cases = [
         ("before the first byte", String::new(), false, watch_from(7)),
-        ("within the header", head[..20].to_owned(), false, watch_from(7)),
+        (
+            "within the header",
+            head[..20].to_owned(),
+            false,
+            watch_from(7),
+        ),
         ("after the header", head.to_owned(), false, watch_from(7)),
-        ("after a sign of life", head.to_owned() + &chunk("\n"), false, watch_from(7)),
+        (
+            "after a sign of life",
+            head.to_owned() + &chunk("\n"),
+            false,
+            watch_from(7),
+        ),
         (
             "after an empty list",
             head.to_owned() + &chunk(&members(8, false, &[]).to_string()),
             false,
             watch_from(8),
         ),
-        ("within a line", head.to_owned() + &chunk("{\"seq\":9,\"whole\":"), false, whole.clone()),
+        (
+            "within a line",
+            head.to_owned() + &chunk("{\"seq\":9,\"whole\":"),
+            false,
+            whole.clone(),
+        ),
         (
             "within an indented list",
             head.to_owned() + &chunk(&indented[..indented.len() - 3]),
             false,
             whole.clone(),
         ),
-        ("dripping", head.to_owned() + &chunk("{\"seq\":9,\"whole\":"), true, whole),
+        (
+            "dripping",
+            head.to_owned() + &chunk("{\"seq\":9,\"whole\":"),
+            true,
+            whole,
+        ),
     ];
     let scenes: Vec<_> = cases
         .into_iter()
         .map(|(name, said, drips, then)| {
             std::thread::spawn(move || {
                 let discovery = Place::new();
-                let _program = Program::start(settings(), discovery.address(), members(7, true, &[]));
+                let _program =
+                    Program::start(settings(), discovery.address(), members(7, true, &[]));
                 let mut wire = called(&discovery, &watch_from(7));
                 wire.write(said);
                 let mut again = wait_for(name, || {
@@ -86,7 +107,9 @@
             })
         })
         .collect();
-    scenes.into_iter().for_each(|scene| scene.join().expect("a scene that held"));
+    scenes
+        .into_iter()
+        .for_each(|scene| scene.join().expect("a scene that held"));
 }
 
 /// Guards lists that come indented: over many lines, in a watch and as the whole list, with signs of life between.
@@ -115,14 +138,20 @@
 fn an_older_list_brings_back_nothing_that_has_ended() {
     type End = fn(&Place) -> Vec<Value>;
     let ends: [(&str, End); 3] = [
-        ("draining", |place| vec![member("s-0", place.address(), "draining")]),
-        ("removed", |place| vec![member("s-0", place.address(), "removed")]),
+        ("draining", |place| {
+            vec![member("s-0", place.address(), "draining")]
+        }),
+        ("removed", |place| {
+            vec![member("s-0", place.address(), "removed")]
+        }),
         ("not listed", |_| Vec::new()),
     ];
     for (name, end) in ends {
         let mut scene = Scene::new(1);
         let up = || member("s-0", scene.backends[0].address(), "up");
-        scene.watch.line(&members(12, name == "not listed", &end(&scene.backends[0])).to_string());
+        scene
+            .watch
+            .line(&members(12, name == "not listed", &end(&scene.backends[0])).to_string());
         scene.watch.0.write("0\r\n\r\n");
         drop(scene.watch);
         called(&scene.discovery, &watch_from(12)).answer(404, "", "");
@@ -132,7 +161,10 @@
         let refused = |id: &str| {
             let mut client = scene.program.client();
             client.write(request_of(id, "read", "wide", LONG));
-            assert!(scene.backends[0].accept_or(&client).is_none(), "{name}: {id} was sent on");
+            assert!(
+                scene.backends[0].accept_or(&client).is_none(),
+                "{name}: {id} was sent on"
+            );
             assert_eq!(client.read().status(), 429, "{name}: {id}");
         };
         refused("older-whole");
@@ -174,14 +206,21 @@
         let mut moved = called(&fresh, "GET /catalog/members HTTP/1.1");
         let tell = |asked: &mut Wire| {
             let list = members(50, true, &[member("s-0", wrong.address(), "up")]).to_string();
-            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+            let head = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+                list.len()
+            );
             // Its reader has left.
             let _ = std::io::Write::write_all(asked.reader.get_mut(), head.as_bytes());
         };
         if !late {
             tell(&mut asked);
         }
-        moved.answer(200, "", &members(8, true, &[member("s-1", right.address(), "up")]).to_string());
+        moved.answer(
+            200,
+            "",
+            &members(8, true, &[member("s-1", right.address(), "up")]).to_string(),
+        );
         called(&fresh, &watch_from(8));
         if late {
             tell(&mut asked);
@@ -200,11 +239,17 @@
     let (before, fillers) = crowded_place();
     let after = Place::new();
     let up = |place: &Place| member("s-0", place.address(), "up");
-    let program = Program::start(settings(), discovery.address(), members(7, true, &[up(&before)]));
+    let program = Program::start(
+        settings(),
+        discovery.address(),
+        members(7, true, &[up(&before)]),
+    );
     let mut watch = Watch::begin(called(&discovery, &watch_from(7)));
     let mut client = program.client();
     client.write(request_of("id-1", "charge", "wide", LONG));
-    wait_for("a dial that hangs", || dialling(before.address()).then_some(()));
+    wait_for("a dial that hangs", || {
+        dialling(before.address()).then_some(())
+    });
     watch.line(&members(8, false, &[member("s-0", before.address(), "removed")]).to_string());
     watch.line(&members(9, false, &[up(&after)]).to_string());
     // What waited is sent where it is now, or refused: never to where it was.
@@ -276,7 +321,11 @@
             );
             if wait == LONG_WAIT {
                 told_and_served(&program, call, &fresh);
-                assert!(had.elapsed() < IN_FORCE, "{status}: in force after {:?}", had.elapsed());
+                assert!(
+                    had.elapsed() < IN_FORCE,
+                    "{status}: in force after {:?}",
+                    had.elapsed()
+                );
             } else {
                 drop(call);
             }
@@ -295,7 +344,11 @@
     called(&scene.discovery, &watch_from(7)).answer(503, "", "");
     let call = called(&scene.discovery, &watch_from(7));
     told_and_served(&scene.program, call, &fresh);
-    assert!(silent.elapsed() < IN_FORCE, "in force after {:?}", silent.elapsed());
+    assert!(
+        silent.elapsed() < IN_FORCE,
+        "in force after {:?}",
+        silent.elapsed()
+    );
 }
 
 /// Guards the list against calls that hang while discovery comes back: each is given up early enough that a further one,
@@ -312,7 +365,11 @@
     // The answer is slow, but no slower than the calls before were let wait.
     std::thread::sleep(SLOW_ANSWER);
     told_and_served(&program, call, &fresh);
-    assert!(had.elapsed() < IN_FORCE, "in force after {:?}", had.elapsed());
+    assert!(
+        had.elapsed() < IN_FORCE,
+        "in force after {:?}",
+        had.elapsed()
+    );
 }
 
 /// Guards the list against dials that hang: each is given up early enough for the slowest answer to a further one.
@@ -321,15 +378,27 @@
     let (discovery, fillers) = crowded_place();
     let fresh = Place::new();
     let program = Program::start(large_fleet(), discovery.address(), members(7, true, &[]));
-    wait_for("a dial that hangs", || dialling(discovery.address()).then_some(()));
+    wait_for("a dial that hangs", || {
+        dialling(discovery.address()).then_some(())
+    });
     let had = Instant::now();
-    wait_for("a dial that is given up", || (!dialling(discovery.address())).then_some(()));
-    assert!(had.elapsed() + SLOWEST_ANSWER < IN_FORCE, "given up after {:?}", had.elapsed());
+    wait_for("a dial that is given up", || {
+        (!dialling(discovery.address())).then_some(())
+    });
+    assert!(
+        had.elapsed() + SLOWEST_ANSWER < IN_FORCE,
+        "given up after {:?}",
+        had.elapsed()
+    );
     for _ in &fillers {
         discovery.accept();
     }
     told_and_served(&program, called(&discovery, &watch_from(7)), &fresh);
-    assert!(had.elapsed() < IN_FORCE, "in force after {:?}", had.elapsed());
+    assert!(
+        had.elapsed() < IN_FORCE,
+        "in force after {:?}",
+        had.elapsed()
+    );
 }
 
 /// Guards the list at a new address of discovery that refuses the first call.
@@ -344,5 +413,9 @@
     scene.program.reload(&config.to_string());
     called(&moved, &watch_from(7)).answer(503, "", "");
     told_and_served(&scene.program, called(&moved, &watch_from(7)), &fresh);
-    assert!(told.elapsed() < IN_FORCE_ELSEWHERE, "in force after {:?}", told.elapsed());
+    assert!(
+        told.elapsed() < IN_FORCE_ELSEWHERE,
+        "in force after {:?}",
+        told.elapsed()
+    );
 }
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -14,21 +14,41 @@
 /// Guards long lists of backends: one front door takes in 1,500 and serves from more than 1,024 of them.
 #[test]
 fn a_list_of_1500_backends_is_served_from() {
-    let plan = Plan { processes: 1, backends: MORE, fleet: None, ..Plan::default() };
+    let plan = Plan {
+        processes: 1,
+        backends: MORE,
+        fleet: None,
+        ..Plan::default()
+    };
     let mut rig = Rig::new(&plan).expect("a rig");
     // A backend begins up to a largest request behind the others: with small ones all come to their turns soon.
     rig.processes[0].config["settings"]["extra"]["max_units"] = 1.into();
-    (0..MORE).for_each(|backend| rig.act(backend, Manner { work_ms: 0.0, ..Manner::default() }));
+    (0..MORE).for_each(|backend| {
+        rig.act(
+            backend,
+            Manner {
+                work_ms: 0.0,
+                ..Manner::default()
+            },
+        )
+    });
     rig.start_one(0).expect("a start");
     rig.await_serving();
-    let at = rig.processes[0].config["listen"].as_str().and_then(|at| at.parse().ok()).expect("an address");
+    let at = rig.processes[0].config["listen"]
+        .as_str()
+        .and_then(|at| at.parse().ok())
+        .expect("an address");
     let mut client = Wire::to(at);
     for i in 0..MORE + MORE / 4 {
         client.write(request_of(&format!("id-{i}"), "read", "wide", "8"));
         assert_eq!(client.read().status(), 200, "request {i}");
     }
     let served: BTreeSet<String> = rig.history.read(|events| {
-        events.iter().filter(|event| event.what == "ran").map(|event| event.who.clone()).collect()
+        events
+            .iter()
+            .filter(|event| event.what == "ran")
+            .map(|event| event.who.clone())
+            .collect()
     });
     assert!(served.len() > MANY, "{} backends served", served.len());
 }
@@ -37,7 +57,10 @@
 /// serves, and is found by the one of them that is there.
 #[test]
 fn a_fleet_block_of_1500_peers_is_read() {
-    let plan = Plan { processes: 2, ..Plan::default() };
+    let plan = Plan {
+        processes: 2,
+        ..Plan::default()
+    };
     let mut rig = Rig::new(&plan).expect("a rig");
     let config = &mut rig.processes[0].config;
     config["limits"]["sockets"] = (4 * MANY).into();
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -58,14 +58,23 @@
 /// The files that the deploy file lists under `policy`.
 fn listed_files() -> Vec<PathBuf> {
     let deploy = fs::read_to_string(root().join("deploy/balancer.toml")).unwrap();
-    let line = deploy.lines().find(|line| line.starts_with("policy")).unwrap();
-    line.split('"').skip(1).step_by(2).map(PathBuf::from).collect()
+    let line = deploy
+        .lines()
+        .find(|line| line.starts_with("policy"))
+        .unwrap();
+    line.split('"')
+        .skip(1)
+        .step_by(2)
+        .map(PathBuf::from)
+        .collect()
 }
 
 /// Whether an import begins with a module of the policy itself.
 fn is_own_module(import: &str) -> bool {
     let first = import.split("::").next().unwrap_or_default();
-    listed_files().iter().any(|path| path.file_stem().is_some_and(|stem| stem == first))
+    listed_files()
+        .iter()
+        .any(|path| path.file_stem().is_some_and(|stem| stem == first))
 }
 
 #[test]
@@ -81,7 +90,11 @@
 #[test]
 fn each_file_listed_as_policy_exists() {
     for path in listed_files() {
-        assert!(root().join(&path).is_file(), "{} does not exist", path.display());
+        assert!(
+            root().join(&path).is_file(),
+            "{} does not exist",
+            path.display()
+        );
     }
 }
 
@@ -89,14 +102,22 @@
 fn the_policy_imports_no_clock_no_io_and_no_other_part_of_the_program() {
     for path in listed_files() {
         let text = fs::read_to_string(root().join(&path)).unwrap();
-        for line in text.lines().map(str::trim).filter(|line| !line.starts_with("//")) {
+        for line in text
+            .lines()
+            .map(str::trim)
+            .filter(|line| !line.starts_with("//"))
+        {
             for forbidden in FORBIDDEN_PATHS {
                 assert!(!line.contains(forbidden), "{}: {line}", path.display());
             }
             let import = line.strip_prefix("pub use ").or(line.strip_prefix("use "));
             if let Some(import) = import.filter(|import| !is_own_module(import)) {
                 let allowed = ALLOWED_IMPORTS.iter().chain(&ALLOWED_ITEMS);
-                assert!(allowed.clone().any(|start| import.starts_with(start)), "{}: {line}", path.display());
+                assert!(
+                    allowed.clone().any(|start| import.starts_with(start)),
+                    "{}: {line}",
+                    path.display()
+                );
             }
         }
     }
--- a/tests/policy_trace.rs
+++ b/tests/policy_trace.rs
@@ -40,7 +40,13 @@
 
     fn action(&mut self, action: &Action) {
         match action {
-            Action::Send { request, backend, limit, begin_before, delivery } => {
+            Action::Send {
+                request,
+                backend,
+                limit,
+                begin_before,
+                delivery,
+            } => {
                 self.number(1);
                 self.number(request.0.into());
                 self.number(backend.0.into());
@@ -52,7 +58,11 @@
                     DeliveryMode::Once => 2,
                 });
             }
-            Action::Refuse { request, retry_after, why } => {
+            Action::Refuse {
+                request,
+                retry_after,
+                why,
+            } => {
                 self.number(2);
                 self.number(request.0.into());
                 self.optional_time(*retry_after);
@@ -124,18 +134,35 @@
     };
     let groups = [Group::All, Group::Zone, Group::Cell];
     let group = groups[run as usize % groups.len()];
-    let ceiling = Ceiling { rate: 40.0, burst: 30.0, slack: 5.0 };
+    let ceiling = Ceiling {
+        rate: 40.0,
+        burst: 30.0,
+        slack: 5.0,
+    };
     Settings {
         gateways: [1, 3, 40, 300][run as usize / 2 % 4],
         me: run % 3,
         tick: 1.0,
         classes: vec![
             class(Effect::Safe, 400.0, 0.3),
-            class(Effect::Keyed { group, memory: 900.0 }, 500.0, 0.0),
+            class(
+                Effect::Keyed {
+                    group,
+                    memory: 900.0,
+                },
+                500.0,
+                0.0,
+            ),
             class(Effect::Unsafe, 600.0, 0.5),
         ],
         plans: vec![
-            Plan { rate: 14.0, burst: 14.0, max_open: 12, over_cost: 0.6, ..Plan::default() },
+            Plan {
+                rate: 14.0,
+                burst: 14.0,
+                max_open: 12,
+                over_cost: 0.6,
+                ..Plan::default()
+            },
             Plan {
                 rate: 60.0,
                 burst: 20.0,
@@ -144,11 +171,18 @@
                 ceiling: Some(ceiling),
                 ..Plan::default()
             },
-            Plan { max_open: 5, ..Plan::default() },
+            Plan {
+                max_open: 5,
+                ..Plan::default()
+            },
         ],
         max_units: 4.0,
         meter_period: if on(2) { 1000.0 } else { 0.0 },
-        discovery: if on(3) { Discovery::OnRequest } else { Discovery::Pushed },
+        discovery: if on(3) {
+            Discovery::OnRequest
+        } else {
+            Discovery::Pushed
+        },
         reports: if on(1) { Reports::Inline } else { Reports::Off },
         max_attempts: 1 + run % 4,
         second_copies: on(0),
@@ -213,7 +247,8 @@
     fn schedule(&mut self, at: Millis, pending: Pending) {
         let number = self.pending.len() as u64;
         self.pending.push(pending);
-        self.queue.push(Reverse(((at.max(0.0) * 1000.0).round() as u64, number)));
+        self.queue
+            .push(Reverse(((at.max(0.0) * 1000.0).round() as u64, number)));
     }
 
     fn handle(&mut self, now: Millis, event: Event) {
@@ -228,13 +263,22 @@
 
     fn carry_out(&mut self, now: Millis, action: Action) {
         match action {
-            Action::Send { request, backend, limit, .. } => self.send(now, request.0, backend.0, limit),
+            Action::Send {
+                request,
+                backend,
+                limit,
+                ..
+            } => self.send(now, request.0, backend.0, limit),
             Action::SetAlarm { at, alarm } => self.schedule(at.max(now), Pending::Alarm(alarm)),
             Action::CallOff { request, attempt } => {
                 self.end_attempt(now, request.0, attempt, Some(Outcome::Cancelled));
             }
             Action::Subscribe => {
-                let kind = if draw(&mut self.rng) < 0.3 { ListKind::Failed } else { ListKind::Changes };
+                let kind = if draw(&mut self.rng) < 0.3 {
+                    ListKind::Failed
+                } else {
+                    ListKind::Changes
+                };
                 self.handle(now, Event::Backends(kind, Vec::new()));
             }
             _ => {}
@@ -261,12 +305,21 @@
             outcome = Outcome::Timeout;
             service = limit;
         }
-        self.out.insert((request, attempt), Out { backend, sent: now, outcome });
+        self.out.insert(
+            (request, attempt),
+            Out {
+                backend,
+                sent: now,
+                outcome,
+            },
+        );
         self.schedule(now + service, Pending::AttemptEnds { request, attempt });
     }
 
     fn end_attempt(&mut self, now: Millis, request: u32, attempt: u32, instead: Option<Outcome>) {
-        let Some(out) = self.out.remove(&(request, attempt)) else { return };
+        let Some(out) = self.out.remove(&(request, attempt)) else {
+            return;
+        };
         let outcome = instead.unwrap_or(out.outcome);
         let answered = matches!(outcome, Outcome::Ok | Outcome::Error);
         let metered = answered && draw(&mut self.rng) < 0.5;
@@ -298,7 +351,11 @@
             deadline: now + 300.0 + 1500.0 * draw(&mut self.rng),
             spread: [1.0, 2.0, 30.0][(customer % 3) as usize],
             again: draw(&mut self.rng) < 0.1,
-            waited: if draw(&mut self.rng) < 0.05 { 40.0 } else { 0.0 },
+            waited: if draw(&mut self.rng) < 0.05 {
+                40.0
+            } else {
+                0.0
+            },
         };
         if draw(&mut self.rng) < 0.03 {
             let leaves = now + 200.0 * draw(&mut self.rng);
@@ -329,7 +386,9 @@
             1 => (ListKind::Changes, BACKENDS - 4),
             _ => (ListKind::Changes, BACKENDS / 2),
         };
-        let entries = (least..=BACKENDS).map(|number| self.entry(number, now)).collect();
+        let entries = (least..=BACKENDS)
+            .map(|number| self.entry(number, now))
+            .collect();
         self.handle(now, Event::Backends(kind, entries));
         if step.is_multiple_of(2) {
             self.handle(now, Event::Present(2 + step * 5));
@@ -337,7 +396,9 @@
     }
 
     fn play(mut self) -> (u64, u64) {
-        let first = (1..=BACKENDS).map(|number| self.entry(number, 0.0)).collect();
+        let first = (1..=BACKENDS)
+            .map(|number| self.entry(number, 0.0))
+            .collect();
         self.handle(0.0, Event::Backends(ListKind::Cached, first));
         let mut at = 10.0;
         for number in 1..=ARRIVALS_PER_RUN {
@@ -356,9 +417,13 @@
                 Pending::Arrival(number) => self.arrive(now, number),
                 Pending::Alarm(_) if now > at + 20_000.0 => {}
                 Pending::Alarm(alarm) => self.handle(now, Event::Alarm(alarm)),
-                Pending::AttemptEnds { request, attempt } => self.end_attempt(now, request, attempt, None),
+                Pending::AttemptEnds { request, attempt } => {
+                    self.end_attempt(now, request, attempt, None)
+                }
                 Pending::ListChanges(step) => self.change_list(now, step),
-                Pending::ClientLeaves(number) => self.handle(now, Event::ClientGone(RequestId(number))),
+                Pending::ClientLeaves(number) => {
+                    self.handle(now, Event::ClientGone(RequestId(number)))
+                }
                 Pending::Stops => self.handle(now, Event::Stopping(at + 100.0)),
             }
         }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -34,7 +34,9 @@
         self.stage.play(now, event);
         for action in std::mem::take(&mut self.stage.actions) {
             match action {
-                Action::Send { request, backend, .. } => self.sent(now, request.0, backend),
+                Action::Send {
+                    request, backend, ..
+                } => self.sent(now, request.0, backend),
                 Action::Refuse { request, .. } => self.answered(now, request.0, true),
                 Action::Fail(request) => self.answered(now, request.0, false),
                 Action::SetAlarm { at, alarm } => self.alarms.push((at, alarm)),
@@ -52,14 +54,26 @@
 
     fn sent(&mut self, now: f64, id: u32, backend: BackendId) {
         let zone = self.zones[&backend];
-        assert!(!self.leaving[&backend], "sent to a backend that was told to leave");
+        assert!(
+            !self.leaving[&backend],
+            "sent to a backend that was told to leave"
+        );
         let open = self.open.get_mut(&id).expect("a known request");
-        assert!(!open.answered && open.out.is_none(), "sent after its end or twice at a time");
+        assert!(
+            !open.answered && open.out.is_none(),
+            "sent after its end or twice at a time"
+        );
         assert!(open.sends < 4, "more attempts than permitted");
         if let Some((since, ran_in)) = open.ran {
-            assert_ne!(open.class, 2, "an unsafe request that may have run is sent again");
+            assert_ne!(
+                open.class, 2,
+                "an unsafe request that may have run is sent again"
+            );
             let within = now - since < 2000.0 && zone == ran_in;
-            assert!(open.class == 0 || within, "a keyed request out of its group or time");
+            assert!(
+                open.class == 0 || within,
+                "a keyed request out of its group or time"
+            );
         }
         open.out = Some((open.sends, backend));
         (open.sends, open.sent_at) = (open.sends + 1, now);
@@ -70,7 +84,10 @@
         assert!(!open.answered, "two final answers");
         assert!(now <= open.deadline, "an answer after the client left");
         let may_have_run = open.ran.is_some() || open.out.is_some();
-        assert!(!refused || open.class == 0 || !may_have_run, "refused though it may have run");
+        assert!(
+            !refused || open.class == 0 || !may_have_run,
+            "refused though it may have run"
+        );
         open.answered = true;
     }
 }
@@ -78,12 +95,23 @@
 fn run(seed: u64, backends: u32, rate: f64, max_open: u32) {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut pick = move |n: u32| rng.next_u32() % n;
-    let plan = Plan { rate, burst: 2.0 * rate, max_open, ..Plan::default() };
+    let plan = Plan {
+        rate,
+        burst: 2.0 * rate,
+        max_open,
+        ..Plan::default()
+    };
     let list: Vec<_> = (0..backends).map(|id| ready(id, id % 2)).collect();
     let zones = list.iter().map(|b| (b.id, b.zone.0)).collect();
     let leaving = list.iter().map(|b| (b.id, false)).collect();
     let stage = Stage::new(settings(plan, 3), list);
-    let mut door = Door { stage, zones, leaving, open: BTreeMap::new(), alarms: Vec::new() };
+    let mut door = Door {
+        stage,
+        zones,
+        leaving,
+        open: BTreeMap::new(),
+        alarms: Vec::new(),
+    };
     let outcomes = [
         Outcome::Ok,
         Outcome::Ok,
@@ -105,15 +133,31 @@
                 let class = pick(3) as usize;
                 let deadline = now + 20.0 + f64::from(pick(3000));
                 let customer = CustomerId(u64::from(pick(4)));
-                let open =
-                    Open { class, deadline, out: None, sends: 0, sent_at: 0.0, ran: None, answered: false };
+                let open = Open {
+                    class,
+                    deadline,
+                    out: None,
+                    sends: 0,
+                    sent_at: 0.0,
+                    ran: None,
+                    answered: false,
+                };
                 door.open.insert(id, open);
-                let asked = Request { customer, deadline, spread: 2.0, ..request(id, class, now) };
+                let asked = Request {
+                    customer,
+                    deadline,
+                    spread: 2.0,
+                    ..request(id, class, now)
+                };
                 door.play(now, Event::Arrival(asked));
             }
             5..=8 => {
-                let waiting: Vec<u32> =
-                    door.open.iter().filter(|(_, o)| o.out.is_some()).map(|(id, _)| *id).collect();
+                let waiting: Vec<u32> = door
+                    .open
+                    .iter()
+                    .filter(|(_, o)| o.out.is_some())
+                    .map(|(id, _)| *id)
+                    .collect();
                 if waiting.is_empty() {
                     continue;
                 }
@@ -128,15 +172,26 @@
                 let closed = open.answered || outcome == Outcome::Ok;
                 open.answered = closed;
                 let elapsed = now - open.sent_at;
-                let end = Settled { elapsed, closed, ..settled(id, attempt, backend, outcome) };
+                let end = Settled {
+                    elapsed,
+                    closed,
+                    ..settled(id, attempt, backend, outcome)
+                };
                 door.play(now, Event::Settled(end));
             }
             _ => {
                 let id = pick(backends);
                 let gone = pick(2) == 0;
-                let availability = if gone { Availability::Draining } else { Availability::Ready };
+                let availability = if gone {
+                    Availability::Draining
+                } else {
+                    Availability::Ready
+                };
                 door.leaving.insert(BackendId(id), gone);
-                let line = BackendEntry { availability, ..ready(id, id % 2) };
+                let line = BackendEntry {
+                    availability,
+                    ..ready(id, id % 2)
+                };
                 door.play(now, Event::Backends(ListKind::Changes, vec![line]));
             }
         }
@@ -146,7 +201,11 @@
             door.play(at.max(now), Event::Alarm(alarm));
         }
     }
-    let unanswered = door.open.values().filter(|o| !o.answered && o.deadline > now).count();
+    let unanswered = door
+        .open
+        .values()
+        .filter(|o| !o.answered && o.deadline > now)
+        .count();
     assert_eq!(unanswered, 0, "requests without a final answer");
 }
 
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -59,7 +59,10 @@
             end(backend);
             let next = accept_any_or(&places, &client);
             if memory < 100.0 {
-                assert!(next.is_none(), "{name}: sent again after its key was forgotten");
+                assert!(
+                    next.is_none(),
+                    "{name}: sent again after its key was forgotten"
+                );
                 let status = client.read().status();
                 assert!(status >= 500 && status != 503, "{name}: {status}");
                 continue;
@@ -88,7 +91,10 @@
     fn new() -> Shut {
         let (place, fillers) = crowded_place();
         // They wait in its line after their other ends have closed.
-        Shut { place, fillers: fillers.len() }
+        Shut {
+            place,
+            fillers: fillers.len(),
+        }
     }
 
     fn dialled(&self) -> bool {
@@ -121,22 +127,29 @@
     settings["policy_limits"]["dial_timeout"] = 20_000.0.into();
     let discovery = Place::new();
     let mut backends = [Shut::new(), Shut::new()];
-    let hosts: Vec<Value> =
-        (0..2).map(|i| member(&format!("s-{i}"), backends[i].place.address(), "up")).collect();
+    let hosts: Vec<Value> = (0..2)
+        .map(|i| member(&format!("s-{i}"), backends[i].place.address(), "up"))
+        .collect();
     let program = Program::start(settings, discovery.address(), members(7, true, &hosts));
     let mut client = program.client();
     client.write(request_of("keyed", "extend", "wide", LONG));
-    let first = wait_for("a first attempt", || backends.iter().position(Shut::dialled));
+    let first = wait_for("a first attempt", || {
+        backends.iter().position(Shut::dialled)
+    });
     let begun = Instant::now();
     let mut link = backends[first].open();
     assert_eq!(link.read().header("request-id"), Some("keyed"));
     link.answer(500, "", "");
     let second = &mut backends[1 - first];
-    wait_for("a further attempt or an answer", || (second.dialled() || client.speaks()).then_some(()));
+    wait_for("a further attempt or an answer", || {
+        (second.dialled() || client.speaks()).then_some(())
+    });
     if !second.dialled() {
         return Late::NotTried;
     }
-    wait_for("the end of the window", || (begun.elapsed().as_secs_f64() * 1000.0 > memory).then_some(()));
+    wait_for("the end of the window", || {
+        (begun.elapsed().as_secs_f64() * 1000.0 > memory).then_some(())
+    });
     let late = second.open();
     if late.speaks_before(&client) {
         Late::Sent
@@ -150,6 +163,9 @@
 #[test]
 fn a_further_attempt_does_not_begin_after_its_window() {
     // On a machine that is held up, the wider window shows it.
-    let late = [3000.0, 7000.0].into_iter().map(begin_late).find(|late| *late != Late::NotTried);
+    let late = [3000.0, 7000.0]
+        .into_iter()
+        .map(begin_late)
+        .find(|late| *late != Late::NotTried);
     assert_eq!(late, Some(Late::Answered(502)));
 }
--- a/tests/reuse.rs
+++ b/tests/reuse.rs
@@ -33,7 +33,14 @@
         first.write(request_of("first", "read", "wide", LONG));
         let mut link = backend.accept();
         assert_eq!(link.read().header("request-id"), Some("first"));
-        Begun { program, backend, fillers, first, link, _discovery: discovery }
+        Begun {
+            program,
+            backend,
+            fillers,
+            first,
+            link,
+            _discovery: discovery,
+        }
     }
 }
 
@@ -42,13 +49,22 @@
 #[test]
 fn a_link_rests_before_it_carries_the_next_request() {
     for waits in [false, true] {
-        let Begun { program, backend, fillers, mut first, mut link, _discovery } = Begun::new();
+        let Begun {
+            program,
+            backend,
+            fillers,
+            mut first,
+            mut link,
+            _discovery,
+        } = Begun::new();
         let mut second = program.client();
         // No further connection comes up.
         let _fillers = refill(&fillers, &backend);
         if waits {
             second.write(request_of("second", "read", "wide", LONG));
-            wait_for("a dial that hangs", || dialling(backend.address()).then_some(()));
+            wait_for("a dial that hangs", || {
+                dialling(backend.address()).then_some(())
+            });
         }
         let answered = Instant::now();
         link.answer(200, "", "one");
@@ -57,7 +73,11 @@
             second.write(request_of("second", "read", "wide", LONG));
         }
         assert_eq!(link.read().header("request-id"), Some("second"));
-        assert!(answered.elapsed() >= REST, "waits {waits}: after {:?}", answered.elapsed());
+        assert!(
+            answered.elapsed() >= REST,
+            "waits {waits}: after {:?}",
+            answered.elapsed()
+        );
         link.answer(200, "", "two");
         assert_eq!(second.read().body, b"two");
     }
@@ -68,12 +88,21 @@
 #[test]
 fn a_second_answer_is_nobodys_and_ends_its_link() {
     for waits in [false, true] {
-        let Begun { program, backend, fillers, mut first, mut link, _discovery } = Begun::new();
+        let Begun {
+            program,
+            backend,
+            fillers,
+            mut first,
+            mut link,
+            _discovery,
+        } = Begun::new();
         let mut second = program.client();
         let held = waits.then(|| refill(&fillers, &backend));
         if waits {
             second.write(request_of("second", "read", "wide", LONG));
-            wait_for("a dial that hangs", || dialling(backend.address()).then_some(()));
+            wait_for("a dial that hangs", || {
+                dialling(backend.address()).then_some(())
+            });
         }
         // In two writes, found in one turn of the loop.
         program.pause();
@@ -97,5 +126,8 @@
 
 /// As many new connections as there were, which fill a waiting line again.
 fn refill(fillers: &[TcpStream], backend: &Place) -> Vec<TcpStream> {
-    fillers.iter().map(|_| TcpStream::connect(backend.address()).expect("room for two")).collect()
+    fillers
+        .iter()
+        .map(|_| TcpStream::connect(backend.address()).expect("room for two"))
+        .collect()
 }
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -23,8 +23,13 @@
 /// and all have to ask discovery for it in the same moment.
 #[test]
 fn forty_that_start_at_once_all_become_ready() {
-    let plan =
-        Plan { processes: DOORS, backends: BACKENDS, told_peers: Some(3), handover: true, ..Plan::default() };
+    let plan = Plan {
+        processes: DOORS,
+        backends: BACKENDS,
+        told_peers: Some(3),
+        handover: true,
+        ..Plan::default()
+    };
     let mut rig = Rig::start(&plan).expect("a rig");
     for keeps_its_list in [true, false] {
         for process in &mut rig.processes {
@@ -35,9 +40,14 @@
         }
         (0..DOORS).for_each(|i| rig.start_one(i).expect("a start"));
         for process in &rig.processes {
-            let at = process.config["listen"].as_str().and_then(|at| at.parse().ok());
+            let at = process.config["listen"]
+                .as_str()
+                .and_then(|at| at.parse().ok());
             await_ready(&process.name, at.expect("an address"));
         }
-        assert!(!rig.processes.iter_mut().any(|process| process.crashed()), "one has ended");
+        assert!(
+            !rig.processes.iter_mut().any(|process| process.crashed()),
+            "one has ended"
+        );
     }
 }
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -54,13 +54,20 @@
     }
     for client in &mut clients {
         let status = client.read().status();
-        assert!(status >= 500 && status != 503, "what may have run was refused: {status}");
+        assert!(
+            status >= 500 && status != 503,
+            "what may have run was refused: {status}"
+        );
     }
     assert!(waiting.read().status() >= 400);
     assert_eq!(sends.wait().code(), Some(0));
     assert_eq!(dials.wait().code(), Some(0));
     // Far from 60 s; the stop's own end is 3.55 s.
-    assert!(told.elapsed() < Duration::from_secs(30), "{:?}", told.elapsed());
+    assert!(
+        told.elapsed() < Duration::from_secs(30),
+        "{:?}",
+        told.elapsed()
+    );
 }
 
 /// Guards a stop before there is a list: it ends by itself, and who asks meanwhile is refused.
@@ -75,7 +82,10 @@
     while program.log_line() != "n0: stopping\n" {}
     client.write(request_of("early", "charge", "wide", LONG));
     let answer = client.read();
-    assert_eq!((answer.status(), answer.header("connection")), (429, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (429, Some("close"))
+    );
     client.expect_end();
     assert_eq!(program.wait().code(), Some(0));
 }
@@ -91,10 +101,14 @@
         let place = scene.backends.into_iter().next().expect("a backend");
         move || {
             let mut ids = Vec::new();
-            while let Some(mut wire) = wait_for("a request or the end", || match place.try_accept() {
-                Some(wire) => Some(Some(wire)),
-                None => std::net::TcpStream::connect(address).is_err().then_some(None),
-            }) {
+            while let Some(mut wire) =
+                wait_for("a request or the end", || match place.try_accept() {
+                    Some(wire) => Some(Some(wire)),
+                    None => std::net::TcpStream::connect(address)
+                        .is_err()
+                        .then_some(None),
+                })
+            {
                 // One request to a connection, so that all come by here.
                 let sent = wire.read();
                 ids.push(sent.header("request-id").expect("an id").to_owned());
--- a/tests/time.rs
+++ b/tests/time.rs
@@ -10,7 +10,10 @@
 const LONG: &str = "8";
 
 fn told(sent: &Message) -> f64 {
-    sent.header("request-timeout").expect("a time").parse().expect("seconds")
+    sent.header("request-timeout")
+        .expect("a time")
+        .parse()
+        .expect("seconds")
 }
 
 /// Guards backends against work for clients that named no time: each is a 4xx at once, and nothing is sent on.
@@ -46,7 +49,10 @@
     scene.program.resume();
     let mut backend = scene.backends[0].accept();
     let told = told(&backend.read());
-    assert!(told > 0.0 && told <= 3.0 - waited + 0.002, "told {told} after {waited}");
+    assert!(
+        told > 0.0 && told <= 3.0 - waited + 0.002,
+        "told {told} after {waited}"
+    );
     backend.answer(200, "", "ok");
     assert_eq!(client.read().status(), 200);
 }
@@ -92,9 +98,12 @@
 fn a_client_that_does_not_read_is_let_go_with_its_time() {
     let scene = Scene::new(1);
     let before = scene.program.descriptors();
-    let small = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    let small =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     small.set_recv_buffer_size(4096).expect("a small buffer");
-    small.connect(&scene.program.address.into()).expect("the front door accepts");
+    small
+        .connect(&scene.program.address.into())
+        .expect("the front door accepts");
     let mut client = TcpStream::from(small);
     client.set_read_timeout(Some(PATIENCE)).expect("a socket");
     // The system takes some MB for a reader that does not read; what is beyond waits in the front door.
@@ -125,7 +134,11 @@
     // It ends, in whichever way; what came is not whole, and the client can tell by the length.
     let _ = client.read_to_end(&mut got);
     let (_backend, served) = serving.join().expect("a backend");
-    assert!(served < 48 && !got.is_empty() && got.len() < served * 16 * 65_000, "{} of {served}", got.len());
+    assert!(
+        served < 48 && !got.is_empty() && got.len() < served * 16 * 65_000,
+        "{} of {served}",
+        got.len()
+    );
 }
 
 /// Guards against a backend that drips its answer: the attempt ends with its time however often a byte comes, its
@@ -148,7 +161,9 @@
     let status = client.read().status();
     assert!(status >= 500 && status != 503, "{status}");
     drop(client);
-    wait_for("the descriptors of before", || (scene.program.descriptors() <= before).then_some(()));
+    wait_for("the descriptors of before", || {
+        (scene.program.descriptors() <= before).then_some(())
+    });
 }
 
 /// Guards the planned stop: a request whose connection is coming up, one that is half answered and one whose body is on
@@ -159,8 +174,16 @@
     let (crowded, _fillers) = crowded_place();
     let place = Place::new();
     let start = |address, host: &str| members(7, true, &[member(host, address, "up")]);
-    let mut half_answered = Program::start(settings(), discovery.address(), start(place.address(), "s-0"));
-    let mut dialling = Program::start(settings(), discovery.address(), start(crowded.address(), "s-1"));
+    let mut half_answered = Program::start(
+        settings(),
+        discovery.address(),
+        start(place.address(), "s-0"),
+    );
+    let mut dialling = Program::start(
+        settings(),
+        discovery.address(),
+        start(crowded.address(), "s-1"),
+    );
     let mut client = half_answered.client();
     client.write(request_of("id-1", "charge", "wide", LONG));
     let mut backend = place.accept();
@@ -174,7 +197,9 @@
     assert_eq!(idle.read().status(), 200);
     let mut waiting = dialling.client();
     waiting.write(request_of("id-3", "charge", "wide", "2"));
-    wait_for("a dial", || cometspool_rig::hand::dialling(crowded.address()).then_some(()));
+    wait_for("a dial", || {
+        cometspool_rig::hand::dialling(crowded.address()).then_some(())
+    });
     half_answered.terminate();
     dialling.terminate();
     // Idle connections are closed once nobody is sent here any more; from then on new ones are turned away.
@@ -183,14 +208,21 @@
     late.write(request_of("id-4", "read", "wide", LONG));
     let answer = late.read();
     assert_eq!(answer.status(), 429);
-    let wait: f64 = answer.header("retry-after").expect("advice").parse().expect("seconds");
+    let wait: f64 = answer
+        .header("retry-after")
+        .expect("advice")
+        .parse()
+        .expect("seconds");
     assert!(wait > 0.0 && wait <= 2.0, "{wait}");
     let status = reading.read().status();
     assert!(status >= 400, "{status}");
     for (client, refused) in [(&mut client, false), (&mut waiting, true)] {
         let status = client.read().status();
         // What never came up never ran, so it may be refused; what was half answered must not be.
-        assert!(status >= 400 && (refused || !matches!(status, 429 | 503)), "{status}");
+        assert!(
+            status >= 400 && (refused || !matches!(status, 429 | 503)),
+            "{status}"
+        );
     }
     assert_eq!(half_answered.wait().code(), Some(0));
     assert_eq!(dialling.wait().code(), Some(0));
@@ -232,8 +264,16 @@
     client.write(request_of("id-2", "read", "wide", "10"));
     let mut backend = place.accept();
     let again = backend.read();
-    assert_eq!(again.header("request-id"), Some("id-2"), "the unsafe one was sent on again");
-    assert!(told(&again) <= granted - passed + 0.003, "{} after {granted} less {passed}", told(&again));
+    assert_eq!(
+        again.header("request-id"),
+        Some("id-2"),
+        "the unsafe one was sent on again"
+    );
+    assert!(
+        told(&again) <= granted - passed + 0.003,
+        "{} after {granted} less {passed}",
+        told(&again)
+    );
     backend.answer(200, "", "ok");
     assert_eq!(client.read().status(), 200);
     // One that nobody has seen is taken as ever.
@@ -254,7 +294,10 @@
         let output = child.wait_with_output().expect("an exit");
         assert_eq!(output.status.code(), Some(1));
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(text.contains("handover") && text.lines().count() == 1, "{text}");
+        assert!(
+            text.contains("handover") && text.lines().count() == 1,
+            "{text}"
+        );
     }
 }
 
--- a/tests/whole_answers.rs
+++ b/tests/whole_answers.rs
@@ -35,19 +35,31 @@
 #[test]
 fn an_answer_without_a_length_is_whole_where_its_connection_ends() {
     let long = "0123456789abcdef".repeat(25_000);
-    for pieces in [vec![""], vec!["whole"], vec!["in ", "two"], vec![long.as_str(), "and more"]] {
+    for pieces in [
+        vec![""],
+        vec!["whole"],
+        vec!["in ", "two"],
+        vec![long.as_str(), "and more"],
+    ] {
         let scene = Scene::new(1);
         let (mut client, mut backend) = begun(&scene, "id-1", "charge");
         backend.write(HEAD);
         for (number, piece) in pieces.iter().enumerate() {
             backend.write(piece);
             serve_another(&scene, &format!("between-{number}"));
-            assert!(!client.speaks() && !backend.speaks(), "ended before the backend did");
+            assert!(
+                !client.speaks() && !backend.speaks(),
+                "ended before the backend did"
+            );
         }
         drop(backend);
         let answer = client.read();
         assert_eq!(answer.status(), 200);
-        assert!(answer.body == pieces.concat().as_bytes(), "{} bytes", answer.body.len());
+        assert!(
+            answer.body == pieces.concat().as_bytes(),
+            "{} bytes",
+            answer.body.len()
+        );
         assert!(answer.header("content-length").is_some());
         // Its connection carries nothing more.
         serve_another(&scene, "next");
@@ -64,7 +76,10 @@
         serve_another(&scene, "between");
         reset(backend);
         assert_eq!(client.read().status(), 502, "{said:?}");
-        assert!(scene.nobody_called(), "{said:?}: an unsafe request that may have run was sent again");
+        assert!(
+            scene.nobody_called(),
+            "{said:?}: an unsafe request that may have run was sent again"
+        );
         // What may be repeated is served elsewhere.
         let (mut client, mut backend) = begun(&scene, "id-2", "read");
         backend.write(format!("{HEAD}{said}"));
@@ -96,7 +111,10 @@
     let megabyte = "x".repeat(1 << 20);
     for (name, begin) in [
         ("no length", format!("{HEAD}{megabyte}x")),
-        ("chunks", format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\n{megabyte}x")),
+        (
+            "chunks",
+            format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\n{megabyte}x"),
+        ),
     ] {
         let scene = Scene::new(1);
         let (mut client, mut backend) = begun(&scene, "id-1", "charge");
@@ -114,16 +132,27 @@
     let body = "0123456789abcdef".repeat(6_000);
     let heads = [
         HEAD.to_owned(),
-        format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n", body.len()),
+        format!(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n",
+            body.len()
+        ),
     ];
-    let (discovery, backends) = (Place::new(), (0..10).map(|_| Place::new()).collect::<Vec<Place>>());
+    let (discovery, backends) = (
+        Place::new(),
+        (0..10).map(|_| Place::new()).collect::<Vec<Place>>(),
+    );
     let hosts: Vec<_> = backends
         .iter()
         .enumerate()
         .map(|(i, place)| member(&format!("s-{i}"), place.address(), "up"))
         .collect();
     // 32 MB leave 8 MB for long answers.
-    let program = Program::start_with_memory(32, settings(), discovery.address(), members(7, true, &hosts));
+    let program = Program::start_with_memory(
+        32,
+        settings(),
+        discovery.address(),
+        members(7, true, &hosts),
+    );
     let mut open = Vec::new();
     for number in 0..16 {
         let mut client = program.client();
@@ -140,7 +169,11 @@
         drop(wire);
         let answer = client.read();
         assert_eq!(answer.status(), 200, "number {number}");
-        assert!(answer.body == body.as_bytes(), "number {number}: {} bytes", answer.body.len());
+        assert!(
+            answer.body == body.as_bytes(),
+            "number {number}: {} bytes",
+            answer.body.len()
+        );
     }
 }
 
@@ -150,7 +183,8 @@
     let timeout = Duration::from_millis(1500);
     let scene = Scene::new(1);
     let mut client = scene.program.client();
-    let mut ask = |id: usize| client.write(request_of(&format!("id-{id}"), "charge", "wide", "1.5"));
+    let mut ask =
+        |id: usize| client.write(request_of(&format!("id-{id}"), "charge", "wide", "1.5"));
     ask(0);
     let mut backend = scene.backends[0].accept();
     let body = "0123456789abcdef".repeat(60_000);
@@ -165,10 +199,14 @@
         ask(answered);
     }
     let late = timeout + Duration::from_millis(50);
-    wait_for("the end of the last one's time", || (last.elapsed() > late).then_some(()));
+    wait_for("the end of the last one's time", || {
+        (last.elapsed() > late).then_some(())
+    });
     let mut got = Vec::new();
     let reader = &mut client.reader;
-    let whole = std::io::Read::take(reader, (answered * body.len()) as u64).read_to_end(&mut got).is_ok();
+    let whole = std::io::Read::take(reader, (answered * body.len()) as u64)
+        .read_to_end(&mut got)
+        .is_ok();
     let in_time = last.elapsed() < timeout + Duration::from_millis(400);
     in_time.then_some(whole && got.len() == answered * body.len())
 }
