--- a/crates/rig/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,6 +1,6 @@
 //! The rig: several processes of the program, the stand-ins they need, and faults between them.
 //!
-//! `docs/RIG.md` tells how to use it. Nothing here is part of the product, and nothing of it leaves loopback.
+//! `docs/FAULT_INJECTION.md` tells how to use it. Nothing here is part of the product, and nothing of it leaves loopback.
 
 #![forbid(unsafe_code)]
 
--- a/crates/rig/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -1,8 +1,8 @@
-//! `cometspool-rig`: plays, draws, cuts down and checks from the command line.
+//! `cometspool-fault-injection`: plays, draws, cuts down and checks from the command line.
 
 use clap::{Args, Parser, Subcommand};
-use cometspool_rig::schedule::{play, shrink, Outcome, Schedule};
-use cometspool_rig::{check, cost, history, rig};
+use cometspool_fault_injection::schedule::{play, shrink, Outcome, Schedule};
+use cometspool_fault_injection::{check, cost, history, rig};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -98,7 +98,7 @@
     match act(Call::parse().what) {
         Ok(code) => code,
         Err(error) => {
-            eprintln!("cometspool-rig: {error}");
+            eprintln!("cometspool-fault-injection: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/rig/src/rig.rs
+++ b/crates/fault-injection/src/rig.rs
@@ -28,7 +28,7 @@
 const COUNTER: usize = 2;
 const FIRST_BACKEND: usize = 10;
 /// Names of folders begin so, and go on with the id of the process that made them.
-const FOLDER: &str = "cometspool-rig-";
+const FOLDER: &str = "cometspool-fault-injection-";
 
 /// What a rig is made of.
 #[derive(Clone, Debug)]
--- a/crates/rig/tests/check.rs
+++ b/crates/fault-injection/tests/check.rs
@@ -1,10 +1,10 @@
 //! Each checker on histories that must fail, and on their nearest neighbours that must not.
 
-use cometspool_rig::check::{all, final_answers, no_crash, unsafe_once, Checker};
-use cometspool_rig::history::read;
+use cometspool_fault_injection::check::{all, final_answers, no_crash, unsafe_once, Checker};
+use cometspool_fault_injection::history::read;
 
 /// A history in short: a line each, `who what field=value …`; the time is the line's number.
-fn history(text: &str) -> Vec<cometspool_rig::history::Event> {
+fn history(text: &str) -> Vec<cometspool_fault_injection::history::Event> {
     let lines = text
         .split(';')
         .map(str::trim)
--- a/crates/rig/tests/ground.rs
+++ b/crates/fault-injection/tests/ground.rs
@@ -1,7 +1,7 @@
 //! Rigs of more than a thousand processes and backends: addresses of their own, and links where they are needed.
 
-use cometspool_rig::ground::{Ground, MOST_PROCESSES, MOST_STAND_INS};
-use cometspool_rig::{Plan, Rig};
+use cometspool_fault_injection::ground::{Ground, MOST_PROCESSES, MOST_STAND_INS};
+use cometspool_fault_injection::{Plan, Rig};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
--- a/crates/rig/tests/schedule.rs
+++ b/crates/fault-injection/tests/schedule.rs
@@ -1,6 +1,6 @@
 //! Schedules: read and written, drawn alike from one seed, cut down to what fails.
 
-use cometspool_rig::schedule::{shrink, Act, Schedule};
+use cometspool_fault_injection::schedule::{shrink, Act, Schedule};
 
 /// Guards the text form: what is drawn can be written, read and played again; a seed draws the same each time; a number that
 /// stands for nothing is named.
--- a/crates/rig/tests/wire.rs
+++ b/crates/fault-injection/tests/wire.rs
@@ -1,7 +1,7 @@
 //! Each fault of a link, seen on the wire: what passes a link with the fault is held against what passes without it.
 
-use cometspool_rig::ground::Ground;
-use cometspool_rig::link::{Direction, Link, Quality};
+use cometspool_fault_injection::ground::Ground;
+use cometspool_fault_injection::link::{Direction, Link, Quality};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -116,7 +116,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn faults_on_datagrams_act_as_they_say() {
     let tame = Quality::default();
-    type Holds = fn(came: &[u32], odd: u32, acted: &cometspool_rig::link::Acted) -> bool;
+    type Holds =
+        fn(came: &[u32], odd: u32, acted: &cometspool_fault_injection::link::Acted) -> bool;
     let distinct =
         |came: &[u32]| came.iter().collect::<std::collections::BTreeSet<_>>().len() as u32;
     fn twice(came: &[u32]) -> usize {
--- a/crates/fleet/src/main.rs
+++ b/crates/fleet-simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! The experiments, a subcommand each: `cometspool-fleet chain [seeds]`.
+//! The experiments, a subcommand each: `cometspool-fleet-simulation chain [seeds]`.
 //!
 //! Each prints a line for every seed and, below, the mean and the spread. Built with the feature `base` it plays the
 //! same days with a state of the module from before the subsystems; `experiments/compare` does both.
@@ -8,7 +8,7 @@
 mod quotas;
 
 use cometspool::*;
-use cometspool_fleet::*;
+use cometspool_fleet_simulation::*;
 use std::process::ExitCode;
 
 const NEW: bool = cfg!(not(feature = "base"));
@@ -35,7 +35,9 @@
         }
         ("hurry", Some(seeds)) => table(&CHAIN, seeds, |seed| chain_row(&play(hurry(seed)))),
         _ => {
-            eprintln!("usage: cometspool-fleet chain|hurry|pools|roll|health|quotas [seeds]");
+            eprintln!(
+                "usage: cometspool-fleet-simulation chain|hurry|pools|roll|health|quotas [seeds]"
+            );
             return ExitCode::from(2);
         }
     }
--- a/crates/fleet/src/pooling.rs
+++ b/crates/fleet-simulation/src/pooling.rs
@@ -3,7 +3,7 @@
 use cometspool::Millis;
 
 #[cfg(not(feature = "base"))]
-#[path = "../../../src/net/links.rs"]
+#[path = "../../../src/net/upstream/connection_pool.rs"]
 #[allow(dead_code, unreachable_pub, missing_docs)]
 mod links;
 
--- a/crates/fleet/src/quotas.rs
+++ b/crates/fleet-simulation/src/quotas.rs
@@ -2,8 +2,8 @@
 //! on hard ones. Every try is held against its customer's true store.
 
 use cometspool::*;
-use cometspool_fleet::crowd::{CrowdSpec, Meter};
-use cometspool_fleet::*;
+use cometspool_fleet_simulation::crowd::{CrowdSpec, Meter};
+use cometspool_fleet_simulation::*;
 
 /// What is played.
 pub const SCENES: [&str; 9] = [
--- a/crates/fleet/tests/cold.rs
+++ b/crates/fleet-simulation/tests/cold.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use cometspool::*;
-use cometspool_fleet::*;
+use cometspool_fleet_simulation::*;
 use common::flooding_customers;
 
 /// Mean work of a request, ms of a core.
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet-simulation/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Fixtures that several tests of the simulation share.
 
-use cometspool_fleet::crowd::{CrowdSpec, Meter};
+use cometspool_fleet_simulation::crowd::{CrowdSpec, Meter};
 
 /// Customers who ask for `rate` units a second in all, through uneven and moving sets of front doors, with a late but true
 /// meter. One of them floods every door of its set for five seconds, and who is refused comes again twice.
--- a/crates/fleet/tests/world.rs
+++ b/crates/fleet-simulation/tests/world.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use cometspool::*;
-use cometspool_fleet::*;
+use cometspool_fleet_simulation::*;
 use common::flooding_customers;
 
 fn spec(seed: u64) -> Spec {
--- a/crates/record/src/bin/cometspool-record.rs
+++ b/crates/replicated-log/src/bin/cometspool-replicated-log.rs
@@ -1,7 +1,7 @@
-//! The figures of `docs/RECORD.md`, on simulated groups: `cometspool-record [seeds]`.
+//! The figures of `docs/REPLICATED_LOG.md`, on simulated groups: `cometspool-replicated-log [seeds]`.
 
-use cometspool_record::sim::{Network, Sim};
-use cometspool_record::Times;
+use cometspool_replicated_log::sim::{Network, Sim};
+use cometspool_replicated_log::Times;
 use std::process::ExitCode;
 
 /// Writes measured for each figure of latency.
@@ -16,7 +16,7 @@
         None => 5,
         Some(Ok(seeds)) if seeds > 0 => seeds,
         Some(_) => {
-            eprintln!("usage: cometspool-record [seeds]");
+            eprintln!("usage: cometspool-replicated-log [seeds]");
             return ExitCode::from(2);
         }
     };
--- a/crates/record/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -1,7 +1,7 @@
 //! A replicated, ordered record: a log that a group of keepers agrees on, and the state machine over it.
 //!
 //! All of it is sans-I/O: what comes in and the time go in, what is to be written, sent and told comes out. Whoever drives it
-//! owns sockets, disks and clocks. `docs/RECORD.md` has what is promised and what is not.
+//! owns sockets, disks and clocks. `docs/REPLICATED_LOG.md` has what is promised and what is not.
 
 mod client;
 mod entry;
--- a/crates/record/tests/cases.rs
+++ b/crates/replicated-log/tests/cases.rs
@@ -1,7 +1,7 @@
 //! The hard cases of the record, each on a simulated group.
 
-use cometspool_record::sim::{Network, Sim};
-use cometspool_record::{Standing, Times};
+use cometspool_replicated_log::sim::{Network, Sim};
+use cometspool_replicated_log::{Standing, Times};
 
 fn times() -> Times {
     Times {
@@ -85,7 +85,7 @@
         sim.ask(1500.0, 10.0);
         sim.start(seat);
         let back = sim.run_while(sim.now + 60_000.0, |sim| {
-            let seated = |keeper: &cometspool_record::Keeper<_>| {
+            let seated = |keeper: &cometspool_replicated_log::Keeper<_>| {
                 matches!(keeper.standing(), Standing::Leader | Standing::Follower)
             };
             !(0..3).all(|seat| sim.keeper(seat).is_some_and(seated))
@@ -248,7 +248,7 @@
         .unwrap_or(0);
     let mut sums = [0; 6];
     for seed in from..from + seeds {
-        let sim = cometspool_record::sim::drawn(seed);
+        let sim = cometspool_replicated_log::sim::drawn(seed);
         assert_eq!(sim.broken(), Vec::<String>::new(), "seed {seed}");
         let acted = sim.acted;
         for (sum, more) in sums.iter_mut().zip([
--- a/crates/record/tests/faults.rs
+++ b/crates/replicated-log/tests/faults.rs
@@ -1,9 +1,9 @@
 //! The checkers find what is wrong: each rule is left out in turn, and a play must show it. A checker that finds nothing then
 //! would find nothing ever.
 
-use cometspool_record::fault::{put_in, Fault};
-use cometspool_record::sim::{drawn, Sim};
-use cometspool_record::Times;
+use cometspool_replicated_log::fault::{put_in, Fault};
+use cometspool_replicated_log::sim::{drawn, Sim};
+use cometspool_replicated_log::Times;
 
 /// Whether a play broke a rule: it says so; or the agreement library met what cannot be and stopped; or a group that has
 /// everything it needs never came back, as none that keeps the rules does.
--- a/crates/record/tests/store.rs
+++ b/crates/replicated-log/tests/store.rs
@@ -1,6 +1,6 @@
 //! The format of a store: torn, damaged, copied, newer, and arbitrary bytes.
 
-use cometspool_record::{decode, encode, head, Command, Damage, Entry, Id, Kept, Note};
+use cometspool_replicated_log::{decode, encode, head, Command, Damage, Entry, Id, Kept, Note};
 use proptest::prelude::*;
 
 fn kept() -> Kept {
--- a/src/bin/cometspool-drill/main.rs
+++ b/src/bin/cometspool-simulator-adapter/main.rs
@@ -32,7 +32,7 @@
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("cometspool-drill: {error}");
+            eprintln!("cometspool-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -47,11 +47,11 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod interface;
 mod measure;
-mod rules;
+mod policy;
+mod policy_api;
 pub mod settings;
 
-pub use interface::*;
 pub use measure::Cewma;
-pub use rules::Gateway;
+pub use policy::Gateway;
+pub use policy_api::*;
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -1,6 +1,6 @@
 //! Arithmetic that the decisions measure with: what fades, ratios and quantiles of a stream, chance. It chooses nothing.
 
-use crate::interface::Millis;
+use crate::policy_api::Millis;
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
 use std::f64::consts::LN_2;
--- a/src/net/backoff/tests.rs
+++ b/src/net/control/backoff/tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `backoff.rs`.
 
 use super::*;
-use crate::net::discovery::LONGEST_PAUSE;
+use crate::net::control::discovery::LONGEST_PAUSE;
 
 const FLEET: u64 = 100;
 /// The largest fleet whose windows are not cut by the longest pause.
--- a/src/net/config.rs
+++ b/src/net/control/config.rs
@@ -1,8 +1,8 @@
 //! What a front door is told: the `BALANCER_*` variables and the JSON file that one of them names.
 
-use super::clock::Skew;
-use super::fleet_section::{FleetSection, SectionError};
-use super::members::Members;
+use crate::net::control::endpoint_list::Members;
+use crate::net::control::fleet_section::{FleetSection, SectionError};
+use crate::net::runtime::clock::Skew;
 use cometspool::settings::{self, Told};
 use serde::Deserialize;
 use serde_json::Value;
--- a/src/net/discovery.rs
+++ b/src/net/control/discovery.rs
@@ -5,8 +5,8 @@
 
 mod deadline;
 
-use super::backoff::Backoff;
-use super::members::Members;
+use crate::net::control::backoff::Backoff;
+use crate::net::control::endpoint_list::Members;
 use deadline::{Deadline, Lapse, SILENCE};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Bytes;
--- a/src/net/discovery/deadline/tests.rs
+++ b/src/net/control/discovery/deadline/tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `deadline.rs`.
 
 use super::*;
-use crate::net::backoff::Backoff;
+use crate::net::control::backoff::Backoff;
 
 /// Longest pause after a call that was lost, by which these chains are reckoned.
 const SHORT_PAUSE: Duration = Duration::from_millis(200);
--- a/src/net/handover.rs
+++ b/src/net/control/handover.rs
@@ -5,7 +5,7 @@
 //! a disk, so they do not outlast the machine. What is read back is judged like any input: a line that is torn or makes
 //! no sense is passed over.
 
-use super::clock::Clock;
+use crate::net::runtime::clock::Clock;
 use cometspool::Millis;
 use std::collections::HashMap;
 use std::fs::{File, OpenOptions};
--- a/src/net/clients.rs
+++ b/src/net/downstream/connections.rs
@@ -1,9 +1,9 @@
 //! Clients: the listener, how long a connection may take, and the one final answer of each request.
 
-use super::request::{read_body, read_head, Bad};
-use super::room::{client_budget, NO_DESCRIPTOR};
-use super::site::Site;
-use super::traffic::{Answer, Incoming, Presence, BUFFER};
+use crate::net::downstream::request::{read_body, read_head, Bad};
+use crate::net::messages::{Answer, Incoming, Presence, BUFFER};
+use crate::net::runtime::capacity::{client_budget, NO_DESCRIPTOR};
+use crate::net::runtime::context::Site;
 use cometspool::{Millis, RequestId};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming as IncomingBody};
--- /dev/null
+++ b/src/net/downstream/mod.rs
@@ -0,0 +1,4 @@
+//! Connections of clients and the requests read from them.
+
+pub mod connections;
+pub mod request;
--- a/src/net/request.rs
+++ b/src/net/downstream/request.rs
@@ -1,11 +1,11 @@
 //! Validation: what a client's request must look like before the decisions see it. Nothing here is lenient:
 //! what goes on to a backend is what a client of this service would have written, or it is answered 400.
 
-use super::budget::Budget;
-use super::site::Site;
-use super::traffic::{
+use crate::net::messages::{
     Incoming, Order, Presence, IDEMPOTENCY_KEY, LONGEST_BODY, REQUEST_ID, REQUEST_TIMEOUT,
 };
+use crate::net::runtime::budget::Budget;
+use crate::net::runtime::context::Site;
 use cometspool::settings::plain;
 use cometspool::{ClassId, CustomerId, Effect, Millis, PlanId, Settings};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
--- a/src/net/door.rs
+++ b/src/net/driver/mod.rs
@@ -4,19 +4,19 @@
 //! wire and the module's numbers. [`Door::post`] is the only place that calls the module; events that arise
 //! while actions are carried out wait in a queue, so the module is never re-entered.
 
-use super::answers::Reading;
-use super::backends::{self, Transport};
-use super::budget::{Allowance, Budget, Woken};
-use super::clients::Desk;
-use super::clock::Clock;
-use super::config::Config;
-use super::discovery::{News, Roster};
-use super::handover::Handover;
-use super::members::{Health, Member, Members};
-use super::pool::{Line, Pools};
-use super::room;
-use super::site::Site;
-use super::traffic::{Answer, Ended, Incoming, Order};
+use crate::net::control::config::Config;
+use crate::net::control::discovery::{News, Roster};
+use crate::net::control::endpoint_list::{Health, Member, Members};
+use crate::net::control::handover::Handover;
+use crate::net::downstream::connections::Desk;
+use crate::net::messages::{Answer, Ended, Incoming, Order};
+use crate::net::runtime::budget::{Allowance, Budget, Woken};
+use crate::net::runtime::capacity;
+use crate::net::runtime::clock::Clock;
+use crate::net::runtime::context::Site;
+use crate::net::upstream::attempt::{self, Transport};
+use crate::net::upstream::pool_driver::{Line, Pools};
+use crate::net::upstream::response::Reading;
 use cometspool::settings;
 use cometspool::*;
 use fnv::FnvHasher;
@@ -192,7 +192,7 @@
     pub fn new(config: &Config, woken: Woken) -> Result<Rc<Door>, String> {
         let told = &config.told;
         let (clock, doors) = (Clock::skewed(config.clock), told.settings.gateways);
-        let room = room::budget(config.sockets(), config.limits.memory_mb << 20);
+        let room = capacity::budget(config.sockets(), config.limits.memory_mb << 20);
         let pools = Rc::new(Pools::new(told.links, room, doors, config.seed, clock));
         let reading = Rc::new(Reading::new(told, config.limits.memory_mb << 20));
         let transport = Transport {
@@ -203,7 +203,7 @@
         let carrier = move |backend, order: Rc<Order>, part, delivery, line: Line| {
             let transport = transport.clone();
             let attempt = async move {
-                backends::attempt(&transport, backend, &order, part, delivery, &line).await
+                attempt::attempt(&transport, backend, &order, part, delivery, &line).await
             };
             Box::pin(attempt) as Pin<Box<dyn Future<Output = Ended>>>
         };
--- a/src/net/schedules.rs
+++ b/src/net/driver/schedules.rs
@@ -1,10 +1,10 @@
 //! The driver under random schedules of delays, failures, leaving clients and stops, on a clock that stands still while
 //! anything can run. Attempts are carried by a stand-in for sockets; all else is the driver and the module as they serve.
 
-use super::super::budget::Budget;
-use super::super::config::Limits;
-use super::super::traffic::Presence;
 use super::*;
+use crate::net::control::config::Limits;
+use crate::net::messages::Presence;
+use crate::net::runtime::budget::Budget;
 use cometspool::settings::Names;
 use cometspool::settings::{Links, Told};
 use hyper::header::HeaderValue;
@@ -160,7 +160,7 @@
         known: None,
         handover: None,
         fleet: None,
-        clock: crate::net::clock::Skew::default(),
+        clock: crate::net::runtime::clock::Skew::default(),
         told,
     };
     let (clock, seen) = (Clock::new(), world.clone());
--- a/src/net/fleet/membership.rs
+++ b/src/net/fleet/membership.rs
@@ -3,8 +3,8 @@
 use super::frame::{FrameError, FrameKind};
 use super::outbox::Lane;
 use super::transport::Transport;
-use crate::net::clock::Clock;
-use crate::net::fleet_section::FleetSection;
+use crate::net::control::fleet_section::FleetSection;
+use crate::net::runtime::clock::Clock;
 use cometspool_membership::{Change, Effect, Member, Membership, Times};
 use serde_json::json;
 use std::cell::RefCell;
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -6,8 +6,8 @@
 mod outbox;
 mod transport;
 
-use super::clock::Clock;
-use super::fleet_section::FleetSection;
+use crate::net::control::fleet_section::FleetSection;
+use crate::net::runtime::clock::Clock;
 use frame::FrameKind;
 use membership::{MembershipService, Start};
 use serde_json::{json, Value};
--- a/src/net/fleet/transport.rs
+++ b/src/net/fleet/transport.rs
@@ -12,7 +12,7 @@
 
 use super::frame::{Frame, FrameCodec, FrameKind};
 use super::outbox::{Full, Lane, Outbox};
-use crate::net::fleet_section::FleetSection;
+use crate::net::control::fleet_section::FleetSection;
 use cometspool_membership::LONGEST_NAME;
 use counters::Counters;
 use peer::Peer;
--- a/src/net/fleet/transport/listener.rs
+++ b/src/net/fleet/transport/listener.rs
@@ -3,7 +3,7 @@
 use super::handshake::split;
 use super::Transport;
 use crate::net::fleet::frame::ConnectionError;
-use crate::net::room::NO_DESCRIPTOR;
+use crate::net::runtime::capacity::NO_DESCRIPTOR;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
--- a/src/net/traffic.rs
+++ b/src/net/messages.rs
@@ -1,7 +1,7 @@
 //! What passes through a front door, as its parts hand it to each other: a request, what goes on to a backend, how an
 //! attempt ended, the one final answer.
 
-use super::budget::Budget;
+use crate::net::runtime::budget::Budget;
 use cometspool::{ClassId, CustomerId, Millis, Outcome, PlanId, Report};
 use http_body_util::Full;
 use hyper::body::Bytes;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,38 +1,24 @@
 //! The front door on real sockets: the parts round the decision module and how they start and stop.
 
-// From the ground up: each imports only what stands above it here, and the driver alone knows both sides.
-mod backoff;
-pub mod budget;
-mod clock;
-mod fleet_section;
-mod links;
-mod members;
-mod site;
-mod traffic;
+// Each imports only what stands above it here, and the driver alone knows both sides.
+pub mod runtime;
 
-mod permit;
+mod control;
+mod messages;
 
-mod answers;
-pub mod config;
 mod fleet;
-mod handover;
-mod request;
-mod room;
+mod upstream;
 
-mod pool;
+mod downstream;
 
-mod backends;
-mod clients;
-mod discovery;
+mod driver;
 
-mod door;
-
-use backoff::Backoff;
-use budget::Woken;
-use clients::{Clients, Desk};
-use config::Config;
-use door::Door;
+use control::backoff::Backoff;
+use control::config::Config;
+use downstream::connections::{Clients, Desk};
+use driver::Door;
 use fleet::Fleet;
+use runtime::budget::Woken;
 use std::net::SocketAddr;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
@@ -76,7 +62,7 @@
     let agent = watch::Sender::new(config.discovery);
     let backoff = Backoff::new(door.site.settings.gateways, config.seed);
     let callers = backoff.gateways();
-    tokio::task::spawn_local(discovery::follow(
+    tokio::task::spawn_local(control::discovery::follow(
         door.clone(),
         agent.subscribe(),
         config.known,
@@ -87,7 +73,10 @@
     tokio::task::spawn_local(clients.clone().sweep());
     let fleet = match config.fleet {
         Some(section) => {
-            let (desk, most) = (door.clone(), room::client_budget(sockets).max(1));
+            let (desk, most) = (
+                door.clone(),
+                runtime::capacity::client_budget(sockets).max(1),
+            );
             let load = move || (desk.unanswered() * 1000 / most).min(1000) as u16;
             let (pace, paced) = (section.pace, door.clone());
             let sized = move |doors: u32| {
--- a/src/net/room.rs
+++ b/src/net/runtime/capacity.rs
@@ -1,6 +1,6 @@
 //! How a front door's descriptors and memory are shared out between its two sides.
 
-use super::traffic::BUFFER;
+use crate::net::messages::BUFFER;
 use std::time::Duration;
 
 /// Pause when the system has no descriptor for a new connection.
--- a/src/net/site.rs
+++ b/src/net/runtime/context.rs
@@ -1,7 +1,7 @@
 //! What all parts of a front door stand on.
 
-use super::budget::{Lag, Woken};
-use super::clock::Clock;
+use crate::net::runtime::budget::{Lag, Woken};
+use crate::net::runtime::clock::Clock;
 use cometspool::settings::{Names, Told};
 use cometspool::{Millis, Settings};
 
--- a/src/net/backends.rs
+++ b/src/net/upstream/attempt.rs
@@ -1,11 +1,11 @@
 //! Attempts: what goes on to a backend, what comes back, and what the end of an attempt means.
 
-use super::answers::{read, Reading};
-use super::budget::Allowance;
-use super::clock::Clock;
-use super::permit::Permit;
-use super::pool::{Line, NoConnection, Out, Pools};
-use super::traffic::{Ended, Order};
+use crate::net::messages::{Ended, Order};
+use crate::net::runtime::budget::Allowance;
+use crate::net::runtime::clock::Clock;
+use crate::net::upstream::pool_driver::{Line, NoConnection, Out, Pools};
+use crate::net::upstream::response::{read, Reading};
+use crate::net::upstream::send_permit::Permit;
 use cometspool::{BackendId, DeliveryMode, Outcome};
 use hyper::body::Incoming;
 use hyper::Response;
--- a/src/net/backends/tests.rs
+++ b/src/net/upstream/attempt/tests.rs
@@ -1,8 +1,8 @@
 //! Unit tests of `backends.rs`.
 
-use super::super::budget::Budget;
-use super::super::traffic::Presence;
 use super::*;
+use crate::net::messages::Presence;
+use crate::net::runtime::budget::Budget;
 use cometspool::settings::{self, Links};
 use hyper::body::Bytes;
 use hyper::header::HeaderValue;
--- a/src/net/links.rs
+++ b/src/net/upstream/connection_pool.rs
@@ -1,7 +1,7 @@
 //! Which link to a backend a request takes, when one is dialled, and which are kept: the core of the pools.
 //!
 //! Nothing here has a socket or a clock. What happened comes in with its time, what is to be done goes out as
-//! [`Effect`]s; links and those who wait for one are numbers of the driver's. The experiments of `crates/fleet` play the
+//! [`Effect`]s; links and those who wait for one are numbers of the driver's. The experiments of `crates/fleet-simulation` play the
 //! same file.
 //!
 //! What a backend's table of connections holds is told nowhere, and all front doors share it. So each holds what its own
@@ -631,6 +631,6 @@
 }
 
 #[cfg(test)]
-// `crates/fleet` includes this file by its path, from where the default place would be another.
-#[path = "links/tests.rs"]
+// `crates/fleet-simulation` includes this file by its path, from where the default place would be another.
+#[path = "connection_pool/tests.rs"]
 mod tests;
--- a/src/net/pool.rs
+++ b/src/net/upstream/pool_driver.rs
@@ -1,9 +1,11 @@
 //! Connections to backends: pools, how far kept ones are trusted, and how much of a request has been written.
 
-use super::clock::Clock;
-use super::links::{self, Bounds, DialId, Effect, LinkId, Taken, Ticket, Why};
-use super::permit::Permit;
-use super::traffic::BUFFER;
+use crate::net::messages::BUFFER;
+use crate::net::runtime::clock::Clock;
+use crate::net::upstream::connection_pool::{
+    self, Bounds, DialId, Effect, LinkId, Taken, Ticket, Why,
+};
+use crate::net::upstream::send_permit::Permit;
 use cometspool::settings;
 use cometspool::{BackendId, DeliveryMode, Millis};
 use http_body_util::Full;
@@ -294,7 +296,7 @@
 /// What dials, waiting attempts and connections that carry something have in common with the pools.
 struct Shared {
     clock: Clock,
-    core: RefCell<links::Links<BackendId>>,
+    core: RefCell<connection_pool::Links<BackendId>>,
     /// Connections that carry nothing.
     kept: RefCell<HashMap<LinkId, Connection>>,
     /// Those who wait for one, and where for.
@@ -323,7 +325,7 @@
         };
         let shared = Shared {
             clock,
-            core: RefCell::new(links::Links::new(bounds, seed)),
+            core: RefCell::new(connection_pool::Links::new(bounds, seed)),
             kept: RefCell::default(),
             waiting: RefCell::default(),
             places: RefCell::default(),
@@ -558,7 +560,11 @@
     /// Tells the core something and does what comes of it.
     fn with_core<T>(
         self: &Rc<Self>,
-        tell: impl FnOnce(&mut links::Links<BackendId>, Millis, &mut Vec<Effect<BackendId>>) -> T,
+        tell: impl FnOnce(
+            &mut connection_pool::Links<BackendId>,
+            Millis,
+            &mut Vec<Effect<BackendId>>,
+        ) -> T,
     ) -> T {
         let mut effects = Vec::new();
         let told = tell(&mut self.core.borrow_mut(), self.clock.now(), &mut effects);
@@ -619,7 +625,7 @@
     async fn rested(&self, out: Option<Out>) -> Option<Out> {
         let out = out?;
         if let Some(answered) = out.answered {
-            let rest = answered + links::SETTLED - self.clock.now();
+            let rest = answered + connection_pool::SETTLED - self.clock.now();
             if rest > 0.0 {
                 tokio::time::sleep(Duration::from_secs_f64(rest / 1000.0)).await;
             }
--- a/src/net/answers.rs
+++ b/src/net/upstream/response.rs
@@ -3,7 +3,7 @@
 //! An answer that tells its length, or comes in chunks, is whole with its last byte. One without either ends with its
 //! connection (RFC 9112, 6.3): it is whole where that is closed in order, and cut where it is reset.
 
-use super::traffic::{Ended, LONGEST_BODY};
+use crate::net::messages::{Ended, LONGEST_BODY};
 use cometspool::settings::{self, Metric, Told};
 use cometspool::{Outcome, Report};
 use http_body_util::BodyExt;
--- a/src/net/permit.rs
+++ b/src/net/upstream/send_permit.rs
@@ -1,9 +1,9 @@
 //! Whether an attempt may still reach its backend: asked before the first byte of its request, and again before the last
 //! byte of one that could not be written at once.
 
-use super::budget::Allowance;
-use super::clock::Clock;
-use super::traffic::Presence;
+use crate::net::messages::Presence;
+use crate::net::runtime::budget::Allowance;
+use crate::net::runtime::clock::Clock;
 use std::rc::Rc;
 
 /// What an attempt has to meet until its request is written whole.
--- a/src/rules/admission.rs
+++ b/src/policy/admission.rs
@@ -2,8 +2,8 @@
 
 use super::guards::{CeilingPart, OpenCap};
 use super::{Refused, Terms};
-use crate::interface::*;
 use crate::measure::{deviations, zipf_part, Cewma};
+use crate::policy_api::*;
 use std::collections::BTreeMap;
 use std::f64::consts::LN_2;
 use std::sync::Arc;
--- a/src/rules/backends.rs
+++ b/src/policy/backends.rs
@@ -2,8 +2,8 @@
 
 use super::guards::Due;
 use super::Terms;
-use crate::interface::*;
 use crate::measure::{chance, Fading, Ratio};
+use crate::policy_api::*;
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/src/rules/guards.rs
+++ b/src/policy/guards.rs
@@ -1,7 +1,7 @@
 //! Guards beyond the quotas: the backends' room, ceilings, caps on open attempts, cold backends.
 
 use super::Terms;
-use crate::interface::*;
+use crate::policy_api::*;
 use std::sync::Arc;
 
 pub(super) const WAIT_LIMIT: f64 = 0.33; // longest wait, in shortest aims, before a request is refused
--- a/src/rules/choice.rs
+++ b/src/policy/load_balancing.rs
@@ -1,10 +1,10 @@
 //! Choice of backend: the subset that a gateway keeps to, what a backend is expected to cost, and turns.
 
-use super::attempts::{Live, Reach};
 use super::backends::{Backend, Fleet, CIRCLE_LEAST, FORGOTTEN};
+use super::retry::{Live, Reach};
 use super::Terms;
-use crate::interface::*;
 use crate::measure::{chance, Cewma};
+use crate::policy_api::*;
 use rand_pcg::Pcg32;
 use std::f64::consts::LN_2;
 use std::sync::Arc;
--- a/src/rules/mod.rs
+++ b/src/policy/mod.rs
@@ -1,22 +1,22 @@
 //! The decisions of a gateway, a file for each subject. `admission` holds customers to their quotas, `guards`
-//! keep what the rules and the backends' room ask beyond, `backends` is what is known of each, `choice` picks
-//! one, `attempts` tells how long and how often one is tried. Here events go to the parts that they concern.
+//! keep what the rules and the backends' room ask beyond, `backends` is what is known of each, `load_balancing` picks
+//! one, `retry` tells how long and how often one is tried. Here events go to the parts that they concern.
 
 mod admission;
-mod attempts;
 mod backends;
-mod choice;
 mod guards;
+mod load_balancing;
+mod retry;
 
-use crate::interface::*;
 use crate::measure::chance;
+use crate::policy_api::*;
 use admission::{Quotas, Seen};
-use attempts::{Attempts, Live, Reach, Try};
 use backends::{Fleet, Flight};
-use choice::{Ask, Choice, Subset};
 use guards::Opening;
+use load_balancing::{Ask, Choice, Subset};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
+use retry::{Attempts, Live, Reach, Try};
 use std::sync::Arc;
 
 const PATIENCE: f64 = 1.5; // times the expected answer that a client must have: half take longer
--- a/src/rules/attempts.rs
+++ b/src/policy/retry.rs
@@ -1,8 +1,8 @@
 //! Attempts: how long one is waited for, when and where a request is sent again, and when it is given up.
 
 use super::Terms;
-use crate::interface::*;
 use crate::measure::Quantile;
+use crate::policy_api::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings by their wire names, as `path=value` lines: the one mapping for both programs. Unknown keys are
 //! skipped; missing ones take the defaults of [`Settings::default`], [`Class::default`] and [`Plan::default`].
 
-use crate::interface::*;
+use crate::policy_api::*;
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -1,7 +1,7 @@
 //! A front door whose descriptors idle clients fill, over loopback sockets: the list, health checks and backends keep theirs,
 //! and whoever comes with a request gets in.
 
-use cometspool_rig::hand::*;
+use cometspool_fault_injection::hand::*;
 use std::time::{Duration, Instant};
 
 /// Descriptors of the front door, and idle clients: far more than it has room for.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Several processes of the program under faults, on the rig.
 
-use cometspool_rig::load::Pace;
-use cometspool_rig::{check, Plan, Rig};
+use cometspool_fault_injection::load::Pace;
+use cometspool_fault_injection::{check, Plan, Rig};
 use nix::sys::signal::Signal;
 
 /// Guards the rig's own ground on the program as it was before front doors spoke to each other: under load, a process
@@ -62,7 +62,7 @@
     rig.wait("both taken in", |_| (load.taken_in() == 2).then_some(()));
     let said = |rig: &mut Rig, text: &str| {
         rig.wait(text, |rig| {
-            let says = |event: &cometspool_rig::history::Event| {
+            let says = |event: &cometspool_fault_injection::history::Event| {
                 event.who == "n0" && event.text("text").contains(text)
             };
             rig.history
@@ -154,7 +154,7 @@
     let events = rig.history.events();
     assert_eq!(check::all(&events), []);
     let saw = |by: &str, change: &str, member: &str| {
-        let seen = |event: &&cometspool_rig::history::Event| {
+        let seen = |event: &&cometspool_fault_injection::history::Event| {
             event.who == by
                 && event.what == "member"
                 && event.text("change") == change
@@ -163,7 +163,7 @@
         events.iter().filter(seen).count()
     };
     for i in 1..6 {
-        let by = cometspool_rig::rig::name(i);
+        let by = cometspool_fault_injection::rig::name(i);
         assert_eq!(
             (saw(&by, "left", "n0"), saw(&by, "failed", "n0") > 1),
             (1, false),
@@ -216,7 +216,7 @@
         (way(rig, 0, "mark") > before).then_some(())
     });
     // From now on one byte of each datagram is changed: checksums find all of them, and each takes the other for gone.
-    let damaged = cometspool_rig::link::Quality {
+    let damaged = cometspool_fault_injection::link::Quality {
         damage: 1.0,
         ..Default::default()
     };
@@ -264,7 +264,7 @@
 /// test's alone.
 #[test]
 fn a_bad_fleet_section_names_its_key() {
-    use cometspool_rig::hand::{settings, spawn};
+    use cometspool_fault_injection::hand::{settings, spawn};
     use serde_json::json;
     let good = json!({"name": "f", "listen": "127.0.0.1:9", "peers": []});
     let cases = [
@@ -321,7 +321,7 @@
 /// Guards the rules under the fixed schedules, each of which has to act: what it says it does must show in its history.
 #[test]
 fn fixed_schedules_break_no_rule_and_their_faults_act() {
-    use cometspool_rig::schedule::{play, Schedule};
+    use cometspool_fault_injection::schedule::{play, Schedule};
     // What is to be found of each: in the counters of the links, or among the events.
     let schedules: [(&str, &str, &[&str]); 3] = [
         (
--- a/tests/front_door.rs
+++ b/tests/front_door.rs
@@ -1,6 +1,6 @@
 //! The front door over loopback sockets: each test names what it guards.
 
-use cometspool_rig::hand::*;
+use cometspool_fault_injection::hand::*;
 use std::io::Read;
 use std::process::ExitStatus;
 
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,7 +1,7 @@
 //! Clients that leave while their request waits, over loopback sockets: where the leaving and the means to send meet in one
 //! turn of the loop, the leaving is seen first, and nothing is sent on for nobody.
 
-use cometspool_rig::hand::*;
+use cometspool_fault_injection::hand::*;
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -1,6 +1,6 @@
 //! The list of backends where two events cross, over loopback sockets: silence, layout, versions that go back, old addresses.
 
-use cometspool_rig::hand::*;
+use cometspool_fault_injection::hand::*;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -1,8 +1,8 @@
 //! Many front doors and many backends: nothing ends below 1,024 of either.
 
-use cometspool_rig::hand::*;
-use cometspool_rig::standins::Manner;
-use cometspool_rig::{Plan, Rig};
+use cometspool_fault_injection::hand::*;
+use cometspool_fault_injection::standins::Manner;
+use cometspool_fault_injection::{Plan, Rig};
 use serde_json::json;
 use std::collections::BTreeSet;
 
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -4,12 +4,12 @@
 use std::path::{Path, PathBuf};
 
 /// The folder that holds the policy.
-const POLICY: &str = "src/rules";
+const POLICY: &str = "src/policy";
 
 /// Crates and modules that the policy's files may import from; everything else is a clock, I/O or another part.
 const ALLOWED_IMPORTS: [&str; 7] = [
     "super::",
-    "crate::interface::",
+    "crate::policy_api::",
     "crate::measure::",
     "rand_core::",
     "rand_pcg::",
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,7 +1,7 @@
 //! Where an attempt's end meets what may be sent again, over loopback sockets: a keyed request goes nowhere outside its group,
 //! and nowhere once those in it have forgotten its key.
 
-use cometspool_rig::hand::*;
+use cometspool_fault_injection::hand::*;
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
--- a/tests/reuse.rs
+++ b/tests/reuse.rs
@@ -1,6 +1,6 @@
 //! Links between one request and the next, over loopback sockets: what comes behind an answer, and who gets a link when.
 
-use cometspool_rig::hand::*;
+use cometspool_fault_injection::hand::*;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
--- a/tests/drill.rs
+++ b/tests/simulator_adapter.rs
@@ -4,7 +4,7 @@
 use std::process::{Child, Command, Output, Stdio};
 
 fn start() -> Child {
-    Command::new(env!("CARGO_BIN_EXE_cometspool-drill"))
+    Command::new(env!("CARGO_BIN_EXE_cometspool-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -1,7 +1,7 @@
 //! Many front doors that start at once.
 
-use cometspool_rig::hand::{wait_for, Wire};
-use cometspool_rig::{Plan, Rig};
+use cometspool_fault_injection::hand::{wait_for, Wire};
+use cometspool_fault_injection::{Plan, Rig};
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
 
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -1,7 +1,7 @@
 //! A planned stop where other events cross it, over loopback sockets: deadlines beyond its end, signals that come again, no list
 //! yet, clients that go on sending on each connection that stays open.
 
-use cometspool_rig::hand::*;
+use cometspool_fault_injection::hand::*;
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
--- a/tests/time.rs
+++ b/tests/time.rs
@@ -1,6 +1,6 @@
 //! A request's time over loopback sockets: what bounds it from the client's first byte to the last one of its answer.
 
-use cometspool_rig::hand::*;
+use cometspool_fault_injection::hand::*;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -198,7 +198,7 @@
     let mut waiting = dialling.client();
     waiting.write(request_of("id-3", "charge", "wide", "2"));
     wait_for("a dial", || {
-        cometspool_rig::hand::dialling(crowded.address()).then_some(())
+        cometspool_fault_injection::hand::dialling(crowded.address()).then_some(())
     });
     half_answered.terminate();
     dialling.terminate();
--- a/tests/whole_answers.rs
+++ b/tests/whole_answers.rs
@@ -1,7 +1,7 @@
 //! When an answer of a backend is whole, over loopback sockets: one that tells its length or comes in chunks with its last
 //! byte, any other where its connection ends in order. What is cut or too long reaches no client as an answer.
 
-use cometspool_rig::hand::*;
+use cometspool_fault_injection::hand::*;
 use std::io::Read;
 use std::time::{Duration, Instant};
 
