--- a/crates/fault-injection/src/check.rs
+++ b/crates/fault-injection/src/check.rs
@@ -46,7 +46,7 @@
             let spells = spells.entry(event.text("process")).or_default();
             match (event.what.as_str(), event.text("signal")) {
                 ("signal", "SIGKILL" | "SIGSTOP" | "SIGTERM") => {
-                    spells.push((event.at_us, u64::MAX))
+                    spells.push((event.at_us, u64::MAX));
                 }
                 ("start", _) | ("signal", "SIGCONT") => {
                     spells
@@ -135,7 +135,7 @@
         match event.what.as_str() {
             "ran" => *ran += 1,
             "answered" if matches!(event.number("status"), Some(429 | 503)) => {
-                *refused = Some(event.at_us)
+                *refused = Some(event.at_us);
             }
             _ => continue,
         }
--- a/crates/fault-injection/src/hand.rs
+++ b/crates/fault-injection/src/hand.rs
@@ -13,6 +13,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
+/// The longest that a test waits for anything; a wait this long means that it never comes.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
 /// Settings with a class of each effect and two plans, one of them narrow.
@@ -37,11 +38,13 @@
     })
 }
 
+/// One entry of an endpoint list, as discovery words it.
 pub fn member(host: &str, dial: SocketAddr, health: &str) -> Value {
     json!({"host": host, "dial": dial.to_string(), "site": "uio-1", "class": "std", "block": 0,
            "health": health, "share": 1.0, "born_ms": 0})
 }
 
+/// An endpoint list, or what changed in it, as discovery words it.
 pub fn members(seq: u64, whole: bool, hosts: &[Value]) -> Value {
     json!({"seq": seq, "whole": whole, "hosts": hosts})
 }
@@ -51,11 +54,13 @@
 
 impl Place {
     // A default would hide that it takes a port.
+    /// A listener on a port that the system chooses.
     #[allow(clippy::new_without_default)]
     pub fn new() -> Place {
         Place(TcpListener::bind("127.0.0.1:0").expect("a port"))
     }
 
+    /// Where it listens.
     pub fn address(&self) -> SocketAddr {
         self.0.local_addr().expect("an address")
     }
@@ -189,12 +194,16 @@
 /// A message as it came: its first line, its headers, its body.
 #[derive(Debug)]
 pub struct Message {
+    /// The request line, or the status line of a response.
     pub first: String,
+    /// The headers, by their names in lower case.
     pub headers: HashMap<String, String>,
+    /// The body, read whole.
     pub body: Vec<u8>,
 }
 
 impl Message {
+    /// The status of a response.
     pub fn status(&self) -> u16 {
         self.first
             .split(' ')
@@ -203,6 +212,7 @@
             .expect("a status")
     }
 
+    /// A header's value, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
@@ -210,10 +220,12 @@
 
 /// One end of a connection.
 pub struct Wire {
+    /// What has been received and not read yet.
     pub reader: BufReader<TcpStream>,
 }
 
 impl Wire {
+    /// Takes over an open connection.
     pub fn new(stream: TcpStream) -> Wire {
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         Wire {
@@ -221,10 +233,12 @@
         }
     }
 
+    /// Connects to an address.
     pub fn to(address: SocketAddr) -> Wire {
         Wire::new(TcpStream::connect(address).expect("the front door accepts"))
     }
 
+    /// Writes all of these bytes.
     pub fn write(&mut self, bytes: impl AsRef<[u8]>) {
         self.reader
             .get_mut()
@@ -323,6 +337,7 @@
         Watch(wire)
     }
 
+    /// Writes one line to an open watch, as a chunk of its own.
     pub fn line(&mut self, text: &str) {
         self.0
             .write(format!("{:x}\r\n{text}\n\r\n", text.len() + 1));
@@ -331,11 +346,15 @@
 
 /// The running program.
 pub struct Program {
+    /// The running process.
     pub child: Child,
+    /// Where it serves clients.
     pub address: SocketAddr,
+    /// Its standard error.
     pub log: BufReader<ChildStderr>,
     /// Its configuration and the file that holds it.
     pub config: Value,
+    /// The path of its configuration file.
     pub path: String,
 }
 
@@ -382,6 +401,7 @@
 }
 
 impl Program {
+    /// Starts the program with these settings, a discovery service and an endpoint list that it already knows.
     pub fn start(settings: Value, discovery: SocketAddr, known: Value) -> Program {
         Program::start_within(256, settings, discovery, known)
     }
@@ -443,10 +463,12 @@
         }
     }
 
+    /// A connection of a client.
     pub fn client(&self) -> Wire {
         Wire::to(self.address)
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
@@ -472,6 +494,7 @@
         });
     }
 
+    /// Sends SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
@@ -494,6 +517,7 @@
         line
     }
 
+    /// Waits until the process has ended.
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().expect("an exit")
     }
@@ -510,17 +534,23 @@
 
 /// A front door with backends and a discovery that has been asked for a watch.
 pub struct Scene {
+    /// The program under test.
     pub program: Program,
+    /// The scripted discovery service.
     pub discovery: Place,
+    /// The program's open watch of the endpoint list.
     pub watch: Watch,
+    /// The scripted backends.
     pub backends: Vec<Place>,
 }
 
 impl Scene {
+    /// A program with this many backends and the usual settings.
     pub fn new(backends: usize) -> Scene {
         Scene::with(settings(), backends)
     }
 
+    /// A program with these settings and this many backends.
     pub fn with(settings: Value, count: usize) -> Scene {
         let discovery = Place::new();
         let backends: Vec<Place> = (0..count).map(|_| Place::new()).collect();
@@ -559,6 +589,7 @@
     request_of(id, class, "wide", "1.5")
 }
 
+/// A well-formed request of a class and a plan, with its timeout in seconds.
 pub fn request_of(id: &str, class: &str, plan: &str, timeout: &str) -> String {
     let (method, extra, body) = match class {
         "read" => ("GET", "", ""),
--- a/crates/fault-injection/tests/ground.rs
+++ b/crates/fault-injection/tests/ground.rs
@@ -37,7 +37,7 @@
         one.stand_in(0),
         one.stand_in(MOST_STAND_INS - 1),
     ];
-    let hosts: Vec<_> = last.iter().map(|address| address.ip()).collect();
+    let hosts: Vec<_> = last.iter().map(std::net::SocketAddr::ip).collect();
     assert!(hosts.is_sorted_by(|a, b| a < b), "{hosts:?}");
 }
 
--- a/crates/fleet-simulation/src/lib.rs
+++ b/crates/fleet-simulation/src/lib.rs
@@ -5,7 +5,6 @@
 //! with [`BackendSpec`] and [`World`]. The experiments are in `src/main.rs`, one subcommand each.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod chance;
 pub mod crowd;
--- a/crates/fleet-simulation/src/pooling.rs
+++ b/crates/fleet-simulation/src/pooling.rs
@@ -148,7 +148,7 @@
 
 #[cfg(not(feature = "base"))]
 impl Pool {
-    pub fn new(doors: u32, seed: u64) -> Pool {
+    pub(crate) fn new(doors: u32, seed: u64) -> Pool {
         let (handshake_price, connection_price) = (0.02, 0.0);
         let bounds = links::Bounds {
             budget: BUDGET,
@@ -179,7 +179,7 @@
         told
     }
 
-    pub fn take(
+    pub(crate) fn take(
         &mut self,
         now: Millis,
         to: usize,
@@ -196,7 +196,7 @@
         }
     }
 
-    pub fn dialled(
+    pub(crate) fn dialled(
         &mut self,
         now: Millis,
         to: usize,
@@ -211,37 +211,37 @@
         });
     }
 
-    pub fn left(&mut self, now: Millis, to: usize, call: usize) {
+    pub(crate) fn left(&mut self, now: Millis, to: usize, call: usize) {
         self.0.left(now, to, links::Ticket(call as u64));
     }
 
-    pub fn freed(&mut self, now: Millis, to: usize, link: u64, acts: &mut Vec<Act>) {
+    pub(crate) fn freed(&mut self, now: Millis, to: usize, link: u64, acts: &mut Vec<Act>) {
         self.with(acts, |links, fx| {
-            links.freed(now, to, links::LinkId(link), fx)
+            links.freed(now, to, links::LinkId(link), fx);
         });
     }
 
-    pub fn lost(&mut self, now: Millis, to: usize, acts: &mut Vec<Act>) {
+    pub(crate) fn lost(&mut self, now: Millis, to: usize, acts: &mut Vec<Act>) {
         self.with(acts, |links, fx| links.lost(now, to, fx));
     }
 
-    pub fn gone(&mut self, to: usize, acts: &mut Vec<Act>) {
+    pub(crate) fn gone(&mut self, to: usize, acts: &mut Vec<Act>) {
         self.with(acts, |links, fx| links.forget(to, fx));
     }
 
-    pub fn silent(&mut self, to: usize, acts: &mut Vec<Act>) {
+    pub(crate) fn silent(&mut self, to: usize, acts: &mut Vec<Act>) {
         self.with(acts, |links, fx| links.close(to, false, fx));
     }
 
-    pub fn ahead(&mut self, now: Millis, to: usize, within: Millis, acts: &mut Vec<Act>) {
+    pub(crate) fn ahead(&mut self, now: Millis, to: usize, within: Millis, acts: &mut Vec<Act>) {
         self.with(acts, |links, fx| links.ahead(now, to, within, fx));
     }
 
-    pub fn tidy(&mut self, now: Millis, acts: &mut Vec<Act>) {
+    pub(crate) fn tidy(&mut self, now: Millis, acts: &mut Vec<Act>) {
         self.with(acts, |links, fx| links.tidy(now, fx));
     }
 
-    pub fn wake(&mut self, now: Millis, to: usize, acts: &mut Vec<Act>) {
+    pub(crate) fn wake(&mut self, now: Millis, to: usize, acts: &mut Vec<Act>) {
         self.with(acts, |links, fx| links.wake(now, to, fx));
     }
 }
--- a/crates/fleet-simulation/src/quotas.rs
+++ b/crates/fleet-simulation/src/quotas.rs
@@ -6,12 +6,12 @@
 use cometspool_fleet_simulation::*;
 
 /// What is played.
-pub const SCENES: [&str; 9] = [
+pub(crate) const SCENES: [&str; 9] = [
     "calm", "silent", "late", "absurd", "moving", "rolling", "killed", "flood", "few",
 ];
 
 /// What is told of each.
-pub const COLUMNS: [&str; 11] = [
+pub(crate) const COLUMNS: [&str; 11] = [
     "net worth",
     "served within",
     "beyond, of sent",
@@ -132,7 +132,7 @@
 }
 
 /// Plays a day.
-pub fn row(scene: &str, seed: u64) -> Vec<f64> {
+pub(crate) fn row(scene: &str, seed: u64) -> Vec<f64> {
     let ledger = play(day(scene, seed)).ledger;
     let tries = ledger.tries as f64;
     let why = |name: &str| ledger.why.get(name).copied().unwrap_or(0) as f64 / tries;
--- a/crates/fleet-simulation/src/world/dispatch.rs
+++ b/crates/fleet-simulation/src/world/dispatch.rs
@@ -46,7 +46,7 @@
                 self.notify_door(door, Event::Backends(ListKind::Changes, entries));
             }
             SimEvent::Dialled(door, backend, call, answered) => {
-                self.dialled(door, backend, call, answered)
+                self.dialled(door, backend, call, answered);
             }
             SimEvent::Waited(call) => {
                 if self.calls[call].waits && !self.calls[call].settled {
@@ -54,13 +54,13 @@
                 }
             }
             SimEvent::Tidy(door) => {
-                self.pool(door, |pool, now, acts| pool.tidy(now, acts));
+                self.pool(door, super::super::pooling::Pool::tidy);
                 if self.now < self.spec.length {
                     self.schedule(self.now + 500.0, SimEvent::Tidy(door));
                 }
             }
             SimEvent::Wake(door, backend) => {
-                self.pool(door, |pool, now, acts| pool.wake(now, backend, acts))
+                self.pool(door, |pool, now, acts| pool.wake(now, backend, acts));
             }
             SimEvent::Fault(fault) => self.inject_fault(fault),
         }
--- a/crates/fleet-simulation/src/world/doors.rs
+++ b/crates/fleet-simulation/src/world/doors.rs
@@ -73,7 +73,7 @@
                     }
                 }
                 Action::SetAlarm { at, alarm } => {
-                    self.schedule(at.max(self.now), SimEvent::Alarm(door, alarm))
+                    self.schedule(at.max(self.now), SimEvent::Alarm(door, alarm));
                 }
                 Action::Log(text) if text.contains("set aside") => {
                     let word = text.split(' ').nth(1).and_then(|id| id.parse().ok());
@@ -89,7 +89,7 @@
                 Action::Warm { backend, within } if self.spec.table.is_some() => {
                     let backend = self.by_id[&backend];
                     self.pool(door, |pool, now, acts| {
-                        pool.ahead(now, backend, within, acts)
+                        pool.ahead(now, backend, within, acts);
                     });
                 }
                 _ => {}
--- a/crates/fleet-simulation/src/world/links.rs
+++ b/crates/fleet-simulation/src/world/links.rs
@@ -134,7 +134,7 @@
             Dialled::Refused
         };
         self.pool(door, |pool, now, acts| {
-            pool.dialled(now, backend, call, how, acts)
+            pool.dialled(now, backend, call, how, acts);
         });
     }
 
--- a/crates/fleet-simulation/tests/cold.rs
+++ b/crates/fleet-simulation/tests/cold.rs
@@ -198,7 +198,7 @@
 #[test]
 fn one_that_joins_in_calm_gets_no_more_than_it_can_bear() {
     judge("calm", |_, spec| {
-        spec.faults.push((5000.0, Fault::Start(0)))
+        spec.faults.push((5000.0, Fault::Start(0)));
     });
 }
 
--- a/crates/fleet-simulation/tests/common/mod.rs
+++ b/crates/fleet-simulation/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 /// Customers who ask for `rate` units a second in all, through uneven and moving sets of front doors, with a late but true
 /// meter. One of them floods every door of its set for five seconds, and who is refused comes again twice.
-pub fn flooding_customers(rate: f64) -> CrowdSpec {
+pub(crate) fn flooding_customers(rate: f64) -> CrowdSpec {
     CrowdSpec {
         rate,
         shares: vec![1.0],
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,7 +5,6 @@
 //! sum, may hang on it. `docs/MEMBERSHIP.md` tells what it promises.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod core;
 mod counters;
--- a/crates/membership/src/load.rs
+++ b/crates/membership/src/load.rs
@@ -39,7 +39,7 @@
 
 impl Loads {
     /// What a member last reported.
-    pub fn of(&self, name: &str) -> Option<u16> {
+    pub(crate) fn of(&self, name: &str) -> Option<u16> {
         self.0.borrow().get(name).map(|report| report.load)
     }
 }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -161,7 +161,7 @@
 
 /// Writes and reads members and headers with postcard, and keeps count of what goes by.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Wire;
+pub(crate) struct Wire;
 
 fn put(value: &impl Serialize, mut to: impl BufMut) -> Result<(), WireError> {
     let bytes = postcard::to_stdvec(value)?;
--- a/crates/replicated-log/src/log.rs
+++ b/crates/replicated-log/src/log.rs
@@ -43,22 +43,22 @@
 
 impl Log {
     /// Entries up to here, cut off or not, the stop sign not counted.
-    pub fn length(&self) -> u64 {
+    pub(crate) fn length(&self) -> u64 {
         self.cut + self.entries.len() as u64
     }
 
     /// How many are accepted, the stop sign counted.
-    pub fn accepted_index(&self) -> u64 {
+    pub(crate) fn accepted_index(&self) -> u64 {
         self.length() + u64::from(self.stop.is_some())
     }
 
     /// Whether what ends the configuration is decided.
-    pub fn stopped(&self) -> Option<&StopSign> {
+    pub(crate) fn stopped(&self) -> Option<&StopSign> {
         self.stop.as_ref().filter(|_| self.decided > self.length())
     }
 
     /// Decided entries from here on; none if they are cut off.
-    pub fn decided_from(&self, from: u64) -> &[Entry] {
+    pub(crate) fn decided_from(&self, from: u64) -> &[Entry] {
         let end = self.decided.min(self.length());
         if from < self.cut || from >= end {
             return &[];
@@ -67,7 +67,7 @@
     }
 
     /// Cuts off what lies before this.
-    pub fn cut_off(&mut self, at: u64) {
+    pub(crate) fn cut_off(&mut self, at: u64) {
         if at > self.cut {
             if at > self.length() {
                 // What it had accepted as the end has been decided otherwise.
@@ -84,14 +84,14 @@
     ///
     /// Why no promise is lost by it: the entry before the cut is decided, by a majority without this keeper, as its log was
     /// shorter; so of any majority that this keeper is in, another has all up to the cut, in a leader's ballot or in this one.
-    pub fn accept_by_state(&mut self) {
+    pub(crate) fn accept_by_state(&mut self) {
         let below = Ballot::with(0, 0, 1, 0);
         self.accepted = Some(below);
         self.notes.push(Note::Accepted(below));
     }
 
     /// Takes in entries that are decided, from a place that lies within it or at its end.
-    pub fn learn(&mut self, from: u64, entries: Vec<Entry>) {
+    pub(crate) fn learn(&mut self, from: u64, entries: Vec<Entry>) {
         let to = from + entries.len() as u64;
         // What this one accepted beyond them stays.
         let beyond = self
@@ -117,7 +117,7 @@
     }
 
     /// Takes a note up as it was made.
-    pub fn replay(&mut self, note: Note) {
+    pub(crate) fn replay(&mut self, note: Note) {
         match note {
             Note::Begin(_, _, at, _) => {
                 *self = Log {
@@ -141,7 +141,7 @@
     }
 
     /// All that it holds, for a store that is written anew.
-    pub fn whole(&self) -> Vec<Note> {
+    pub(crate) fn whole(&self) -> Vec<Note> {
         let mut notes: Vec<Note> = self.promise.map(Note::Promise).into_iter().collect();
         notes.extend(self.accepted.map(Note::Accepted));
         notes.push(Note::Decided(self.decided));
--- a/crates/replicated-log/src/transfer.rs
+++ b/crates/replicated-log/src/transfer.rs
@@ -14,7 +14,7 @@
 }
 
 impl Image {
-    pub fn new(at: Position, config: Config, bytes: Vec<u8>) -> Image {
+    pub(crate) fn new(at: Position, config: Config, bytes: Vec<u8>) -> Image {
         let sum = crc32c::crc32c(&bytes);
         Image {
             at,
@@ -24,7 +24,7 @@
         }
     }
 
-    pub fn offer(&self) -> Body {
+    pub(crate) fn offer(&self) -> Body {
         Body::Offer(
             self.at,
             self.bytes.len() as u64,
@@ -34,7 +34,7 @@
     }
 
     /// The piece at an offset, of at most so many bytes.
-    pub fn piece(&self, offset: u64, most: usize) -> Body {
+    pub(crate) fn piece(&self, offset: u64, most: usize) -> Body {
         let from = (offset as usize).min(self.bytes.len());
         let to = (from + most).min(self.bytes.len());
         Body::Piece(self.at, offset, self.bytes[from..to].to_vec())
@@ -76,7 +76,7 @@
 impl Fetching {
     /// Takes an offer up, at `now`. What is there of the same one stays, and one that is on its way gives way only to a later one,
     /// unless nothing of it has come since `stalled`: else two who have different ones would take turns for ever.
-    pub fn offered(
+    pub(crate) fn offered(
         &mut self,
         stalled: f64,
         now: f64,
@@ -104,7 +104,13 @@
     }
 
     /// Takes a piece in. All of it, once it is there and whole; what is not whole is dropped, to be asked for anew.
-    pub fn piece(&mut self, now: f64, at: Position, offset: u64, bytes: &[u8]) -> Option<Incoming> {
+    pub(crate) fn piece(
+        &mut self,
+        now: f64,
+        at: Position,
+        offset: u64,
+        bytes: &[u8],
+    ) -> Option<Incoming> {
         let incoming = self
             .incoming
             .as_mut()
--- a/crates/replicated-log/tests/cases.rs
+++ b/crates/replicated-log/tests/cases.rs
@@ -198,7 +198,10 @@
     let mut sim = group(3, 2, true, 5);
     sim.ask(1000.0, 10.0);
     settle(&mut sim);
-    let (before, record) = (sim.promised(), sim.keeper(0).map(|keeper| keeper.record()));
+    let (before, record) = (
+        sim.promised(),
+        sim.keeper(0).map(cometspool_replicated_log::Keeper::record),
+    );
     for seat in [1, 2] {
         sim.kill(seat);
         sim.wipe(seat);
--- a/src/bin/cometspool-simulator-adapter/codec.rs
+++ b/src/bin/cometspool-simulator-adapter/codec.rs
@@ -7,7 +7,7 @@
 
 /// A frame that cannot be read: where, and what was found there.
 #[derive(Debug, PartialEq)]
-pub struct Malformed {
+pub(crate) struct Malformed {
     /// Offset in the frame's payload.
     pub offset: usize,
     /// Code of the record at fault, if it was read.
@@ -28,7 +28,7 @@
 
 /// One line of a list of backends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
+pub(crate) struct Entry {
     pub zone: u8,
     pub came_up: f64,
     pub backend: u32,
@@ -39,7 +39,7 @@
 
 /// One event, addressed to the instance `door`.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Record {
+pub(crate) enum Record {
     Create {
         seed: u64,
         facts: String,
@@ -81,7 +81,7 @@
 
 /// The fields of a settled attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outcome {
+pub(crate) struct Outcome {
     pub id: u32,
     pub attempt: u16,
     pub backend: u32,
@@ -157,7 +157,7 @@
 }
 
 /// Reads the payload of a batch: its clock and its events in order.
-pub fn decode(payload: &[u8]) -> Result<(f64, Vec<(u32, Record)>), Malformed> {
+pub(crate) fn decode(payload: &[u8]) -> Result<(f64, Vec<(u32, Record)>), Malformed> {
     let mut reader = Reader {
         bytes: payload,
         at: 0,
@@ -269,7 +269,7 @@
 
 /// A reply under construction.
 #[derive(Default)]
-pub struct Reply {
+pub(crate) struct Reply {
     count: u32,
     body: Vec<u8>,
 }
@@ -282,56 +282,56 @@
         &mut self.body
     }
 
-    pub fn send(&mut self, door: u32, id: u32, backend: u32, limit: f64) {
+    pub(crate) fn send(&mut self, door: u32, id: u32, backend: u32, limit: f64) {
         let body = self.start(320, door);
         body.extend(id.to_le_bytes());
         body.extend(backend.to_le_bytes());
         body.extend(limit.to_le_bytes());
     }
 
-    pub fn refuse(&mut self, door: u32, id: u32, retry_after: f64) {
+    pub(crate) fn refuse(&mut self, door: u32, id: u32, retry_after: f64) {
         let body = self.start(321, door);
         body.extend(id.to_le_bytes());
         body.extend(retry_after.to_le_bytes());
     }
 
-    pub fn fail(&mut self, door: u32, id: u32) {
+    pub(crate) fn fail(&mut self, door: u32, id: u32) {
         self.start(322, door).extend(id.to_le_bytes());
     }
 
-    pub fn call_off(&mut self, door: u32, id: u32, attempt: u16) {
+    pub(crate) fn call_off(&mut self, door: u32, id: u32, attempt: u16) {
         let body = self.start(323, door);
         body.extend(id.to_le_bytes());
         body.extend(attempt.to_le_bytes());
     }
 
-    pub fn set_alarm(&mut self, door: u32, at: f64, name: u64) {
+    pub(crate) fn set_alarm(&mut self, door: u32, at: f64, name: u64) {
         let body = self.start(324, door);
         body.extend(at.to_le_bytes());
         body.extend(name.to_le_bytes());
     }
 
-    pub fn probe(&mut self, door: u32, backend: u32) {
+    pub(crate) fn probe(&mut self, door: u32, backend: u32) {
         self.start(325, door).extend(backend.to_le_bytes());
     }
 
-    pub fn close_idle(&mut self, door: u32, backend: u32) {
+    pub(crate) fn close_idle(&mut self, door: u32, backend: u32) {
         self.start(326, door).extend(backend.to_le_bytes());
     }
 
-    pub fn subscribe(&mut self, door: u32) {
+    pub(crate) fn subscribe(&mut self, door: u32) {
         self.start(330, door).push(1);
     }
 
-    pub fn fetch_list(&mut self, door: u32) {
+    pub(crate) fn fetch_list(&mut self, door: u32) {
         self.start(331, door);
     }
 
-    pub fn log(&mut self, door: u32, text: &str) {
+    pub(crate) fn log(&mut self, door: u32, text: &str) {
         self.text(328, door, text);
     }
 
-    pub fn broken(&mut self, door: u32, text: &str) {
+    pub(crate) fn broken(&mut self, door: u32, text: &str) {
         self.text(329, door, text);
     }
 
@@ -346,7 +346,7 @@
     }
 
     /// The whole frame, header included.
-    pub fn into_frame(self) -> Vec<u8> {
+    pub(crate) fn into_frame(self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(8 + self.body.len());
         frame.extend((4 + self.body.len() as u32).to_le_bytes());
         frame.extend(self.count.to_le_bytes());
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -45,7 +45,6 @@
 //! ```
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod measure;
 mod policy;
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -6,13 +6,13 @@
 use std::f64::consts::LN_2;
 
 /// A number drawn evenly from nought to one.
-pub fn chance(rng: &mut Pcg32) -> f64 {
+pub(crate) fn chance(rng: &mut Pcg32) -> f64 {
     f64::from(rng.next_u32()) / 4_294_967_296.0
 }
 
 /// Standard deviations above the mean under which a normal draw lies with this probability, by the logistic curve that
 /// lies along the normal one: within a tenth of it between 0.05 and 0.95, and wider beyond.
-pub fn deviations(probability: f64) -> f64 {
+pub(crate) fn deviations(probability: f64) -> f64 {
     const LOGISTIC: f64 = 1.7;
     (probability / (1.0 - probability)).ln() / LOGISTIC
 }
@@ -20,7 +20,7 @@
 /// The part of a stream that comes through one of `places`, if by Zipf's law the busiest has the most and the n-th an n-th
 /// of that: of the place through which one of it comes, as it is at least with this probability. The logarithm of that
 /// place's rank is about even from nought to that of their number: from a third on the probability is right to a tenth.
-pub fn zipf_part(places: f64, probability: f64) -> f64 {
+pub(crate) fn zipf_part(places: f64, probability: f64) -> f64 {
     const EULER: f64 = 0.577_215_664_901_532_9;
     1.0 / ((places.ln() + EULER) * places.powf(probability))
 }
@@ -52,14 +52,14 @@
 
 /// A score between nought and one, as of a time, that fades with a halflife of the caller's.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fading {
+pub(crate) struct Fading {
     value: f64,
     at: Millis,
 }
 
 impl Fading {
     /// What is left of it; with an endless halflife, all.
-    pub fn left(&self, now: Millis, halflife: Millis) -> f64 {
+    pub(crate) fn left(&self, now: Millis, halflife: Millis) -> f64 {
         if self.value == 0.0 {
             return 0.0;
         }
@@ -67,7 +67,7 @@
     }
 
     /// Moves what is left of it toward a goal, by this part of the way.
-    pub fn move_to(&mut self, now: Millis, halflife: Millis, goal: f64, step: f64) {
+    pub(crate) fn move_to(&mut self, now: Millis, halflife: Millis, goal: f64, step: f64) {
         let left = self.left(now, halflife);
         *self = Fading {
             value: left + step * (goal - left),
@@ -78,7 +78,7 @@
 
 /// A ratio of two sums over about so many samples of late.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ratio {
+pub(crate) struct Ratio {
     /// The sum above the line.
     pub above: f64,
     /// The sum below it.
@@ -87,35 +87,35 @@
 
 impl Ratio {
     /// Takes in one sample.
-    pub fn feed(&mut self, samples: f64, above: f64, below: f64) {
+    pub(crate) fn feed(&mut self, samples: f64, above: f64, below: f64) {
         let keep = 1.0 - 1.0 / samples;
         self.above = self.above * keep + above;
         self.below = self.below * keep + below;
     }
 
     /// The ratio; nothing where nothing was fed.
-    pub fn get(&self) -> Option<f64> {
+    pub(crate) fn get(&self) -> Option<f64> {
         (self.below > 0.0).then(|| self.above / self.below)
     }
 }
 
 /// A quantile of a stream of positive figures, followed by steps in proportion to itself (stochastic approximation).
 #[derive(Clone, Copy, Debug)]
-pub struct Quantile(f64);
+pub(crate) struct Quantile(f64);
 
 impl Quantile {
     /// Starts from a guess.
-    pub fn new(guess: f64) -> Quantile {
+    pub(crate) fn new(guess: f64) -> Quantile {
         Quantile(guess)
     }
 
     /// Takes in one figure: below the quantile lies `part` of them, and one moves it by `step` of itself at most.
-    pub fn feed(&mut self, figure: f64, part: f64, step: f64) {
+    pub(crate) fn feed(&mut self, figure: f64, part: f64, step: f64) {
         self.0 *= 1.0 + step * if figure < self.0 { part - 1.0 } else { part };
     }
 
     /// The quantile.
-    pub fn get(&self) -> f64 {
+    pub(crate) fn get(&self) -> f64 {
         self.0
     }
 }
--- a/src/net/control/backoff.rs
+++ b/src/net/control/backoff.rs
@@ -24,7 +24,7 @@
 const LEAST_PART: u32 = 4;
 
 /// Pauses between calls to a service that other front doors call too.
-pub struct Backoff {
+pub(crate) struct Backoff {
     gateways: Rc<Cell<u32>>,
     turned_away: u32,
     rng: Pcg32,
@@ -32,7 +32,7 @@
 
 impl Backoff {
     /// For one of `gateways` front doors; `seed` is its only source of chance.
-    pub fn new(gateways: u32, seed: u64) -> Backoff {
+    pub(crate) fn new(gateways: u32, seed: u64) -> Backoff {
         Backoff {
             gateways: Rc::new(Cell::new(gateways)),
             turned_away: 0,
@@ -41,19 +41,19 @@
     }
 
     /// How many front doors it reckons with: whoever learns better may change it.
-    pub fn gateways(&self) -> Rc<Cell<u32>> {
+    pub(crate) fn gateways(&self) -> Rc<Cell<u32>> {
         self.gateways.clone()
     }
 
     /// The pause after a call or a connection that was lost. It is short: what the service has to tell counts as
     /// told while it is not asked.
-    pub fn lost(&mut self) -> Duration {
+    pub(crate) fn lost(&mut self) -> Duration {
         self.draw(SOON)
     }
 
     /// The pause after a call that was turned away for too many others: `longest` at most, unless that is too short to
     /// be out of step with others. The window is cut to it, not the pause: pauses that are cut would end in step.
-    pub fn turned_away(&mut self, longest: Duration) -> Duration {
+    pub(crate) fn turned_away(&mut self, longest: Duration) -> Duration {
         let grown = self
             .first()
             .saturating_mul(1 << self.turned_away.min(16))
@@ -64,7 +64,7 @@
     }
 
     /// The service has answered.
-    pub fn answered(&mut self) {
+    pub(crate) fn answered(&mut self) {
         self.turned_away = 0;
     }
 
--- a/src/net/control/config.rs
+++ b/src/net/control/config.rs
@@ -12,7 +12,7 @@
 
 /// Why a configuration cannot be used; each is one plain line.
 #[derive(Debug, thiserror::Error)]
-pub enum ConfigError {
+pub(crate) enum ConfigError {
     /// The variable that names the file is not set.
     #[error("BALANCER_CONFIG is not set")]
     Missing,
@@ -50,7 +50,7 @@
 
 impl ConfigError {
     /// The exit code of a start that ends with it.
-    pub fn code(&self) -> u8 {
+    pub(crate) fn code(&self) -> u8 {
         if matches!(self, ConfigError::Fleet(_)) {
             2
         } else {
@@ -61,7 +61,7 @@
 
 /// Limits of the machine that bear on how the front door is built.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Limits {
+pub(crate) struct Limits {
     /// File descriptors that the process may hold.
     pub sockets: usize,
     /// Memory that the process may take.
@@ -96,7 +96,7 @@
 
 /// What a front door goes by.
 #[derive(Debug)]
-pub struct Config {
+pub(crate) struct Config {
     /// Its name, for its log.
     pub name: String,
     /// Where clients connect.
@@ -124,7 +124,7 @@
 
 impl Config {
     /// Reads the variables and the file. A variable goes before the file's own entry.
-    pub fn from_env() -> Result<Config, ConfigError> {
+    pub(crate) fn from_env() -> Result<Config, ConfigError> {
         let file = File::read()?;
         let told_or =
             |name: &str, otherwise: &str| std::env::var(name).unwrap_or(otherwise.to_owned());
@@ -148,7 +148,7 @@
     }
 
     /// Descriptors that are left for clients and backends beside those of the fleet layer.
-    pub fn sockets(&self) -> usize {
+    pub(crate) fn sockets(&self) -> usize {
         self.limits
             .sockets
             .saturating_sub(self.fleet.as_ref().map_or(0, FleetSection::descriptors))
@@ -157,7 +157,7 @@
     /// Where discovery answers from now on, by a file that was replaced while the program runs. The file goes
     /// before the variable here: a variable cannot change in a running process, so it tells the old address.
     /// The whole file must be usable.
-    pub fn told_discovery() -> Result<SocketAddr, ConfigError> {
+    pub(crate) fn told_discovery() -> Result<SocketAddr, ConfigError> {
         let file = File::read()?;
         file.check()?;
         file.fleet(&std::env::var("BALANCER_NAME").unwrap_or(file.name.clone()))?;
--- a/src/net/control/discovery.rs
+++ b/src/net/control/discovery.rs
@@ -21,7 +21,7 @@
 use tokio::time::{timeout_at, Instant};
 
 #[cfg(test)]
-pub use deadline::LONGEST_PAUSE;
+pub(crate) use deadline::LONGEST_PAUSE;
 
 /// Longest object that is taken in.
 const LONGEST_OBJECT: usize = 4 << 20;
@@ -31,7 +31,7 @@
 
 /// How a list came to be known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
+pub(crate) enum News {
     /// An earlier life of this front door had it.
     Cached,
     /// Discovery tells it.
@@ -41,7 +41,7 @@
 }
 
 /// Whoever goes by the list.
-pub trait Roster {
+pub(crate) trait Roster {
     /// Takes in a list of backends or its changes.
     fn list_changed(&self, members: &Members, news: News);
 }
@@ -116,7 +116,7 @@
 
 /// Follows discovery for as long as the front door runs, from the list that it last had. When `agent` tells
 /// another address, the old watch is left at once and resumed there.
-pub async fn follow(
+pub(crate) async fn follow(
     roster: Rc<dyn Roster>,
     mut agent: watch::Receiver<SocketAddr>,
     known: Option<Members>,
--- a/src/net/control/discovery/deadline.rs
+++ b/src/net/control/discovery/deadline.rs
@@ -18,7 +18,7 @@
 /// Discovery says something every 2 s. A watch that has missed two of these, and a little for the way, has lost its other
 /// end: what it misses counts as told 6 s after it fell silent, so the third may not be waited for. A whole fleet that finds
 /// its agents silent opens a watch each in this time, and each at its own.
-pub const SILENCE: Duration = Duration::from_millis(4250);
+pub(super) const SILENCE: Duration = Duration::from_millis(4250);
 /// What discovery has is to be in force so long after it had it and could be reached.
 const IN_FORCE: Duration = Duration::from_secs(6);
 /// The same after a new configuration that may have moved discovery.
@@ -31,11 +31,11 @@
 /// pause stay below [`IN_FORCE`].
 const SLOW_ANSWER: Duration = Duration::from_millis(2800);
 /// The longest pause after a refused call: one that was refused at once, with time for one answer left.
-pub const LONGEST_PAUSE: Duration = IN_FORCE.saturating_sub(MARGIN).saturating_sub(ANSWER);
+pub(crate) const LONGEST_PAUSE: Duration = IN_FORCE.saturating_sub(MARGIN).saturating_sub(ANSWER);
 
 /// How a call or the watch that it opened ended, as far as time goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lapse {
+pub(super) enum Lapse {
     /// The watch or the list ended, and nothing can have been missed before.
     Closed,
     /// An answer began and fell silent.
@@ -50,7 +50,7 @@
 
 /// When what discovery may have has to be in force.
 #[derive(Debug, Default)]
-pub struct Deadline {
+pub(super) struct Deadline {
     /// Of what came before the present call; a refused call uses it up, and the next one counts from its own beginning.
     due: Option<Instant>,
     unanswered: bool,
@@ -58,7 +58,7 @@
 
 impl Deadline {
     /// Time for the dial and the head of the next call's answer.
-    pub fn patience(&self) -> Duration {
+    pub(super) fn patience(&self) -> Duration {
         if self.unanswered {
             SLOW_ANSWER
         } else {
@@ -67,7 +67,7 @@
     }
 
     /// Discovery may be elsewhere from now on.
-    pub fn moved(&mut self) {
+    pub(super) fn moved(&mut self) {
         *self = Deadline {
             due: Some(Instant::now() + IN_FORCE_ELSEWHERE),
             unanswered: false,
@@ -76,7 +76,7 @@
 
     /// A call that began at `begun` has ended. Tells the longest pause that leaves time for an answer after it; nothing is
     /// left where the time is up.
-    pub fn ended(&mut self, begun: Instant, lapse: Lapse) -> Duration {
+    pub(super) fn ended(&mut self, begun: Instant, lapse: Lapse) -> Duration {
         let now = Instant::now();
         let due = match lapse {
             Lapse::Closed => now + IN_FORCE,
--- a/src/net/control/endpoint_list.rs
+++ b/src/net/control/endpoint_list.rs
@@ -5,7 +5,7 @@
 
 /// A list of backends, or what changed in it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Members {
+pub(crate) struct Members {
     /// Its version.
     pub seq: u64,
     /// Whether it is the whole list.
@@ -16,7 +16,7 @@
 
 /// One entry of the list.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Member {
+pub(crate) struct Member {
     /// Its name, the same at every front door.
     pub host: String,
     /// Where it listens.
@@ -40,7 +40,7 @@
 /// State of a backend in the list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Health {
+pub(crate) enum Health {
     /// May be sent to.
     Up,
     /// Finishing its work.
--- a/src/net/control/fleet_section.rs
+++ b/src/net/control/fleet_section.rs
@@ -11,7 +11,7 @@
 
 /// Why a `fleet` section cannot be used; each is one plain line that names the key.
 #[derive(Debug, thiserror::Error)]
-pub enum SectionError {
+pub(crate) enum SectionError {
     /// It does not have the keys and types that it should.
     #[error("fleet: {0}")]
     Malformed(#[from] serde_json::Error),
@@ -57,7 +57,7 @@
 /// What is paced by how many front doors seem present.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Pace {
+pub(crate) struct Pace {
     /// Calls for the list of backends that were turned away.
     pub discovery: bool,
     /// Dials to backends; never for fewer front doors than the settings tell.
@@ -130,7 +130,7 @@
 
 /// What a front door is told of its fleet.
 #[derive(Clone, Debug)]
-pub struct FleetSection {
+pub(crate) struct FleetSection {
     /// Its own name among the others.
     pub own: String,
     /// The fleet's name: frames of another fleet are foreign.
@@ -169,13 +169,13 @@
 
 impl FleetSection {
     /// Reads and checks the section of the front door called `own`.
-    pub fn parse(value: &Value, own: &str) -> Result<FleetSection, SectionError> {
+    pub(crate) fn parse(value: &Value, own: &str) -> Result<FleetSection, SectionError> {
         let raw: Raw = serde_json::from_value(value.clone())?;
         raw.check(own)
     }
 
     /// Descriptors that the fleet layer may hold: its links, both listeners, and one dial in passing.
-    pub fn descriptors(&self) -> usize {
+    pub(crate) fn descriptors(&self) -> usize {
         self.links + self.accepted + OTHER_DESCRIPTORS
     }
 }
--- a/src/net/control/handover.rs
+++ b/src/net/control/handover.rs
@@ -24,7 +24,7 @@
 
 /// What is known of one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Known {
+pub(crate) struct Known {
     /// When its client stops waiting.
     pub end: Millis,
     /// Whether an attempt of it that must not be repeated may have run.
@@ -32,7 +32,7 @@
 }
 
 /// The file, and the requests that it tells of.
-pub struct Handover {
+pub(crate) struct Handover {
     path: PathBuf,
     /// None while the disk takes nothing; then a new one is tried at `again`.
     file: Option<File>,
@@ -47,7 +47,7 @@
 
 impl Handover {
     /// Reads what a predecessor left and begins the file anew. No time of a request may lie more than `most` ahead.
-    pub fn open(path: PathBuf, clock: Clock, most: Millis) -> io::Result<Handover> {
+    pub(crate) fn open(path: PathBuf, clock: Clock, most: Millis) -> io::Result<Handover> {
         let now = clock.now();
         let text = match std::fs::read(&path) {
             Ok(bytes) => String::from_utf8_lossy(&bytes).into_owned(),
@@ -82,17 +82,17 @@
     }
 
     /// What the process before this one left of a request.
-    pub fn before(&self, id: &str) -> Option<Known> {
+    pub(crate) fn before(&self, id: &str) -> Option<Known> {
         self.before.get(id).copied()
     }
 
     /// A request has been taken.
-    pub fn taken(&mut self, id: &Rc<str>, end: Millis) {
+    pub(crate) fn taken(&mut self, id: &Rc<str>, end: Millis) {
         self.note(id, Known { end, ran: false });
     }
 
     /// An attempt of a request that must not be repeated goes out: from here on it may have run.
-    pub fn sent(&mut self, id: &Rc<str>, end: Millis) {
+    pub(crate) fn sent(&mut self, id: &Rc<str>, end: Millis) {
         if self.own.get(id).is_none_or(|known| !known.ran) {
             self.note(id, Known { end, ran: true });
         }
--- a/src/net/control/mod.rs
+++ b/src/net/control/mod.rs
@@ -1,8 +1,8 @@
 //! The control side: the endpoint list, configuration, and what a successor process has to know.
 
-pub mod backoff;
-pub mod config;
-pub mod discovery;
-pub mod endpoint_list;
-pub mod fleet_section;
-pub mod handover;
+pub(super) mod backoff;
+pub(super) mod config;
+pub(super) mod discovery;
+pub(super) mod endpoint_list;
+pub(super) mod fleet_section;
+pub(super) mod handover;
--- a/src/net/downstream/connections.rs
+++ b/src/net/downstream/connections.rs
@@ -61,7 +61,7 @@
 const AHEAD_READS: usize = 64;
 
 /// Whoever decides on requests.
-pub trait Desk {
+pub(crate) trait Desk {
     /// Whether there is a list to serve from.
     fn ready(&self) -> bool;
     /// Takes a request in; `None` if one with its id has come before.
@@ -87,7 +87,7 @@
 }
 
 /// The clients' side of a front door.
-pub struct Clients {
+pub(crate) struct Clients {
     desk: Rc<dyn Desk>,
     site: Rc<Site>,
     most: usize,
@@ -102,7 +102,7 @@
 
 impl Clients {
     /// The clients' side of `desk` within `sockets` descriptors for all.
-    pub fn new(desk: Rc<dyn Desk>, site: Rc<Site>, sockets: usize) -> Rc<Clients> {
+    pub(crate) fn new(desk: Rc<dyn Desk>, site: Rc<Site>, sockets: usize) -> Rc<Clients> {
         Rc::new(Clients {
             desk,
             site,
@@ -116,7 +116,7 @@
     }
 
     /// Accepts connections for as long as the front door runs.
-    pub async fn accept(self: Rc<Self>, listener: TcpListener) {
+    pub(crate) async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
@@ -162,7 +162,7 @@
     }
 
     /// Closes what has had its time, for as long as the front door runs.
-    pub async fn sweep(self: Rc<Self>) {
+    pub(crate) async fn sweep(self: Rc<Self>) {
         loop {
             let due = self.site.clock.now() + SWEEP.as_secs_f64() * 1000.0;
             self.site.lag.expect(due);
@@ -224,7 +224,7 @@
     }
 
     /// The planned stop: goes on accepting, answers what has come, and returns when all is answered.
-    pub async fn stop(&self) {
+    pub(crate) async fn stop(&self) {
         let longest = Duration::try_from_secs_f64(self.site.longest() / 1000.0)
             .unwrap_or_default()
             .min(COUNTED);
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -1,4 +1,4 @@
 //! Connections of clients and the requests read from them.
 
-pub mod connections;
-pub mod request;
+pub(super) mod connections;
+pub(super) mod request;
--- a/src/net/downstream/request.rs
+++ b/src/net/downstream/request.rs
@@ -27,7 +27,7 @@
 
 /// Why a request is turned down unread by the decisions.
 #[derive(Debug, thiserror::Error)]
-pub enum Bad {
+pub(crate) enum Bad {
     /// A header is missing, repeated or not what it should be.
     #[error("{0} is missing, repeated or cannot be read")]
     Header(HeaderName),
@@ -65,7 +65,7 @@
 
 impl Bad {
     /// What the client is answered.
-    pub fn status(&self) -> StatusCode {
+    pub(crate) fn status(&self) -> StatusCode {
         match self {
             Bad::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
             Bad::Unmeasured => StatusCode::LENGTH_REQUIRED,
@@ -77,7 +77,7 @@
 }
 
 /// Reads the head of a request of `client`'s whose first byte came at `first`.
-pub fn read_head(
+pub(crate) fn read_head(
     site: &Site,
     head: &Parts,
     first: Millis,
@@ -260,7 +260,7 @@
 }
 
 /// Reads a body that has to be there by `end`.
-pub async fn read_body(
+pub(crate) async fn read_body(
     body: IncomingBody,
     method: &Method,
     end: tokio::time::Instant,
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -162,7 +162,7 @@
 }
 
 /// A front door's driver.
-pub struct Door {
+pub(super) struct Door {
     /// What it stands on.
     pub site: Rc<Site>,
     /// Itself, for what it sets going.
@@ -189,7 +189,7 @@
 
 impl Door {
     /// A front door with an empty list of backends.
-    pub fn new(config: &Config, woken: Woken) -> Result<Rc<Door>, String> {
+    pub(super) fn new(config: &Config, woken: Woken) -> Result<Rc<Door>, String> {
         let told = &config.told;
         let (clock, doors) = (Clock::skewed(config.clock), told.settings.gateways);
         let room = capacity::budget(config.sockets(), config.limits.memory_mb << 20);
@@ -303,7 +303,7 @@
             } => self.answer(request, Answer::Refused(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
             Action::CallOff { request, attempt } => {
-                self.settle(request, attempt, Ended::of(Outcome::Cancelled))
+                self.settle(request, attempt, Ended::of(Outcome::Cancelled));
             }
             Action::SetAlarm { at, alarm } => self.set_timer(at, Due::Alarm(alarm)),
             Action::CloseIdle(backend) => self.pools.close_idle(backend),
@@ -468,7 +468,7 @@
     }
 
     /// Fires what comes due, for as long as the front door runs.
-    pub async fn keep_time(self: Rc<Self>) {
+    pub(super) async fn keep_time(self: Rc<Self>) {
         loop {
             let now = self.site.clock.now();
             let next = {
@@ -579,17 +579,17 @@
     }
 
     /// Paces dials for a fleet of so many front doors: never for fewer than the settings tell, as cold backends hang on it.
-    pub fn fleet_of(&self, doors: u32) {
+    pub(super) fn fleet_of(&self, doors: u32) {
         self.pools.fleet_of(doors.max(self.site.settings.gateways));
     }
 
     /// Tells the module how many front doors seem present, for its trials of ejected backends.
-    pub fn present(&self, doors: u32) {
+    pub(super) fn present(&self, doors: u32) {
         self.post(self.site.clock.now(), Event::Present(doors));
     }
 
     /// Disposes of idle connections before backends do, for as long as the front door runs.
-    pub async fn tidy(self: Rc<Self>) {
+    pub(super) async fn tidy(self: Rc<Self>) {
         self.pools.tidy().await;
     }
 }
--- a/src/net/fleet/frame.rs
+++ b/src/net/fleet/frame.rs
@@ -24,9 +24,9 @@
 use tokio_util::codec::Decoder;
 
 /// The version that is spoken.
-pub const VERSION: u16 = 1;
+pub(super) const VERSION: u16 = 1;
 /// Bytes of a header.
-pub const HEADER_LENGTH: usize = 24;
+pub(super) const HEADER_LENGTH: usize = 24;
 /// Where in the header the version, the kind and the checksum stand.
 const VERSION_AT: usize = 2;
 const KIND_AT: usize = 4;
@@ -37,7 +37,7 @@
 /// What a frame is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u16)]
-pub enum FrameKind {
+pub(super) enum FrameKind {
     /// Who somebody is: the first frame each way.
     Hello = 1,
     /// A sign of life on a connection without other traffic.
@@ -64,7 +64,7 @@
 
 /// Why bytes are no frame for this front door.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum FrameError {
+pub(super) enum FrameError {
     /// It does not begin with the magic bytes.
     #[error("no frame")]
     Magic,
@@ -87,7 +87,7 @@
 
 /// Encodes the frames of one fleet and generation, and decodes those that carry the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FrameCodec {
+pub(super) struct FrameCodec {
     fleet: u32,
     generation: u32,
     max_body: usize,
@@ -95,7 +95,7 @@
 
 /// A frame that was found whole.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Frame {
+pub(super) struct Frame {
     /// The sender's version.
     pub version: u16,
     /// What it is about; `None` if nobody here knows.
@@ -105,7 +105,7 @@
 
 impl FrameCodec {
     /// The codec of a fleet, for bodies up to `max_body` bytes.
-    pub fn new(fleet: &str, generation: u32, max_body: usize) -> FrameCodec {
+    pub(super) fn new(fleet: &str, generation: u32, max_body: usize) -> FrameCodec {
         FrameCodec {
             fleet: crc32c::crc32c(fleet.as_bytes()),
             generation,
@@ -114,7 +114,7 @@
     }
 
     /// A frame round a body; `None` if that is too long.
-    pub fn encode(&self, kind: FrameKind, body: &[u8]) -> Option<Bytes> {
+    pub(super) fn encode(&self, kind: FrameKind, body: &[u8]) -> Option<Bytes> {
         self.encode_as(VERSION, kind as u16, body)
     }
 
@@ -182,7 +182,7 @@
     }
 
     /// The frame that a datagram holds.
-    pub fn decode_datagram(&self, bytes: &[u8]) -> Result<Frame, FrameError> {
+    pub(super) fn decode_datagram(&self, bytes: &[u8]) -> Result<Frame, FrameError> {
         if bytes.len() < HEADER_LENGTH {
             return Err(FrameError::Magic);
         }
@@ -195,12 +195,12 @@
 
 impl Frame {
     /// The body as it came.
-    pub fn body(&self) -> &[u8] {
+    pub(super) fn body(&self) -> &[u8] {
         &self.body
     }
 
     /// The body as a value, by the rule on versions; `None` if it is none.
-    pub fn decode_body<T: DeserializeOwned>(&self) -> Option<T> {
+    pub(super) fn decode_body<T: DeserializeOwned>(&self) -> Option<T> {
         if self.version < VERSION {
             let padded = [&self.body[..], &ABSENT_FIELDS].concat();
             return postcard::take_from_bytes(&padded)
@@ -213,14 +213,14 @@
 }
 
 /// A value as a body.
-pub fn encode_body(value: &impl Serialize) -> Vec<u8> {
+pub(super) fn encode_body(value: &impl Serialize) -> Vec<u8> {
     // A plain value in memory can always be written.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
 /// Why a connection carries no more frames.
 #[derive(Debug, thiserror::Error)]
-pub enum ConnectionError {
+pub(super) enum ConnectionError {
     /// What came is no frame.
     #[error("{0}")]
     Frame(#[from] FrameError),
--- a/src/net/fleet/membership.rs
+++ b/src/net/fleet/membership.rs
@@ -20,7 +20,7 @@
 
 /// What is new with each start.
 #[derive(Clone, Copy, Debug)]
-pub struct Start {
+pub(super) struct Start {
     /// Front doors by the settings.
     pub configured_size: u32,
     /// Drawn: tells this process from all others under its name.
@@ -30,7 +30,7 @@
 }
 
 /// Who seems present, as far as sockets tell.
-pub struct MembershipService {
+pub(super) struct MembershipService {
     membership: RefCell<Membership>,
     socket: UdpSocket,
     transport: Rc<Transport>,
@@ -43,7 +43,7 @@
 
 impl MembershipService {
     /// Begins to look for the others.
-    pub fn new(
+    pub(super) fn new(
         section: &FleetSection,
         socket: UdpSocket,
         transport: Rc<Transport>,
@@ -83,7 +83,7 @@
     }
 
     /// Reads datagrams and fires timers for as long as the front door runs.
-    pub async fn run(self: Rc<Self>) {
+    pub(super) async fn run(self: Rc<Self>) {
         let mut buffer = vec![0; LONGEST_DATAGRAM];
         loop {
             let next = self.membership.borrow().next();
@@ -128,7 +128,7 @@
     }
 
     /// Takes in a peer's part of a comparison.
-    pub fn receive_comparison(&self, from: &str, bytes: &[u8]) {
+    pub(super) fn receive_comparison(&self, from: &str, bytes: &[u8]) {
         let (effects, reply) = self
             .membership
             .borrow_mut()
@@ -212,20 +212,20 @@
     }
 
     /// Lets the others know how busy this one is.
-    pub fn report_load(&self, load: u16) {
+    pub(super) fn report_load(&self, load: u16) {
         self.membership
             .borrow_mut()
             .report_load(self.clock.now(), load);
     }
 
     /// Tells the others that this one goes.
-    pub fn leave(&self) {
+    pub(super) fn leave(&self) {
         let effects = self.membership.borrow_mut().leave(self.clock.now());
         self.apply(effects);
     }
 
     /// The view and the counters, for the log.
-    pub fn status(&self) -> serde_json::Value {
+    pub(super) fn status(&self) -> serde_json::Value {
         let membership = self.membership.borrow();
         let view = membership.view();
         json!({
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -29,7 +29,7 @@
 }
 
 /// The fleet as its front door knows it.
-pub struct Fleet {
+pub(super) struct Fleet {
     section: FleetSection,
     transport: Rc<Transport>,
     membership: Option<Rc<MembershipService>>,
@@ -40,7 +40,7 @@
     /// Listens for the others and begins to look for them. `configured_size` is the fleet's size by the settings; `seed` is
     /// new with each start; `load` returns how busy it is, in parts of a thousand; `on_size` is called with how many front
     /// doors there seem to be.
-    pub async fn start(
+    pub(super) async fn start(
         section: FleetSection,
         clock: Clock,
         configured_size: u32,
@@ -107,7 +107,7 @@
     }
 
     /// Tells the others that this one goes: a planned stop begins.
-    pub fn leave(&self) {
+    pub(super) fn leave(&self) {
         if let Some(membership) = &self.membership {
             membership.leave();
         }
--- a/src/net/fleet/outbox.rs
+++ b/src/net/fleet/outbox.rs
@@ -5,7 +5,7 @@
 
 /// How urgent a frame is: a lane goes out only while those before it are empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lane {
+pub(super) enum Lane {
     /// Messages of the record's consensus.
     #[allow(dead_code, reason = "the record is its user")]
     Consensus,
@@ -18,11 +18,11 @@
 
 /// There is no room in a lane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full;
+pub(super) struct Full;
 
 /// Frames on their way to one peer.
 #[derive(Debug)]
-pub struct Outbox {
+pub(super) struct Outbox {
     lanes: [VecDeque<Bytes>; 3],
     bytes: [usize; 3],
     /// Bytes in each lane at most.
@@ -33,7 +33,7 @@
 
 impl Outbox {
     /// An empty one with room for `limit` bytes in each lane.
-    pub fn new(limit: usize) -> Outbox {
+    pub(super) fn new(limit: usize) -> Outbox {
         Outbox {
             lanes: Default::default(),
             bytes: [0; 3],
@@ -43,7 +43,7 @@
     }
 
     /// Puts a frame at the end of its lane.
-    pub fn push(&mut self, lane: Lane, frame: Bytes) -> Result<(), Full> {
+    pub(super) fn push(&mut self, lane: Lane, frame: Bytes) -> Result<(), Full> {
         let (at, limit) = (lane as usize, self.limit);
         if frame.len() > limit {
             return Err(Full);
@@ -64,7 +64,7 @@
     }
 
     /// Takes the frame that goes next.
-    pub fn pop(&mut self) -> Option<Bytes> {
+    pub(super) fn pop(&mut self) -> Option<Bytes> {
         let at = self.lanes.iter().position(|lane| !lane.is_empty())?;
         let frame = self.lanes[at].pop_front()?;
         self.bytes[at] -= frame.len();
@@ -72,12 +72,12 @@
     }
 
     /// Whether nothing waits.
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.lanes.iter().all(VecDeque::is_empty)
     }
 
     /// Forgets all that waits: what is told to nobody for too long is old.
-    pub fn clear(&mut self) {
+    pub(super) fn clear(&mut self) {
         (self.lanes, self.bytes) = Default::default();
     }
 }
--- a/src/net/fleet/transport.rs
+++ b/src/net/fleet/transport.rs
@@ -31,7 +31,7 @@
 type FrameHandler = dyn Fn(&str, &Frame);
 
 /// Sends frames to peers, and hands on those that come from them.
-pub struct Transport {
+pub(super) struct Transport {
     section: FleetSection,
     /// Encodes and decodes the frames of this fleet.
     pub codec: FrameCodec,
@@ -46,7 +46,7 @@
 
 impl Transport {
     /// The transport of a front door whose process is told from others under its name by `life`.
-    pub fn new(section: FleetSection, life: u64) -> Rc<Transport> {
+    pub(super) fn new(section: FleetSection, life: u64) -> Rc<Transport> {
         let codec = FrameCodec::new(&section.fleet, section.generation, section.frame_bytes);
         Rc::new(Transport {
             section,
@@ -61,12 +61,12 @@
     }
 
     /// Sets what is called with each frame that comes and its sender.
-    pub fn set_handler(&self, handler: Rc<FrameHandler>) {
+    pub(super) fn set_handler(&self, handler: Rc<FrameHandler>) {
         *self.handler.borrow_mut() = Some(handler);
     }
 
     /// Links that are up: those dialled here, and the others.
-    pub fn link_counts(&self) -> (usize, usize) {
+    pub(super) fn link_counts(&self) -> (usize, usize) {
         let peers = self.peers.borrow();
         let dialled: Vec<bool> = peers
             .values()
@@ -77,13 +77,13 @@
     }
 
     /// Where to reach somebody: the configured address goes before the advertised one.
-    pub fn address(&self, name: &str, advertised: Option<SocketAddr>) -> Option<SocketAddr> {
+    pub(super) fn address(&self, name: &str, advertised: Option<SocketAddr>) -> Option<SocketAddr> {
         self.section.peers.get(name).copied().or(advertised)
     }
 
     /// Sends a frame to a peer: on the link that is there, or on one that is dialled for it, at the configured address or
     /// else at `address`. Refused are frames beyond the limits, and those for a peer without an address.
-    pub fn send(
+    pub(super) fn send(
         self: &Rc<Self>,
         to: &str,
         address: Option<SocketAddr>,
--- a/src/net/fleet/transport/counters.rs
+++ b/src/net/fleet/transport/counters.rs
@@ -5,7 +5,7 @@
 
 /// What went by and what was turned away.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Counters {
+pub(crate) struct Counters {
     /// Dials that were begun.
     pub dials: u64,
     /// Dials that gave no link.
@@ -42,7 +42,7 @@
 
 impl Counters {
     /// Notes why something was turned away.
-    pub fn record_rejected(&mut self, why: FrameError) {
+    pub(crate) fn record_rejected(&mut self, why: FrameError) {
         *match why {
             FrameError::Magic => &mut self.mark,
             FrameError::Checksum => &mut self.checksum,
--- a/src/net/fleet/transport/listener.rs
+++ b/src/net/fleet/transport/listener.rs
@@ -11,7 +11,7 @@
 
 impl Transport {
     /// Accepts connections for as long as the front door runs.
-    pub async fn accept(self: Rc<Self>, listener: TcpListener) {
+    pub(crate) async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) if self.accepted.get() < self.section.accepted => {
--- a/src/net/fleet/transport/tests.rs
+++ b/src/net/fleet/transport/tests.rs
@@ -35,7 +35,7 @@
     transport.set_handler(Rc::new(move |from, frame| {
         taken
             .borrow_mut()
-            .push((from.to_owned(), frame.body().len()))
+            .push((from.to_owned(), frame.body().len()));
     }));
     tokio::task::spawn_local(transport.clone().accept(listener));
     (transport, at, came)
@@ -111,7 +111,7 @@
             .encode(FrameKind::Compare, &[0; 1000])
             .expect("it fits");
         let before = here.counters.borrow().silent;
-        for byte in frame.iter() {
+        for byte in &frame {
             // It writes for as long as it may; what it writes is never a whole frame in time.
             if dribbles.write_all(&[*byte]).await.is_err() {
                 break;
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -10,20 +10,20 @@
 use std::rc::Rc;
 
 /// Longest body of a request, and of an answer that is taken in without asking for room.
-pub const LONGEST_BODY: usize = 64 * 1024;
+pub(super) const LONGEST_BODY: usize = 64 * 1024;
 /// Bytes that a connection buffers at most; a longer head is answered 431.
-pub const BUFFER: usize = 32 * 1024;
+pub(super) const BUFFER: usize = 32 * 1024;
 
 /// The id of a request.
-pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
+pub(super) const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
 /// How long whoever sends it waits for the answer, in seconds.
-pub const REQUEST_TIMEOUT: HeaderName = HeaderName::from_static("request-timeout");
+pub(super) const REQUEST_TIMEOUT: HeaderName = HeaderName::from_static("request-timeout");
 /// The key by which repeats are known.
-pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
+pub(super) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// A client's request, read whole and found well formed.
 #[derive(Debug)]
-pub struct Incoming {
+pub(super) struct Incoming {
     /// When its last byte came.
     pub at: Millis,
     /// Its time.
@@ -45,14 +45,14 @@
 }
 
 /// Whoever waits for an answer.
-pub trait Presence: std::fmt::Debug {
+pub(super) trait Presence: std::fmt::Debug {
     /// Whether it has left, as far as the system knows by now: what is sent on after that works for nobody.
     fn left(&self) -> bool;
 }
 
 /// What goes on to a backend, the same with every attempt.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub(super) struct Order {
     /// Who asked.
     pub client: Rc<dyn Presence>,
     /// The id on the wire.
@@ -75,7 +75,7 @@
 
 impl Order {
     /// The request as it is written to a backend that is told what time is left.
-    pub fn request(&self, told: &str) -> Request<Full<Bytes>> {
+    pub(super) fn request(&self, told: &str) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
@@ -97,7 +97,7 @@
 
 /// How an attempt ended and what its answer told.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub(super) struct Ended {
     /// The outcome.
     pub outcome: Outcome,
     /// The whole body of a good answer.
@@ -114,7 +114,7 @@
 
 impl Ended {
     /// An end without an answer.
-    pub fn of(outcome: Outcome) -> Ended {
+    pub(super) fn of(outcome: Outcome) -> Ended {
         Ended {
             outcome,
             body: Bytes::new(),
@@ -128,7 +128,7 @@
 
 /// The one final answer of a request.
 #[derive(Debug)]
-pub enum Answer {
+pub(super) enum Answer {
     /// A backend's answer.
     Served(Bytes),
     /// Trying again is harmless; when, if advised.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,7 @@
 //! The front door on real sockets: the parts round the decision module and how they start and stop.
 
 // Each imports only what stands above it here, and the driver alone knows both sides.
-pub mod runtime;
+pub(crate) mod runtime;
 
 mod control;
 mod messages;
@@ -25,7 +25,7 @@
 
 /// Why a front door did not start, and the exit code that tells it.
 #[derive(Debug)]
-pub struct Stopped {
+pub(crate) struct Stopped {
     /// The exit code.
     pub code: u8,
     /// One plain line.
@@ -39,7 +39,7 @@
 }
 
 /// Serves until a SIGTERM has been carried out.
-pub async fn run(woken: Woken) -> Result<(), Stopped> {
+pub(crate) async fn run(woken: Woken) -> Result<(), Stopped> {
     let no_signals = |error| format!("no signals: {error}");
     // Before anything else: until they are caught, both end the process.
     let mut reload = signal(SignalKind::hangup()).map_err(no_signals)?;
--- a/src/net/runtime/budget.rs
+++ b/src/net/runtime/budget.rs
@@ -15,14 +15,14 @@
 
 /// The time that a request has, fixed once. Copies of it are the same budget: two attempts of one request end together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub(crate) struct Budget {
     end: Millis,
 }
 
 impl Budget {
     /// The budget of a request whose first byte came at `began`, by the seconds that its client told; `None` if what was
     /// told is no time: not a number, nothing or less, or absurdly more than the `most` that its class allows.
-    pub fn told(seconds: &str, began: Millis, most: Millis) -> Option<Budget> {
+    pub(crate) fn told(seconds: &str, began: Millis, most: Millis) -> Option<Budget> {
         let told = 1000.0 * seconds.parse::<f64>().ok()?;
         let sane = told > 0.0 && told <= ABSURD * most;
         (sane && began.is_finite()).then(|| Budget {
@@ -31,29 +31,29 @@
     }
 
     /// When its client stops waiting.
-    pub fn end(&self) -> Millis {
+    pub(crate) fn end(&self) -> Millis {
         self.end
     }
 
     /// What is left of it; never less than nothing.
-    pub fn left(&self, now: Millis) -> Millis {
+    pub(crate) fn left(&self, now: Millis) -> Millis {
         (self.end - now).max(0.0)
     }
 
     /// Whether nothing is left of it.
-    pub fn over(&self, now: Millis) -> bool {
+    pub(crate) fn over(&self, now: Millis) -> bool {
         self.left(now) <= 0.0
     }
 
     /// The same budget, ending at `end` at the latest: with a planned stop, or with what a predecessor had granted.
-    pub fn until(&self, end: Millis) -> Budget {
+    pub(crate) fn until(&self, end: Millis) -> Budget {
         Budget {
             end: self.end.min(end),
         }
     }
 
     /// The part of it that an attempt begun now may take, `limit` at most; `None` if there is nothing left to take.
-    pub fn attempt(&self, now: Millis, limit: Option<Millis>) -> Option<Allowance> {
+    pub(crate) fn attempt(&self, now: Millis, limit: Option<Millis>) -> Option<Allowance> {
         let until = self.end.min(now + limit.unwrap_or(f64::INFINITY));
         (until > now).then_some(Allowance {
             until,
@@ -64,20 +64,20 @@
 
 /// The part of a budget that one attempt may take.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowance {
+pub(crate) struct Allowance {
     until: Millis,
     begin_before: Millis,
 }
 
 impl Allowance {
     /// When the attempt is given up.
-    pub fn until(&self) -> Millis {
+    pub(crate) fn until(&self) -> Millis {
         self.until
     }
 
     /// The same part for an attempt that may reach its backend only before `time`, if there is one: from then on the
     /// backends may have forgotten the key of an earlier attempt, and this one would run a second time.
-    pub fn begin_before(self, time: Option<Millis>) -> Allowance {
+    pub(crate) fn begin_before(self, time: Option<Millis>) -> Allowance {
         Allowance {
             begin_before: time.unwrap_or(f64::INFINITY),
             ..self
@@ -85,18 +85,18 @@
     }
 
     /// Whether the attempt may still reach its backend.
-    pub fn may_begin(&self, now: Millis) -> bool {
+    pub(crate) fn may_begin(&self, now: Millis) -> bool {
         now < self.begin_before
     }
 
     /// How long a wait for a connection may last that by itself might last `most`.
-    pub fn wait(&self, now: Millis, most: Millis) -> Millis {
+    pub(crate) fn wait(&self, now: Millis, most: Millis) -> Millis {
         (self.begin_before.min(self.until) - now).clamp(0.0, most.max(0.0))
     }
 
     /// What a backend is told that it has, in seconds: what is left, less the way its answer takes. One that ends its
     /// work just in time for a clock of its own would be late here. At least a millisecond: nothing would be misread.
-    pub fn told(&self, now: Millis, way_back: Millis) -> String {
+    pub(crate) fn told(&self, now: Millis, way_back: Millis) -> String {
         let left = self.until - now - way_back.max(0.0);
         // Cut, not rounded: nobody is told more than there is.
         format!("{:.3}", (left.max(1.0).floor()) / 1000.0)
@@ -115,14 +115,14 @@
 /// after one came after the waking before it. Written by the runtime's own hook; a note taken before a sleep would not do,
 /// as a pause may lie between that and the look.
 #[derive(Clone, Debug)]
-pub struct Woken {
+pub(crate) struct Woken {
     start: Instant,
     noted: Arc<[AtomicU64; 3]>,
 }
 
 impl Woken {
     /// A loop that has not slept yet.
-    pub fn new() -> Woken {
+    pub(crate) fn new() -> Woken {
         Woken {
             start: Instant::now(),
             noted: Arc::default(),
@@ -130,12 +130,12 @@
     }
 
     /// The instant from which it counts.
-    pub fn start(&self) -> Instant {
+    pub(crate) fn start(&self) -> Instant {
         self.start
     }
 
     /// The loop wakes now.
-    pub fn note(&self) {
+    pub(crate) fn note(&self) {
         self.woke(u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX));
     }
 
@@ -172,7 +172,7 @@
 /// What shows it is something that runs late. That is charged until the loop has slept once more: a signal that ends a
 /// pause may end the sleep too, and the bytes are seen by the next one.
 #[derive(Debug)]
-pub struct Lag {
+pub(crate) struct Lag {
     woken: Woken,
     /// Where the loop's start stands on the front door's clock.
     zero: Millis,
@@ -185,7 +185,7 @@
 
 impl Lag {
     /// Of a loop that wakes as `woken` tells; its start stands at `zero` on the front door's clock.
-    pub fn new(woken: Woken, zero: Millis) -> Lag {
+    pub(crate) fn new(woken: Woken, zero: Millis) -> Lag {
         let (held_up, worst) = (Cell::new(None), Cell::new(0.0));
         Lag {
             woken,
@@ -198,12 +198,12 @@
     }
 
     /// Something will run at `at`, unless the loop is held up.
-    pub fn expect(&self, at: Millis) {
+    pub(crate) fn expect(&self, at: Millis) {
         self.next.set(at);
     }
 
     /// Something that was due at `at` runs now.
-    pub fn ran(&self, at: Millis, now: Millis) {
+    pub(crate) fn ran(&self, at: Millis, now: Millis) {
         self.look(now);
         if now - at > TOLERANCE {
             self.late(now);
@@ -217,7 +217,7 @@
     }
 
     /// When bytes may have come that are read now.
-    pub fn came(&self, now: Millis) -> Millis {
+    pub(crate) fn came(&self, now: Millis) -> Millis {
         self.look(now);
         self.still(now)
             .map_or(now, |held_up| held_up.since.min(now))
@@ -253,7 +253,7 @@
     }
 
     /// The longest time for which the loop was held up since this was last asked, if it ever was.
-    pub fn take_worst(&self) -> Option<Millis> {
+    pub(crate) fn take_worst(&self) -> Option<Millis> {
         Some(self.worst.replace(0.0)).filter(|worst| *worst > 0.0)
     }
 }
--- a/src/net/runtime/capacity.rs
+++ b/src/net/runtime/capacity.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Pause when the system has no descriptor for a new connection.
-pub const NO_DESCRIPTOR: Duration = Duration::from_millis(10);
+pub(crate) const NO_DESCRIPTOR: Duration = Duration::from_millis(10);
 
 /// Descriptors kept for discovery, listening and the runtime.
 const SPARE_SOCKETS: usize = 24;
@@ -18,13 +18,13 @@
 }
 
 /// Connections to backends that there is room for, in descriptors and in `memory` bytes; a few at least.
-pub fn budget(sockets: usize, memory: usize) -> usize {
+pub(crate) fn budget(sockets: usize, memory: usize) -> usize {
     let within = memory / MEMORY_PART / (2 * BUFFER);
     descriptors(sockets).min(within.max(16))
 }
 
 /// Connections of clients that there is room for, besides: also of such that ask nothing.
-pub fn client_budget(sockets: usize) -> usize {
+pub(crate) fn client_budget(sockets: usize) -> usize {
     sockets.saturating_sub(SPARE_SOCKETS) - descriptors(sockets)
 }
 
--- a/src/net/runtime/clock.rs
+++ b/src/net/runtime/clock.rs
@@ -8,7 +8,7 @@
 /// A monotonic clock that reads as Unix milliseconds, so that start times of backends compare with it. The wall clock is
 /// read once: a step of it later moves no deadline.
 #[derive(Clone, Copy, Debug)]
-pub struct Clock {
+pub(crate) struct Clock {
     start: Instant,
     unix: Millis,
     /// What it shows in a second, ms: 1000, unless a test has it run fast or slow.
@@ -18,7 +18,7 @@
 /// How far off a clock is: a switch for tests, which stand for machines whose clocks are wrong.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Skew {
+pub(crate) struct Skew {
     /// How fast it runs; 1 is right.
     rate: f64,
     /// How far it is ahead at the start, ms.
@@ -36,7 +36,7 @@
 
 impl Skew {
     /// Whether a clock can run so.
-    pub fn sound(&self) -> bool {
+    pub(crate) fn sound(&self) -> bool {
         (0.1..=10.0).contains(&self.rate) && self.ahead_ms.is_finite()
     }
 }
@@ -44,12 +44,12 @@
 impl Clock {
     /// A clock that starts now and is right.
     #[cfg(test)]
-    pub fn new() -> Clock {
+    pub(crate) fn new() -> Clock {
         Clock::skewed(Skew::default())
     }
 
     /// A clock that starts now and is that far off.
-    pub fn skewed(skew: Skew) -> Clock {
+    pub(crate) fn skewed(skew: Skew) -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -61,18 +61,18 @@
     }
 
     /// The time now.
-    pub fn now(&self) -> Millis {
+    pub(crate) fn now(&self) -> Millis {
         self.unix + self.start.elapsed().as_secs_f64() * self.second
     }
 
     /// A time of the runtime's on this clock.
-    pub fn of(&self, instant: std::time::Instant) -> Millis {
+    pub(crate) fn of(&self, instant: std::time::Instant) -> Millis {
         let before = self.start.into_std().saturating_duration_since(instant);
         self.unix - before.as_secs_f64() * self.second
     }
 
     /// A time of this clock as the runtime counts it.
-    pub fn instant(&self, at: Millis) -> Instant {
+    pub(crate) fn instant(&self, at: Millis) -> Instant {
         let after = Duration::try_from_secs_f64((at - self.unix) / self.second).unwrap_or_default();
         self.start + after
     }
--- a/src/net/runtime/context.rs
+++ b/src/net/runtime/context.rs
@@ -6,7 +6,7 @@
 use cometspool::{Millis, Settings};
 
 /// The clock, how far the process was kept from running, and what the deployment told.
-pub struct Site {
+pub(crate) struct Site {
     /// The one clock.
     pub clock: Clock,
     /// Whether the process was kept from running.
@@ -19,7 +19,7 @@
 
 impl Site {
     /// A front door that was told this; its process began with `woken`.
-    pub fn new(told: &Told, woken: Woken, clock: Clock) -> Site {
+    pub(crate) fn new(told: &Told, woken: Woken, clock: Clock) -> Site {
         let since = clock.of(woken.start());
         let (settings, names) = (told.settings.clone(), told.names.clone());
         Site {
@@ -31,7 +31,7 @@
     }
 
     /// The longest that a client waits.
-    pub fn longest(&self) -> Millis {
+    pub(crate) fn longest(&self) -> Millis {
         self.settings
             .classes
             .iter()
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -1,6 +1,6 @@
 //! What every part stands on: the clock, stall detection, time budgets, and shares of descriptors and memory.
 
-pub mod budget;
-pub mod capacity;
-pub mod clock;
-pub mod context;
+pub(crate) mod budget;
+pub(crate) mod capacity;
+pub(crate) mod clock;
+pub(crate) mod context;
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -13,7 +13,7 @@
 
 /// What carries attempts to the backends.
 #[derive(Clone)]
-pub struct Transport {
+pub(crate) struct Transport {
     /// Connections to them.
     pub pools: Rc<Pools>,
     /// How their answers are read.
@@ -36,7 +36,7 @@
 
 /// Carries out one attempt within its part of the request's time and tells how it ended. Whoever set the part ends it: it is
 /// dropped when the part is over.
-pub async fn attempt(
+pub(crate) async fn attempt(
     transport: &Transport,
     backend: BackendId,
     order: &Order,
--- a/src/net/upstream/connection_pool.rs
+++ b/src/net/upstream/connection_pool.rs
@@ -17,19 +17,19 @@
 
 /// A link, as the driver numbers them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LinkId(pub u64);
+pub(crate) struct LinkId(pub u64);
 
 /// One that waits for a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub(crate) struct Ticket(pub u64);
 
 /// A dial, as it is begun: what comes of it is told under the same number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct DialId(pub u64);
+pub(crate) struct DialId(pub u64);
 
 /// What bounds the links, by the settings and the limits of the machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub(crate) struct Bounds {
     /// Links and dials that there may be at once, to all backends.
     pub budget: usize,
     /// A backend closes a link that has been idle this long.
@@ -53,7 +53,7 @@
 
 /// Something for the driver to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect<B> {
+pub(crate) enum Effect<B> {
     /// Dial a backend and tell how it went.
     Dial(B, DialId),
     /// One that waits has its link.
@@ -68,7 +68,7 @@
 
 /// Why one that waited has no link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub(crate) enum Why {
     /// The backend refuses, is silent or cannot be reached.
     Unreachable,
     /// It works and takes no further link, or takes it too slowly.
@@ -81,7 +81,7 @@
 
 /// What a request gets at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub(crate) enum Taken {
     /// A link that was idle for so many milliseconds.
     Kept(LinkId, u32),
     /// A place in the line; an effect tells more.
@@ -94,7 +94,7 @@
 const IDLE_PART: f64 = 0.6;
 /// A link is taken again rather after than before this time since its last answer: what a backend sends behind an
 /// answer has come by then. Where there is no other, it rests for what is left of this.
-pub const SETTLED: Millis = 3.0;
+pub(crate) const SETTLED: Millis = 3.0;
 /// Links that the whole fleet may hold at a backend before any need has been seen, and what each front door may hold of
 /// them at the least.
 const FLEET_SPARE: f64 = 64.0;
@@ -220,7 +220,7 @@
 }
 
 /// The links to all backends, which `B` names.
-pub struct Links<B> {
+pub(crate) struct Links<B> {
     bounds: Bounds,
     shelves: BTreeMap<B, Shelf>,
     ages: Ages,
@@ -234,7 +234,7 @@
 
 impl<B: Copy + Ord> Links<B> {
     /// No links yet; `seed` is the only source of chance.
-    pub fn new(bounds: Bounds, seed: u64) -> Links<B> {
+    pub(crate) fn new(bounds: Bounds, seed: u64) -> Links<B> {
         let (shelves, ages) = (BTreeMap::new(), Ages::default());
         let rng = Pcg32::seed_from_u64(seed);
         Links {
@@ -250,24 +250,24 @@
     }
 
     /// Reckons with so many front doors from now on.
-    pub fn fleet_of(&mut self, doors: u32) {
+    pub(crate) fn fleet_of(&mut self, doors: u32) {
         self.bounds.doors = doors;
     }
 
     /// Links and dials that there are.
     #[cfg(test)]
-    pub fn open(&self) -> usize {
+    pub(crate) fn open(&self) -> usize {
         self.open
     }
 
     /// Backends of which something is held.
     #[cfg(test)]
-    pub fn shelves(&self) -> usize {
+    pub(crate) fn shelves(&self) -> usize {
         self.shelves.len()
     }
 
     /// A request wants a link to a backend. One that must run `once` gets no link of an age that is in doubt.
-    pub fn take(
+    pub(crate) fn take(
         &mut self,
         now: Millis,
         to: B,
@@ -330,7 +330,7 @@
     }
 
     /// A time that was asked for has come.
-    pub fn wake(&mut self, now: Millis, to: B, effects: &mut Vec<Effect<B>>) {
+    pub(crate) fn wake(&mut self, now: Millis, to: B, effects: &mut Vec<Effect<B>>) {
         let Some(shelf) = self.shelves.get_mut(&to) else {
             return;
         };
@@ -347,7 +347,13 @@
     /// Demand will use a backend to which there is no link: one is dialled ahead, at a time of its own within `spread`.
     /// Whatever the fleet learns at one instant, its dials come one by one; a request that is sooner dials at once. Where
     /// handshakes have a price none is made on a guess: one in twenty-five is never used, and what it saves is a round trip.
-    pub fn ahead(&mut self, now: Millis, to: B, spread: Millis, effects: &mut Vec<Effect<B>>) {
+    pub(crate) fn ahead(
+        &mut self,
+        now: Millis,
+        to: B,
+        spread: Millis,
+        effects: &mut Vec<Effect<B>>,
+    ) {
         if self.bounds.handshake_price > 0.0 {
             return;
         }
@@ -361,7 +367,7 @@
     }
 
     /// A dial came up as this link: for whoever waits longest, or for later.
-    pub fn dialled(
+    pub(crate) fn dialled(
         &mut self,
         now: Millis,
         to: B,
@@ -381,7 +387,7 @@
     }
 
     /// A dial did not come up; it was this front door's own doing (`own`) or the backend's.
-    pub fn refused(
+    pub(crate) fn refused(
         &mut self,
         now: Millis,
         to: B,
@@ -424,7 +430,7 @@
     }
 
     /// A backend turned a new link's first request away: its table is full.
-    pub fn crowded(&mut self, now: Millis, to: B) {
+    pub(crate) fn crowded(&mut self, now: Millis, to: B) {
         if let Some(shelf) = self.shelves.get_mut(&to) {
             Self::crowded_shelf(shelf, now, self.bounds.spare());
         }
@@ -440,12 +446,12 @@
     }
 
     /// A link has carried its request and is whole: for whoever waits longest, or for later.
-    pub fn freed(&mut self, now: Millis, to: B, link: LinkId, effects: &mut Vec<Effect<B>>) {
+    pub(crate) fn freed(&mut self, now: Millis, to: B, link: LinkId, effects: &mut Vec<Effect<B>>) {
         self.returned(now, to, link, 0.0, effects);
     }
 
     /// A link comes back that has carried nothing since it had been idle for so long: it is as old as it was.
-    pub fn returned(
+    pub(crate) fn returned(
         &mut self,
         now: Millis,
         to: B,
@@ -471,7 +477,7 @@
     }
 
     /// A link that carried something is gone.
-    pub fn lost(&mut self, now: Millis, to: B, effects: &mut Vec<Effect<B>>) {
+    pub(crate) fn lost(&mut self, now: Millis, to: B, effects: &mut Vec<Effect<B>>) {
         self.open = self.open.saturating_sub(1);
         if let Some(shelf) = self.shelves.get_mut(&to) {
             shelf.observe(now);
@@ -481,7 +487,7 @@
     }
 
     /// One that waited does so no longer. Its dial goes on: what comes of it is kept.
-    pub fn left(&mut self, now: Millis, to: B, who: Ticket) {
+    pub(crate) fn left(&mut self, now: Millis, to: B, who: Ticket) {
         if let Some(shelf) = self.shelves.get_mut(&to) {
             shelf.observe(now);
             shelf.waiting.retain(|waiting| *waiting != who);
@@ -490,7 +496,7 @@
 
     /// What is idle to a backend leads nowhere: it drains, fell silent, or another process has its address. `anew` if
     /// dials under way lead nowhere either.
-    pub fn close(&mut self, to: B, anew: bool, effects: &mut Vec<Effect<B>>) {
+    pub(crate) fn close(&mut self, to: B, anew: bool, effects: &mut Vec<Effect<B>>) {
         let Some(shelf) = self.shelves.get_mut(&to) else {
             return;
         };
@@ -509,7 +515,7 @@
     }
 
     /// A backend that is gone. Links that carry something end with what they carry.
-    pub fn forget(&mut self, to: B, effects: &mut Vec<Effect<B>>) {
+    pub(crate) fn forget(&mut self, to: B, effects: &mut Vec<Effect<B>>) {
         self.close(to, true, effects);
         let Some(shelf) = self.shelves.remove(&to) else {
             return;
@@ -527,7 +533,7 @@
     }
 
     /// Whether a dial to a backend is under way.
-    pub fn dialling(&self, to: B) -> bool {
+    pub(crate) fn dialling(&self, to: B) -> bool {
         self.shelves
             .get(&to)
             .is_some_and(|shelf| !shelf.dials.is_empty())
@@ -535,13 +541,13 @@
 
     /// Links to a backend that carry nothing.
     #[cfg(test)]
-    pub fn idle(&self, to: B) -> usize {
+    pub(crate) fn idle(&self, to: B) -> usize {
         self.shelves.get(&to).map_or(0, |shelf| shelf.idle.len())
     }
 
     /// Links to a backend that may be held.
     #[cfg(test)]
-    pub fn most(&self, now: Millis, to: B) -> usize {
+    pub(crate) fn most(&self, now: Millis, to: B) -> usize {
         let spare = self.bounds.spare();
         self.shelves
             .get(&to)
@@ -550,19 +556,19 @@
 
     /// Makes idle links older.
     #[cfg(test)]
-    pub fn age(&mut self, by: Millis) {
+    pub(crate) fn age(&mut self, by: Millis) {
         for (_, since) in self.shelves.values_mut().flat_map(|shelf| &mut shelf.idle) {
             *since -= by;
         }
     }
 
     /// Learns whether a link that had been idle so long has borne another request.
-    pub fn learn(&mut self, now: Millis, idle: Millis, broke: bool) {
+    pub(crate) fn learn(&mut self, now: Millis, idle: Millis, broke: bool) {
         self.ages.learn(now, idle, broke);
     }
 
     /// Closes what has been idle for too long or is more than is needed, and forgets backends of which nothing is held.
-    pub fn tidy(&mut self, now: Millis, effects: &mut Vec<Effect<B>>) {
+    pub(crate) fn tidy(&mut self, now: Millis, effects: &mut Vec<Effect<B>>) {
         let (longest, spare) = (self.longest_idle(), self.bounds.spare());
         for shelf in self.shelves.values_mut() {
             shelf.observe(now);
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,7 +1,7 @@
 //! Connections to backends and the attempts that they carry.
 
-pub mod attempt;
-pub mod connection_pool;
-pub mod pool_driver;
-pub mod response;
-pub mod send_permit;
+pub(super) mod attempt;
+pub(super) mod connection_pool;
+pub(super) mod pool_driver;
+pub(super) mod response;
+pub(super) mod send_permit;
--- a/src/net/upstream/pool_driver.rs
+++ b/src/net/upstream/pool_driver.rs
@@ -88,7 +88,7 @@
 }
 
 /// A socket that can be closed at once from outside.
-pub struct Wire {
+pub(crate) struct Wire {
     socket: RefCell<Option<TcpStream>>,
     written: RefCell<Written>,
     /// Whether the last byte of the request is held back, and until when.
@@ -110,12 +110,12 @@
     }
 
     /// Whether the request has been written whole: before that, it cannot have run.
-    pub fn whole(&self) -> bool {
+    pub(crate) fn whole(&self) -> bool {
         self.written.borrow().whole()
     }
 
     /// A request with a body of this length is about to be written, for as long as `permit` holds.
-    pub fn begin(&self, body: usize, cautious: bool, permit: Permit) {
+    pub(crate) fn begin(&self, body: usize, cautious: bool, permit: Permit) {
         *self.written.borrow_mut() = Written::begin(body);
         self.cautious.set(cautious);
         self.proof.borrow_mut().take();
@@ -222,7 +222,7 @@
 }
 
 /// A connection to a backend; dropped, it is closed at once.
-pub struct Connection {
+pub(crate) struct Connection {
     /// Takes the next request.
     pub sender: SendRequest<Full<Bytes>>,
     /// Its socket.
@@ -242,30 +242,30 @@
 
 /// The hold that the driver has on an attempt that is out.
 #[derive(Clone, Default)]
-pub struct Line {
+pub(crate) struct Line {
     wire: Rc<RefCell<Option<Rc<Wire>>>>,
     task: Rc<RefCell<Option<AbortHandle>>>,
 }
 
 impl Line {
     /// Names the connection that carries the attempt.
-    pub fn hold(&self, wire: &Rc<Wire>) {
+    pub(crate) fn hold(&self, wire: &Rc<Wire>) {
         *self.wire.borrow_mut() = Some(wire.clone());
     }
 
     /// Names the task that carries the attempt.
-    pub fn tie(&self, task: AbortHandle) {
+    pub(crate) fn tie(&self, task: AbortHandle) {
         *self.task.borrow_mut() = Some(task);
     }
 
     /// Whether the request has been written whole: before that, it cannot have run.
-    pub fn whole(&self) -> bool {
+    pub(crate) fn whole(&self) -> bool {
         self.wire.borrow().as_ref().is_some_and(|wire| wire.whole())
     }
 
     /// As though the request had been written whole, for a stand-in that writes nothing.
     #[cfg(test)]
-    pub fn pretend_whole(&self) {
+    pub(crate) fn pretend_whole(&self) {
         let written = Written {
             head_done: true,
             ..Written::default()
@@ -274,7 +274,7 @@
     }
 
     /// Gives the attempt up: its connection is closed before this returns.
-    pub fn give_up(&self) {
+    pub(crate) fn give_up(&self) {
         if let Some(wire) = self.wire.borrow_mut().take() {
             wire.close();
         }
@@ -309,13 +309,19 @@
 }
 
 /// The connections to all backends.
-pub struct Pools {
+pub(crate) struct Pools {
     shared: Rc<Shared>,
 }
 
 impl Pools {
     /// No backends yet, and at most `budget` connections, for one of `doors` front doors.
-    pub fn new(told: settings::Links, budget: usize, doors: u32, seed: u64, clock: Clock) -> Pools {
+    pub(crate) fn new(
+        told: settings::Links,
+        budget: usize,
+        doors: u32,
+        seed: u64,
+        clock: Clock,
+    ) -> Pools {
         let bounds = Bounds {
             budget,
             idle_close: told.idle_close,
@@ -340,12 +346,12 @@
     }
 
     /// Paces dials for a fleet of so many front doors from now on.
-    pub fn fleet_of(&self, doors: u32) {
+    pub(crate) fn fleet_of(&self, doors: u32) {
         self.shared.core.borrow_mut().fleet_of(doors);
     }
 
     /// A backend that may be sent to.
-    pub fn open(&self, id: BackendId, dial: SocketAddr, born_ms: f64) {
+    pub(crate) fn open(&self, id: BackendId, dial: SocketAddr, born_ms: f64) {
         let mut places = self.shared.places.borrow_mut();
         let place = places.entry(id).or_insert(Place {
             dial,
@@ -367,7 +373,7 @@
     }
 
     /// A backend that wants nothing new.
-    pub fn drain(&self, id: BackendId) {
+    pub(crate) fn drain(&self, id: BackendId) {
         if let Some(place) = self.shared.places.borrow_mut().get_mut(&id) {
             place.ready = false;
         }
@@ -376,30 +382,30 @@
     }
 
     /// A backend that is gone.
-    pub fn remove(&self, id: BackendId) {
+    pub(crate) fn remove(&self, id: BackendId) {
         self.shared.places.borrow_mut().remove(&id);
         self.shared
             .with_core(|core, _, effects| core.forget(id, effects));
     }
 
     /// Closes idle connections to a backend.
-    pub fn close_idle(&self, id: BackendId) {
+    pub(crate) fn close_idle(&self, id: BackendId) {
         self.shared
             .with_core(|core, _, effects| core.close(id, false, effects));
     }
 
     /// Whether a backend may be sent to.
-    pub fn takes_new(&self, id: BackendId) -> bool {
+    pub(crate) fn takes_new(&self, id: BackendId) -> bool {
         self.shared.place(id).is_some()
     }
 
     /// Where a backend is that may be sent to.
-    pub fn at(&self, id: BackendId) -> Option<SocketAddr> {
+    pub(crate) fn at(&self, id: BackendId) -> Option<SocketAddr> {
         self.shared.place(id)
     }
 
     /// When a backend says that it was born, as it was told last; 0 for long ago.
-    pub fn born(&self, id: BackendId) -> f64 {
+    pub(crate) fn born(&self, id: BackendId) -> f64 {
         self.shared
             .places
             .borrow()
@@ -408,7 +414,7 @@
     }
 
     /// Demand will use a backend: it gets a connection ahead of that, within `spread`.
-    pub fn ahead(&self, id: BackendId, spread: Millis) {
+    pub(crate) fn ahead(&self, id: BackendId, spread: Millis) {
         if self.takes_new(id) {
             self.shared
                 .with_core(|core, now, effects| core.ahead(now, id, spread, effects));
@@ -417,7 +423,7 @@
 
     /// A connection to a backend: a kept one, the first that comes free, or a new one, whichever is sooner, within
     /// `limit` in all. For what must not run twice, none of an age at which connections have broken of late.
-    pub async fn take(
+    pub(crate) async fn take(
         &self,
         id: BackendId,
         delivery: DeliveryMode,
@@ -459,7 +465,7 @@
     }
 
     /// Keeps a connection whose answer has come whole.
-    pub fn put_back(&self, mut out: Out) {
+    pub(crate) fn put_back(&self, mut out: Out) {
         if let Some(connection) = &mut out.connection {
             connection.answered = Some(self.shared.clock.now());
         }
@@ -467,7 +473,7 @@
     }
 
     /// Keeps a connection that has carried nothing since it was taken.
-    pub fn put_back_unused(&self, out: Out) {
+    pub(crate) fn put_back_unused(&self, out: Out) {
         let idle = out
             .answered
             .map_or(0.0, |answered| self.shared.clock.now() - answered);
@@ -494,50 +500,49 @@
     }
 
     /// A backend turned a new connection's first request away.
-    pub fn crowded(&self, id: BackendId) {
+    pub(crate) fn crowded(&self, id: BackendId) {
         self.shared.with_core(|core, now, _| core.crowded(now, id));
     }
 
     /// Connections to a backend that carry nothing, and how many may be held.
     #[cfg(test)]
-    pub fn idle(&self, id: BackendId) -> usize {
+    pub(crate) fn idle(&self, id: BackendId) -> usize {
         self.shared.core.borrow().idle(id)
     }
 
     /// Connections to a backend that may be held.
     #[cfg(test)]
-    pub fn most(&self, id: BackendId) -> usize {
+    pub(crate) fn most(&self, id: BackendId) -> usize {
         self.shared.core.borrow().most(self.shared.clock.now(), id)
     }
 
     /// Makes idle connections older.
     #[cfg(test)]
-    pub fn age(&self, by: Duration) {
+    pub(crate) fn age(&self, by: Duration) {
         self.shared.core.borrow_mut().age(by.as_secs_f64() * 1000.0);
     }
 
     /// Learns whether a connection that had been idle so long has borne another request.
-    pub fn learn(&self, idle: Millis, broke: bool) {
+    pub(crate) fn learn(&self, idle: Millis, broke: bool) {
         self.shared
             .with_core(|core, now, _| core.learn(now, idle, broke));
     }
 
     /// How long a dial may take at most.
-    pub fn dial_timeout(&self) -> Millis {
+    pub(crate) fn dial_timeout(&self) -> Millis {
         self.shared.dial_timeout.as_secs_f64() * 1000.0
     }
 
     /// How long an answer is on its way, as far as dials tell; nothing before the first.
-    pub fn way_back(&self) -> Millis {
+    pub(crate) fn way_back(&self) -> Millis {
         self.shared.round_trip.get().unwrap_or(0.0) / 2.0
     }
 
     /// Disposes of idle connections well before the backends do.
-    pub async fn tidy(&self) {
+    pub(crate) async fn tidy(&self) {
         loop {
             tokio::time::sleep(TIDY).await;
-            self.shared
-                .with_core(|core, now, effects| core.tidy(now, effects));
+            self.shared.with_core(super::connection_pool::Links::tidy);
         }
     }
 }
@@ -647,13 +652,13 @@
                     let link = LinkId(shared.number());
                     shared.kept.borrow_mut().insert(link, connection);
                     shared.with_core(|core, now, effects| {
-                        core.dialled(now, id, number, link, effects)
+                        core.dialled(now, id, number, link, effects);
                     });
                 }
                 Err(why) => {
                     let own = why == NoConnection::Own;
                     shared.with_core(|core, now, effects| {
-                        core.refused(now, id, number, own, effects)
+                        core.refused(now, id, number, own, effects);
                     });
                 }
             }
@@ -738,7 +743,7 @@
 }
 
 /// A connection that carries something. Dropped before it is put back, it is closed at once and counted out.
-pub struct Out {
+pub(crate) struct Out {
     shared: Rc<Shared>,
     backend: BackendId,
     link: LinkId,
@@ -774,7 +779,7 @@
 
 /// Why there is no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoConnection {
+pub(crate) enum NoConnection {
     /// This front door has no room or no descriptor for one, or may not send there: no fault of the backend.
     Own,
     /// The backend works and has no room for a further one.
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -83,7 +83,7 @@
 }
 
 /// An answer that came whole.
-pub struct Received {
+pub(crate) struct Received {
     /// What it proves and tells.
     pub ended: Ended,
     /// Whether its end shows in itself, so that its connection may carry another request.
@@ -91,7 +91,7 @@
 }
 
 /// How answers are read.
-pub struct Reading {
+pub(crate) struct Reading {
     /// Names of their values.
     pub names: Vec<String>,
     /// What the values are.
@@ -103,7 +103,7 @@
 
 impl Reading {
     /// Reads as the settings tell, within `memory` bytes for all.
-    pub fn new(told: &Told, memory: usize) -> Reading {
+    pub(crate) fn new(told: &Told, memory: usize) -> Reading {
         Reading {
             names: told.names.metrics.clone(),
             metrics: told.metrics.clone(),
@@ -129,7 +129,7 @@
 
 /// Reads a whole answer; `None` if its connection breaks before the end, or if it is longer than there is memory for. After
 /// 101 the connection speaks something else: that is no answer.
-pub async fn read(reading: &Reading, answer: Response<Incoming>) -> Option<Received> {
+pub(crate) async fn read(reading: &Reading, answer: Response<Incoming>) -> Option<Received> {
     let (head, body) = answer.into_parts();
     if head.status.is_informational() {
         return None;
--- a/src/net/upstream/send_permit.rs
+++ b/src/net/upstream/send_permit.rs
@@ -8,7 +8,7 @@
 
 /// What an attempt has to meet until its request is written whole.
 #[derive(Clone, Debug)]
-pub struct Permit {
+pub(crate) struct Permit {
     client: Rc<dyn Presence>,
     part: Allowance,
     clock: Clock,
@@ -16,7 +16,7 @@
 
 impl Permit {
     /// For an attempt of this client's request within this part of its time.
-    pub fn new(client: Rc<dyn Presence>, part: Allowance, clock: Clock) -> Permit {
+    pub(crate) fn new(client: Rc<dyn Presence>, part: Allowance, clock: Clock) -> Permit {
         Permit {
             client,
             part,
@@ -25,7 +25,7 @@
     }
 
     /// Whether its client still waits and there is still time to begin.
-    pub fn holds(&self) -> bool {
+    pub(crate) fn holds(&self) -> bool {
         self.part.may_begin(self.clock.now()) && !self.client.left()
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -83,7 +83,7 @@
 }
 
 impl Quotas {
-    pub fn new(terms: Arc<Terms>) -> Quotas {
+    pub(super) fn new(terms: Arc<Terms>) -> Quotas {
         Quotas {
             terms,
             customers: BTreeMap::new(),
@@ -94,7 +94,12 @@
     }
 
     /// Whether a request is within what this gateway may let in, or how long the reason to refuse it lasts.
-    pub fn admit(&mut self, now: Millis, request: &Request, seen: &Seen) -> Result<(), Refused> {
+    pub(super) fn admit(
+        &mut self,
+        now: Millis,
+        request: &Request,
+        seen: &Seen,
+    ) -> Result<(), Refused> {
         let plan = &self.terms.set.plans[request.plan.0];
         let part = self.part(request);
         self.usual += (request.units - self.usual) / USUAL_MEMORY;
@@ -172,7 +177,7 @@
     }
 
     /// A request that was let in has its backend: its units are taken.
-    pub fn take(&mut self, now: Millis, request: &Request) {
+    pub(super) fn take(&mut self, now: Millis, request: &Request) {
         let quick = HALFLIFE_BURSTS * self.lambda(&self.terms.set.plans[request.plan.0]);
         if let Some(customer) = self.customers.get_mut(&request.customer) {
             customer.recent.feed(now, request.units, quick);
@@ -182,7 +187,7 @@
     }
 
     /// An attempt ended, with what its answer tells of the customer's use.
-    pub fn settle(&mut self, now: Millis, request: &Request, settled: &Settled) {
+    pub(super) fn settle(&mut self, now: Millis, request: &Request, settled: &Settled) {
         let part = self.part(request);
         let plan = &self.terms.set.plans[request.plan.0];
         let Some(customer) = self.customers.get_mut(&request.customer) else {
@@ -268,7 +273,7 @@
     }
 
     /// Forgets customers whose entry says no more than a new one would.
-    pub fn evict(&mut self, now: Millis) {
+    pub(super) fn evict(&mut self, now: Millis) {
         if now < self.evict_at {
             return;
         }
--- a/src/policy/backends.rs
+++ b/src/policy/backends.rs
@@ -82,11 +82,11 @@
 
     /// Units that this gateway has out there. Reports are not counted: they come late and every gateway reads
     /// the same ones; what others send shows in the time per unit.
-    pub fn load_out(&self) -> f64 {
+    pub(super) fn load_out(&self) -> f64 {
         self.out.values().map(|f| f.units).sum()
     }
 
-    pub fn sent(
+    pub(super) fn sent(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -101,7 +101,7 @@
 
     /// Whether it gets nothing of this request: it is ejected, or half-open, when only one request at a time
     /// tries it, which may be repeated at no harm.
-    pub fn barred(&self, now: Millis, safe: bool) -> bool {
+    pub(super) fn barred(&self, now: Millis, safe: bool) -> bool {
         self.ejections > 0 && (now < self.ejected_until || !safe || !self.out.is_empty())
     }
 }
@@ -116,7 +116,7 @@
 }
 
 impl Fleet {
-    pub fn new(terms: Arc<Terms>) -> Fleet {
+    pub(super) fn new(terms: Arc<Terms>) -> Fleet {
         Fleet {
             doors: terms.gateways,
             terms,
@@ -126,7 +126,7 @@
         }
     }
 
-    pub fn find(&self, id: BackendId) -> Option<usize> {
+    pub(super) fn find(&self, id: BackendId) -> Option<usize> {
         self.all
             .binary_search_by_key(&id, |backend| backend.entry.id)
             .ok()
@@ -137,12 +137,12 @@
     }
 
     /// Time per unit of load at all backends.
-    pub fn common_pace(&self) -> f64 {
+    pub(super) fn common_pace(&self) -> f64 {
         self.pace.get().unwrap_or(self.terms.aim / 10.0)
     }
 
     /// Time per unit of load at a backend; with few answers, nearer to that of all.
-    pub fn pace(&self, backend: &Backend) -> f64 {
+    pub(super) fn pace(&self, backend: &Backend) -> f64 {
         let prior = if self.pace.below > 0.0 {
             self.pace.below / PACE_MEMORY
         } else {
@@ -152,7 +152,7 @@
     }
 
     /// The least time until a request sent now would be begun at any, as far as own attempts tell.
-    pub fn least_wait(&self) -> Millis {
+    pub(super) fn least_wait(&self) -> Millis {
         if self.ready.iter().any(|at| self.all[*at].out.is_empty()) {
             return 0.0;
         }
@@ -163,7 +163,7 @@
     /// Guards against a backend that has gone silent: how long its oldest attempt is overdue without news. It
     /// turns the choice elsewhere but refuses nothing: answers may be lost where there is no queue. A class
     /// that is known to hang there speaks only for itself.
-    pub fn overdue(&self, now: Millis, backend: &Backend, class: ClassId) -> Millis {
+    pub(super) fn overdue(&self, now: Millis, backend: &Backend, class: ClassId) -> Millis {
         let hangs = |class| self.fault(now, backend, Fault::Hanging(class)) > FORGOTTEN;
         let speaks = |flight: &&Flight| flight.class == class || !hangs(flight.class);
         let silent = |flight: &Flight| {
@@ -197,7 +197,7 @@
     }
 
     /// Whether an attempt of a request hangs there.
-    pub fn hung(&self, now: Millis, at: BackendId, id: RequestId) -> bool {
+    pub(super) fn hung(&self, now: Millis, at: BackendId, id: RequestId) -> bool {
         let backend = self.get(at);
         let attempt = backend.and_then(|backend| Some((backend, backend.out.get(&id)?)));
         attempt.is_some_and(|(backend, flight)| self.silent(now, backend, flight, None) > 0.0)
@@ -222,12 +222,12 @@
     }
 
     /// How far a backend is shunned by all requests.
-    pub fn shunned(&self, now: Millis, backend: &Backend) -> f64 {
+    pub(super) fn shunned(&self, now: Millis, backend: &Backend) -> f64 {
         self.fault(now, backend, Fault::Failing)
     }
 
     /// How far it is for one.
-    pub fn distrust(&self, now: Millis, backend: &Backend, request: &Request) -> f64 {
+    pub(super) fn distrust(&self, now: Millis, backend: &Backend, request: &Request) -> f64 {
         let known = [Fault::Full(request.plan), Fault::Hanging(request.class)];
         known
             .iter()
@@ -236,7 +236,7 @@
     }
 
     /// Whether so many are ejected that the rest would be overrun, or that it is no fault of theirs.
-    pub fn panics(&self, now: Millis) -> bool {
+    pub(super) fn panics(&self, now: Millis) -> bool {
         let out = self
             .ready
             .iter()
@@ -254,7 +254,7 @@
     }
 
     /// What an outcome tells of its backend; it may be told to the operators, and close connections.
-    pub fn learn(
+    pub(super) fn learn(
         &mut self,
         now: Millis,
         asked: &Request,
@@ -352,7 +352,13 @@
     }
 
     /// Takes up the list, the whole of it or what has changed.
-    pub fn listed(&mut self, now: Millis, whole: bool, entries: &[BackendEntry], rng: &mut Pcg32) {
+    pub(super) fn listed(
+        &mut self,
+        now: Millis,
+        whole: bool,
+        entries: &[BackendEntry],
+        rng: &mut Pcg32,
+    ) {
         if whole {
             self.all
                 .iter_mut()
--- a/src/policy/guards.rs
+++ b/src/policy/guards.rs
@@ -27,7 +27,7 @@
 }
 
 impl Opening {
-    pub fn new(terms: Arc<Terms>) -> Opening {
+    pub(super) fn new(terms: Arc<Terms>) -> Opening {
         // One of many does not see what all let in at once, so it begins part open; one alone, open.
         let open = OPENING_START + (1.0 - OPENING_START) / terms.gateways;
         Opening {
@@ -39,7 +39,7 @@
         }
     }
 
-    pub fn observe_pressure(&mut self, now: Millis, least_wait: Millis) {
+    pub(super) fn observe_pressure(&mut self, now: Millis, least_wait: Millis) {
         let keep = (-(now - self.pressure_at) / (PRESSURE_AIMS * self.terms.aim)).exp();
         let observed = (2.0 * least_wait / (WAIT_LIMIT * self.terms.aim) - 1.0).clamp(0.0, 1.0);
         self.pressure = self.pressure * keep + observed * (1.0 - keep);
@@ -49,7 +49,7 @@
     /// Guards against queues that others fill: where many gateways share a fleet, each has hardly any attempt
     /// out at a backend, so its own load tells nothing while answers get slow everywhere. All let in less by
     /// the same measure, until answers take the target part of their aims on average.
-    pub fn observe_answer(&mut self, now: Millis, part_of_aim: f64) {
+    pub(super) fn observe_answer(&mut self, now: Millis, part_of_aim: f64) {
         let Terms { gateways, aim, .. } = *self.terms;
         // One of many hears so little that each answer has to tell it more.
         let step = OPENING_STEP * gateways.cbrt() * ((now - self.answer_at) / aim).min(1.0);
@@ -60,7 +60,7 @@
     }
 
     /// Whether there is room for a repeat: where answers are slow everywhere it would add to the queues.
-    pub fn calm(&self) -> bool {
+    pub(super) fn calm(&self) -> bool {
         self.open > CALM && self.pressure < 1.0 - CALM
     }
 }
@@ -70,7 +70,7 @@
 pub(super) struct CeilingPart(pub f64);
 
 impl CeilingPart {
-    pub fn refill(&mut self, plan: &Plan, spread: f64, seconds: f64) {
+    pub(super) fn refill(&mut self, plan: &Plan, spread: f64, seconds: f64) {
         let Some(ceiling) = plan.ceiling else { return };
         let depth = (ceiling.burst + SLACK_USED * ceiling.slack) / spread;
         self.0 = (self.0 + ceiling.rate / spread * seconds).min(depth);
@@ -88,13 +88,13 @@
 
 impl OpenCap {
     /// Counts the time in which fewer attempts were open than this part of the cap allows, or more.
-    pub fn pass_time(&mut self, now: Millis, part: f64, most: Millis) {
+    pub(super) fn pass_time(&mut self, now: Millis, part: f64, most: Millis) {
         let gained = (part.min(1e6) - f64::from(self.open)) * (now - self.at).max(0.0);
         self.spare = (self.spare + gained).clamp(-most, most);
         self.at = now;
     }
 
-    pub fn allows(&self, plan: &Plan, part: f64) -> bool {
+    pub(super) fn allows(&self, plan: &Plan, part: f64) -> bool {
         let open = f64::from(self.open + 1);
         let most = if part < 1.0 {
             f64::from(plan.max_open)
@@ -115,7 +115,13 @@
 
 impl Due {
     /// What is due now, at this many units a second for a warm backend of size one.
-    pub fn now(&self, now: Millis, set: &Settings, entry: &BackendEntry, even_rate: f64) -> f64 {
+    pub(super) fn now(
+        &self,
+        now: Millis,
+        set: &Settings,
+        entry: &BackendEntry,
+        even_rate: f64,
+    ) -> f64 {
         // Warmth rises evenly: what it was on average since then counts, not what it is now.
         let warmth = (set.warmth(self.at, entry) + set.warmth(now, entry)) / 2.0;
         let rate = warmth * even_rate * entry.size;
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -41,7 +41,7 @@
 }
 
 impl Subset {
-    pub fn new(terms: Arc<Terms>) -> Subset {
+    pub(super) fn new(terms: Arc<Terms>) -> Subset {
         Subset {
             terms,
             demand: Cewma::default(),
@@ -52,7 +52,7 @@
     }
 
     /// Units within the quotas ask to be sent on.
-    pub fn asked(&mut self, now: Millis, units: f64) {
+    pub(super) fn asked(&mut self, now: Millis, units: f64) {
         self.demand.feed(now, units, self.lambda());
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// The backend with the least expected time.
-    pub fn choose(&mut self, ask: &Ask, rng: &mut Pcg32) -> Option<Choice> {
+    pub(super) fn choose(&mut self, ask: &Ask, rng: &mut Pcg32) -> Option<Choice> {
         let circle = self.keep_to(ask.now, ask.fleet, rng);
         if ask.reach == Reach::Nowhere {
             return None;
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -38,7 +38,7 @@
 }
 
 impl Live {
-    pub fn new(request: Request, arrived: Millis) -> Live {
+    pub(super) fn new(request: Request, arrived: Millis) -> Live {
         let (started, answered, slow) = (false, false, false);
         Live {
             request,
@@ -63,7 +63,7 @@
 }
 
 impl Reach {
-    pub fn holds(self, entry: &BackendEntry) -> bool {
+    pub(super) fn holds(self, entry: &BackendEntry) -> bool {
         self == Reach::Anywhere
             || self == Reach::Zone(entry.zone)
             || self == Reach::Cell(entry.cell)
@@ -80,7 +80,7 @@
 }
 
 impl Attempts {
-    pub fn new(terms: Arc<Terms>) -> Attempts {
+    pub(super) fn new(terms: Arc<Terms>) -> Attempts {
         let (live, quick) = (BTreeMap::new(), BTreeMap::new());
         Attempts {
             terms,
@@ -92,7 +92,7 @@
     }
 
     /// A request that nothing has been answered to yet.
-    pub fn waiting(&self, id: RequestId) -> Option<&Live> {
+    pub(super) fn waiting(&self, id: RequestId) -> Option<&Live> {
         self.live
             .get(&id)
             .filter(|live| !live.answered && !live.started)
@@ -103,7 +103,7 @@
     }
 
     /// When a request gets its final answer at the latest: with its aim where later is worth nothing.
-    pub fn cut(&self, live: &Live) -> Millis {
+    pub(super) fn cut(&self, live: &Live) -> Millis {
         let class = self.class(live);
         let aim = live.arrived - live.request.waited + class.aim;
         let last = live.request.deadline - 2.0 * self.terms.set.tick;
@@ -111,7 +111,7 @@
     }
 
     /// Whether an attempt begun now can end in what is left of its request's time.
-    pub fn fits(&self, now: Millis, live: &Live) -> bool {
+    pub(super) fn fits(&self, now: Millis, live: &Live) -> bool {
         let quick = self
             .quick
             .get(&live.request.class)
@@ -120,7 +120,7 @@
     }
 
     /// The time of few good answers of a class, moved by one that took `elapsed`.
-    pub fn observe_service(&mut self, class: ClassId, elapsed: Millis) {
+    pub(super) fn observe_service(&mut self, class: ClassId, elapsed: Millis) {
         let quick = self
             .quick
             .entry(class)
@@ -128,17 +128,23 @@
         quick.feed(elapsed, QUICKEST, QUICK_STEP);
     }
 
-    pub fn earn_retries(&mut self) {
+    pub(super) fn earn_retries(&mut self) {
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_DEPTH);
     }
 
-    pub fn may_send_again(&self, now: Millis, live: &Live) -> bool {
+    pub(super) fn may_send_again(&self, now: Millis, live: &Live) -> bool {
         self.fits(now, live) && self.retries >= 1.0 && live.sends < self.terms.set.max_attempts
     }
 
     /// How long an attempt that should take `expected` is waited for. One that may be repeated is given up
     /// while another still has as much time, so that a hung one does not use all; the last gets the rest.
-    pub fn patience(&self, now: Millis, live: &Live, expected: Millis, calm: bool) -> Millis {
+    pub(super) fn patience(
+        &self,
+        now: Millis,
+        live: &Live,
+        expected: Millis,
+        calm: bool,
+    ) -> Millis {
         let class = self.class(live);
         let again = matches!(class.effect, Effect::Safe)
             || matches!(class.effect, Effect::Keyed { group: Group::All, memory } if memory > class.aim);
@@ -154,7 +160,7 @@
 
     /// Guards against connections that are dead unseen, in pools or between: a request that must not be run
     /// again is lost with each. Others can be repeated; caution costs each the time of a way there and back.
-    pub fn delivery(&self, now: Millis, live: &Live) -> DeliveryMode {
+    pub(super) fn delivery(&self, now: Millis, live: &Live) -> DeliveryMode {
         match self.class(live).effect {
             Effect::Unsafe => DeliveryMode::Once,
             _ if now - self.broke_at < CAUTION_AIMS * self.terms.aim => DeliveryMode::Cautious,
@@ -163,7 +169,7 @@
     }
 
     /// When the key of what has run is forgotten, an attempt that is out being taken to run.
-    pub fn key_expires(&self, live: &Live) -> Option<Millis> {
+    pub(super) fn key_expires(&self, live: &Live) -> Option<Millis> {
         let Effect::Keyed { memory, .. } = self.class(live).effect else {
             return None;
         };
@@ -177,7 +183,7 @@
     }
 
     /// Where a request may be sent after what has happened to it, an attempt that is out being taken to run.
-    pub fn reach(&self, now: Millis, live: &Live) -> Reach {
+    pub(super) fn reach(&self, now: Millis, live: &Live) -> Reach {
         let Some(ran) = live.ran.as_ref().or(live.out.first()) else {
             return Reach::Anywhere;
         };
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -288,7 +288,7 @@
     let mut stage = Stage::new(settings(plan(), 1), vec![ready(1, 0), ready(2, 0)]);
     let mut served = 0;
     (0..40).for_each(|i| {
-        served += u32::from(stage.serve(1.0 + f64::from(i) * 11.0, request(i, 0, 0.0)))
+        served += u32::from(stage.serve(1.0 + f64::from(i) * 11.0, request(i, 0, 0.0)));
     });
     assert!(served >= 20);
     // Ten a second are the quota; each comes twice, and every second one finds the slice empty at most.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,13 +3,13 @@
 use cometspool::*;
 
 /// A gateway with the actions of its last event.
-pub struct Stage {
+pub(crate) struct Stage {
     pub gateway: Gateway,
     pub actions: Vec<Action>,
 }
 
 /// One gateway of `spread` with a plan and a class of each effect: 0 safe, 1 keyed, 2 unsafe.
-pub fn settings(plan: Plan, gateways: u32) -> Settings {
+pub(crate) fn settings(plan: Plan, gateways: u32) -> Settings {
     let class = |effect| Class {
         aim: 1000.0,
         deadline: 3000.0,
@@ -30,7 +30,7 @@
 }
 
 /// A warm backend in zone `zone`, cell `zone`.
-pub fn ready(id: u32, zone: u32) -> BackendEntry {
+pub(crate) fn ready(id: u32, zone: u32) -> BackendEntry {
     BackendEntry {
         id: BackendId(id),
         zone: ZoneId(zone),
@@ -42,7 +42,7 @@
 }
 
 /// A request of customer 1.
-pub fn request(id: u32, class: usize, now: Millis) -> Request {
+pub(crate) fn request(id: u32, class: usize, now: Millis) -> Request {
     Request {
         id: RequestId(id),
         customer: CustomerId(1),
@@ -59,12 +59,12 @@
 #[allow(dead_code)]
 impl Stage {
     /// A gateway that has been handed its first list.
-    pub fn new(settings: Settings, backends: Vec<BackendEntry>) -> Stage {
+    pub(crate) fn new(settings: Settings, backends: Vec<BackendEntry>) -> Stage {
         Stage::seeded(settings, 1, backends)
     }
 
     /// One of several gateways, each with a seed of its own.
-    pub fn seeded(settings: Settings, seed: u64, backends: Vec<BackendEntry>) -> Stage {
+    pub(crate) fn seeded(settings: Settings, seed: u64, backends: Vec<BackendEntry>) -> Stage {
         let mut stage = Stage {
             gateway: Gateway::new(settings, seed),
             actions: Vec::new(),
@@ -74,20 +74,20 @@
     }
 
     /// Plays one event; the actions are kept until the next.
-    pub fn play(&mut self, now: Millis, event: Event) -> &[Action] {
+    pub(crate) fn play(&mut self, now: Millis, event: Event) -> &[Action] {
         self.actions.clear();
         self.gateway.handle(now, event, &mut self.actions);
         &self.actions
     }
 
     /// Plays an arrival and tells where it was sent, if it was.
-    pub fn arrive(&mut self, now: Millis, request: Request) -> Option<BackendId> {
+    pub(crate) fn arrive(&mut self, now: Millis, request: Request) -> Option<BackendId> {
         self.play(now, Event::Arrival(request));
         self.sent()
     }
 
     /// Where the last event led to a send.
-    pub fn sent(&self) -> Option<BackendId> {
+    pub(crate) fn sent(&self) -> Option<BackendId> {
         self.actions.iter().find_map(|a| match a {
             Action::Send { backend, .. } => Some(*backend),
             _ => None,
@@ -95,7 +95,7 @@
     }
 
     /// Plays the end of an attempt.
-    pub fn settle(
+    pub(crate) fn settle(
         &mut self,
         now: Millis,
         id: u32,
@@ -107,7 +107,7 @@
     }
 
     /// Plays an arrival that is answered 10 ms later if it is sent; tells whether it was.
-    pub fn serve(&mut self, now: Millis, request: Request) -> bool {
+    pub(crate) fn serve(&mut self, now: Millis, request: Request) -> bool {
         let sent = self.arrive(now, request);
         if let Some(at) = sent {
             self.settle(now + 10.0, request.id.0, 0, at, Outcome::Ok);
@@ -117,7 +117,7 @@
 }
 
 /// The end of an attempt after 10 ms; a good one closes the request.
-pub fn settled(id: u32, attempt: u32, at: BackendId, outcome: Outcome) -> Settled {
+pub(crate) fn settled(id: u32, attempt: u32, at: BackendId, outcome: Outcome) -> Settled {
     Settled {
         request: RequestId(id),
         attempt,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -128,7 +128,7 @@
             rig.told(i).and_then(|event| {
                 event.more["members"]["loads"]
                     .as_object()
-                    .map(|loads| loads.len())
+                    .map(serde_json::Map::len)
             })
         };
         all.iter().all(|i| known(*i) == Some(6)).then_some(())
--- a/tests/front_door.rs
+++ b/tests/front_door.rs
@@ -64,17 +64,17 @@
     let plays: [(&str, Play); 6] = [
         ("500", |b| b.answer(500, "", "")),
         ("500 that claims not to have started", |b| {
-            b.answer(500, "Not-Started: 1\r\n", "")
+            b.answer(500, "Not-Started: 1\r\n", "");
         }),
         ("503 without a word", |b| b.answer(503, "", "")),
         ("504 with another word", |b| {
-            b.answer(504, "Not-Started: 0\r\n", "")
+            b.answer(504, "Not-Started: 0\r\n", "");
         }),
         ("end without an answer", |b| {
             b.reader
                 .get_mut()
                 .shutdown(std::net::Shutdown::Both)
-                .unwrap()
+                .unwrap();
         }),
         ("end within an answer", |b| {
             b.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -341,8 +341,7 @@
         let late = sent.iter().filter(|id| number(id) % STAY > 0).count();
         assert_eq!(
             late, 0,
-            "cancel {cancel}: sent on for clients that had left, of {}",
-            left
+            "cancel {cancel}: sent on for clients that had left, of {left}"
         );
         assert_eq!(sent.len(), served, "cancel {cancel}: {sent:?}");
         sent.dedup();
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -30,7 +30,7 @@
                 work_ms: 0.0,
                 ..Manner::default()
             },
-        )
+        );
     });
     rig.start_one(0).expect("a start");
     rig.await_serving();
--- a/tests/policy_trace.rs
+++ b/tests/policy_trace.rs
@@ -418,11 +418,11 @@
                 Pending::Alarm(_) if now > at + 20_000.0 => {}
                 Pending::Alarm(alarm) => self.handle(now, Event::Alarm(alarm)),
                 Pending::AttemptEnds { request, attempt } => {
-                    self.end_attempt(now, request, attempt, None)
+                    self.end_attempt(now, request, attempt, None);
                 }
                 Pending::ListChanges(step) => self.change_list(now, step),
                 Pending::ClientLeaves(number) => {
-                    self.handle(now, Event::ClientGone(RequestId(number)))
+                    self.handle(now, Event::ClientGone(RequestId(number)));
                 }
                 Pending::Stops => self.handle(now, Event::Stopping(at + 100.0)),
             }
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -46,7 +46,9 @@
             await_ready(&process.name, at.expect("an address"));
         }
         assert!(
-            !rig.processes.iter_mut().any(|process| process.crashed()),
+            !rig.processes
+                .iter_mut()
+                .any(cometspool_fault_injection::process::Process::crashed),
             "one has ended"
         );
     }
