--- a/crates/fleet-simulation/src/crowd.rs
+++ b/crates/fleet-simulation/src/crowd.rs
@@ -263,19 +263,20 @@
         let plan = &self.plans[who.plan];
         let inside = who.ideal.fill(now, plan.rate, plan.burst) >= 1.0;
         who.ideal.units -= if inside { 1.0 } else { 0.0 };
-        self.ledger.offered += worth * plan.price * if inside { 1.0 } else { plan.over_worth };
+        self.ledger.offered +=
+            worth * plan.weight_factor * if inside { 1.0 } else { plan.over_quota_weight };
     }
 
     /// A try is sent on for the first time: whether it is within its quota.
     pub fn sent_on(&mut self, customer: usize, now: Millis, worth: f64) -> bool {
         let who = &mut self.all[customer];
         let plan = &self.plans[who.plan];
-        let open = plan.max_open == 0 || who.out < plan.max_open;
+        let open = plan.max_concurrency == 0 || who.out < plan.max_concurrency;
         let inside = open && who.store.fill(now, plan.rate, plan.burst) >= 1.0;
         if inside {
             who.store.units -= 1.0;
         } else {
-            self.ledger.price += plan.over_cost * plan.price * worth;
+            self.ledger.price += plan.over_quota_cost * plan.weight_factor * worth;
         }
         self.ledger.sent[usize::from(!inside)] += 1.0;
         if let Some(ceiling) = plan.ceiling {
@@ -308,9 +309,9 @@
     pub fn served(&mut self, customer: usize, worth: f64, inside: bool) {
         let plan = &self.plans[self.all[customer].plan];
         if inside {
-            self.ledger.served += worth * plan.price;
+            self.ledger.served += worth * plan.weight_factor;
         } else {
-            self.ledger.beyond += worth * plan.price * plan.over_worth;
+            self.ledger.beyond += worth * plan.weight_factor * plan.over_quota_weight;
         }
     }
 
--- a/crates/fleet-simulation/src/main.rs
+++ b/crates/fleet-simulation/src/main.rs
@@ -84,19 +84,19 @@
 /// The classes of the booking service, with their aims, deadlines, worth and work.
 fn classes() -> Vec<ClassSpec> {
     let class = |aim, deadline, worth, effect| Class {
-        aim,
+        latency_objective: aim,
         deadline,
-        worth,
-        effect,
+        priority_weight: worth,
+        idempotency: effect,
         ..Class::default()
     };
-    let keyed = Effect::Keyed {
-        group: Group::Cell,
-        memory: 2000.0,
+    let keyed = Idempotency::WithKey {
+        scope: DeduplicationScope::Cell,
+        retention: 2000.0,
     };
     vec![
         ClassSpec {
-            class: class(2500.0, 6000.0, 1.0, Effect::Safe),
+            class: class(2500.0, 6000.0, 1.0, Idempotency::Idempotent),
             share: 0.6,
             work: 240.0,
             cv: 0.9,
@@ -108,7 +108,7 @@
             cv: 1.0,
         },
         ClassSpec {
-            class: class(1200.0, 4000.0, 5.0, Effect::Unsafe),
+            class: class(1200.0, 4000.0, 5.0, Idempotency::NonIdempotent),
             share: 0.13,
             work: 160.0,
             cv: 1.0,
@@ -126,11 +126,11 @@
             ..Plan::default()
         }],
         max_attempts: 5,
-        second_copies: true,
-        cancel: true,
+        hedging: true,
+        cancellation: true,
         retry_after: true,
         max_retry_after: 2000.0,
-        cross_zone_price: 0.01,
+        cross_zone_cost: 0.01,
         drain_grace: 250.0,
         start_capacity: 0.19,
         warm_up: 16_000.0,
@@ -323,7 +323,7 @@
         faults.push((at, Fault::Start(i)));
         faults.push((at, Fault::Told(i, Availability::Draining)));
         faults.push((at + 1500.0, Fault::Ill(i, Ill::Dead)));
-        faults.push((at + 1500.0, Fault::Told(i, Availability::Gone)));
+        faults.push((at + 1500.0, Fault::Told(i, Availability::Removed)));
     }
     Spec {
         faults,
@@ -350,7 +350,7 @@
         faults.push((at, Fault::Start(i as usize)));
         faults.push((at, Fault::Told(i as usize, Availability::Draining)));
         faults.push((at + 1500.0, Fault::Ill(i as usize, Ill::Dead)));
-        faults.push((at + 1500.0, Fault::Told(i as usize, Availability::Gone)));
+        faults.push((at + 1500.0, Fault::Told(i as usize, Availability::Removed)));
     }
     faults.push((32_000.0, Fault::Cut(1, true)));
     faults.push((37_000.0, Fault::Cut(1, false)));
--- a/crates/fleet-simulation/src/quotas.rs
+++ b/crates/fleet-simulation/src/quotas.rs
@@ -36,23 +36,23 @@
         Plan {
             rate: 0.8,
             burst: 3.4,
-            price: 0.8,
-            over_cost: 0.5,
+            weight_factor: 0.8,
+            over_quota_cost: 0.5,
             ..Plan::default()
         },
         Plan {
             rate: 2.8,
             burst: 12.0,
-            max_open: 2,
-            price: 1.2,
-            over_worth: 0.2,
+            max_concurrency: 2,
+            weight_factor: 1.2,
+            over_quota_weight: 0.2,
             ..Plan::default()
         },
         Plan {
             rate: 10.0,
             burst: 18.0,
-            price: 1.4,
-            over_cost: 0.5,
+            weight_factor: 1.4,
+            over_quota_cost: 0.5,
             ceiling: Some(ceiling),
             ..Plan::default()
         },
--- a/crates/fleet-simulation/src/world.rs
+++ b/crates/fleet-simulation/src/world.rs
@@ -19,7 +19,7 @@
 use attempts::Call;
 use backends::Backend;
 use clients::ClientRequest;
-use cometspool::{Availability, BackendId, Event, Gateway, ListKind, Millis};
+use cometspool::{Availability, BackendId, Event, ListKind, Millis, PolicyEngine};
 use doors::{door_settings, FrontDoor};
 use links::Link;
 use schedule::{Scheduled, SimEvent};
@@ -64,7 +64,7 @@
                 let settings = door_settings(&spec, me, zone);
                 let seed = u64::from(chance.word());
                 FrontDoor {
-                    gateway: Gateway::new(settings, seed),
+                    gateway: PolicyEngine::new(settings, seed),
                     zone,
                     pool: Pool::new(gateways, seed),
                 }
@@ -100,7 +100,7 @@
             let mut actions = Vec::new();
             world.doors[door].gateway.handle(
                 0.0,
-                Event::Backends(ListKind::Cached, list.clone()),
+                Event::EndpointsChanged(ListKind::Cached, list.clone()),
                 &mut actions,
             );
             world.carry_out(door, actions);
--- a/crates/fleet-simulation/src/world/attempts.rs
+++ b/crates/fleet-simulation/src/world/attempts.rs
@@ -4,7 +4,7 @@
 use super::schedule::SimEvent;
 use super::World;
 use crate::scenario::Ill;
-use cometspool::{BackendId, Event, Millis, Outcome, Report, RequestId, Settled};
+use cometspool::{AttemptCompleted, BackendId, Event, LoadReport, Millis, Outcome, RequestId};
 
 /// An attempt of a front door, or a call of one backend to another.
 pub(super) struct Call {
@@ -148,7 +148,7 @@
         };
         let asked = &mut self.requests[request as usize];
         let customer = asked.customer;
-        let told = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full);
+        let told = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
         let (now, mut use_of_quota) = (self.now, None);
         if let Some(crowd) = &mut self.crowd {
             crowd.all[customer].out -= 1;
@@ -164,19 +164,19 @@
             self.finish(request, End::Served);
         }
         let closed = self.requests[request as usize].answered;
-        let settled = Settled {
+        let settled = AttemptCompleted {
             request: RequestId(request),
             attempt: number,
             backend: self.backends[backend].id,
             outcome,
             elapsed: self.now - sent,
-            closed,
-            use_of_quota,
-            true_units: None,
-            report: Report::default(),
-            broken: 0,
+            request_closed: closed,
+            quota_usage: use_of_quota,
+            actual_units: None,
+            load_report: LoadReport::default(),
+            broken_connections: 0,
         };
-        self.notify_door(door, Event::Settled(settled));
+        self.notify_door(door, Event::AttemptCompleted(settled));
     }
 
     /// Whoever gave an attempt up closes its connection: what still waits for a core is dropped.
--- a/crates/fleet-simulation/src/world/backends.rs
+++ b/crates/fleet-simulation/src/world/backends.rs
@@ -59,8 +59,8 @@
             zone: ZoneId(node.spec.zone),
             cell: CellId(node.spec.zone),
             availability,
-            started: node.spec.started,
-            size: 1.0,
+            started_at: node.spec.started,
+            weight: 1.0,
         }
     }
 
@@ -95,7 +95,7 @@
             }
         }
         if self.backends[node].waiting.len() >= self.backends[node].spec.room {
-            self.answer(call, Outcome::Full);
+            self.answer(call, Outcome::Rejected);
             return;
         }
         self.backends[node].waiting.push_back(call);
--- a/crates/fleet-simulation/src/world/clients.rs
+++ b/crates/fleet-simulation/src/world/clients.rs
@@ -127,7 +127,7 @@
     pub(super) fn worth(&self, request: u32) -> f64 {
         self.spec.classes[self.requests[request as usize].class]
             .class
-            .worth
+            .priority_weight
     }
 
     /// A try is refused: its client may come again.
@@ -168,7 +168,7 @@
         let deadline = self.now + spec.class.deadline * patience;
         let work = self.chance.lognormal(mean, cv);
         self.tally.asked += 1;
-        let worth = self.spec.classes[class].class.worth;
+        let worth = self.spec.classes[class].class.priority_weight;
         self.tally.worth += worth;
         self.current_second().0 += worth;
         self.enter(ClientRequest::new(
@@ -197,13 +197,13 @@
             class: ClassId(asked.class),
             units: 1.0,
             deadline: granted,
-            spread: whose.map_or(1.0, |customer| customer.doors.len() as f64),
+            gateway_count: whose.map_or(1.0, |customer| customer.doors.len() as f64),
             #[cfg(not(feature = "base"))]
-            again: false,
+            is_retry: false,
             #[cfg(not(feature = "base"))]
-            waited: if self.spec.charges_lag { waited } else { 0.0 },
+            queued_for: if self.spec.charges_lag { waited } else { 0.0 },
         };
-        self.notify_door(door, Event::Arrival(request));
+        self.notify_door(door, Event::RequestArrived(request));
     }
 
     /// The one final answer: served, refused or failed.
@@ -215,16 +215,16 @@
         let class = &self.spec.classes[asked.class].class;
         let took = self.now - asked.came;
         self.tally.ends[end as usize] += 1;
-        let late = took >= class.aim || took > 0.5 * (asked.deadline - asked.came);
+        let late = took >= class.latency_objective || took > 0.5 * (asked.deadline - asked.came);
         if end != End::Served && late {
             self.tally.late_failures += 1;
         }
         let (customer, inside, in_time) = (
             asked.customer,
             asked.inside,
-            self.now - asked.first <= class.aim,
+            self.now - asked.first <= class.latency_objective,
         );
-        let worth = class.worth;
+        let worth = class.priority_weight;
         if let Some(crowd) = self
             .crowd
             .as_mut()
@@ -233,8 +233,8 @@
             crowd.served(customer, worth, inside);
         }
         let asked = &mut self.requests[request as usize];
-        if end == End::Served && took <= class.aim {
-            let (worth, came) = (class.worth, (asked.came / 1000.0) as usize);
+        if end == End::Served && took <= class.latency_objective {
+            let (worth, came) = (class.priority_weight, (asked.came / 1000.0) as usize);
             asked.served_in_time = true;
             self.tally.served += worth;
             self.tally.by_second[came].1 += worth;
--- a/crates/fleet-simulation/src/world/dispatch.rs
+++ b/crates/fleet-simulation/src/world/dispatch.rs
@@ -15,12 +15,12 @@
             SimEvent::Read(request) => self.read(request),
             SimEvent::Gone(request) => {
                 let door = self.requests[request as usize].door;
-                self.notify_door(door, Event::ClientGone(RequestId(request)));
+                self.notify_door(door, Event::ClientDisconnected(RequestId(request)));
             }
             SimEvent::Arrive(door) => self.arrive(door),
             SimEvent::Ask(customer, asks) => self.ask(customer, asks),
             SimEvent::Again(before) => self.again(before),
-            SimEvent::Alarm(door, alarm) => self.notify_door(door, Event::Alarm(alarm)),
+            SimEvent::Alarm(door, alarm) => self.notify_door(door, Event::TimerFired(alarm)),
             SimEvent::Begin(call) => self.begin(call),
             SimEvent::Worked(call) => self.worked(call),
             SimEvent::Back(call, outcome) => self.settle(call, outcome),
@@ -41,9 +41,9 @@
                 }
                 for entry in &entries {
                     let backend = &mut self.backends[self.by_id[&entry.id]];
-                    backend.told[door] |= entry.started == backend.spec.started;
+                    backend.told[door] |= entry.started_at == backend.spec.started;
                 }
-                self.notify_door(door, Event::Backends(ListKind::Changes, entries));
+                self.notify_door(door, Event::EndpointsChanged(ListKind::Changes, entries));
             }
             SimEvent::Dialled(door, backend, call, answered) => {
                 self.dialled(door, backend, call, answered);
--- a/crates/fleet-simulation/src/world/doors.rs
+++ b/crates/fleet-simulation/src/world/doors.rs
@@ -6,12 +6,12 @@
 use crate::pooling::Pool;
 use crate::scenario::{Ill, Spec};
 use cometspool::{
-    Action, Availability, BackendId, Event, Gateway, ListKind, Outcome, Settings, ZoneId,
+    Action, Availability, BackendId, Event, ListKind, Outcome, PolicyEngine, Settings, ZoneId,
 };
 
 /// A front door: the module as it serves, and the model of its pool of links.
 pub(super) struct FrontDoor {
-    pub(super) gateway: Gateway,
+    pub(super) gateway: PolicyEngine,
     pub(super) zone: u32,
     pub(super) pool: Pool,
 }
@@ -24,7 +24,7 @@
         .map(|class| class.class.clone())
         .collect();
     Settings {
-        me,
+        gateway_index: me,
         zone: ZoneId(zone),
         classes,
         ..spec.settings.clone()
@@ -46,14 +46,14 @@
                 Action::Send {
                     request,
                     backend,
-                    limit,
+                    timeout: limit,
                     ..
                 } => self.send(door, request.0, backend, limit),
                 #[cfg(not(feature = "base"))]
-                Action::Refuse {
+                Action::Reject {
                     request,
                     retry_after,
-                    why,
+                    reason: why,
                 } => {
                     self.refused(request.0, retry_after, format!("{why:?}"));
                 }
@@ -65,15 +65,15 @@
                     self.refused(request.0, retry_after, String::new());
                 }
                 Action::Fail(request) => self.finish(request.0, End::Failed),
-                Action::CallOff { request, attempt } => {
+                Action::CancelAttempt { request, attempt } => {
                     let out = &self.requests[request.0 as usize].out;
                     let is = |call: &&usize| matches!(self.calls[**call].from, Ok((_, n)) if n == attempt);
                     if let Some(call) = out.iter().find(is).copied() {
                         self.settle(call, Outcome::Cancelled);
                     }
                 }
-                Action::SetAlarm { at, alarm } => {
-                    self.schedule(at.max(self.now), SimEvent::Alarm(door, alarm));
+                Action::SetTimer { at, timer } => {
+                    self.schedule(at.max(self.now), SimEvent::Alarm(door, timer));
                 }
                 Action::Log(text) if text.contains("set aside") => {
                     let word = text.split(' ').nth(1).and_then(|id| id.parse().ok());
@@ -81,12 +81,12 @@
                     let ill = backend.is_some_and(|backend| self.is_impaired(door, backend));
                     self.tally.set_aside[usize::from(ill)] += 1;
                 }
-                Action::CloseIdle(backend) => {
+                Action::CloseIdleConnections(backend) => {
                     let backend = self.by_id[&backend];
                     self.pool(door, |pool, _, acts| pool.silent(backend, acts));
                 }
                 #[cfg(not(feature = "base"))]
-                Action::Warm { backend, within } if self.spec.table.is_some() => {
+                Action::Preconnect { backend, within } if self.spec.table.is_some() => {
                     let backend = self.by_id[&backend];
                     self.pool(door, |pool, now, acts| {
                         pool.ahead(now, backend, within, acts);
@@ -100,7 +100,8 @@
     /// What it had at hand is lost; its clients wait in vain.
     pub(super) fn restart(&mut self, door: usize) {
         let (zone, seed) = (self.doors[door].zone, u64::from(self.chance.word()));
-        self.doors[door].gateway = Gateway::new(door_settings(&self.spec, door as u32, zone), seed);
+        self.doors[door].gateway =
+            PolicyEngine::new(door_settings(&self.spec, door as u32, zone), seed);
         let up = |node: &usize| {
             self.backends[*node].spec.listed && self.backends[*node].spec.ill != Ill::Dead
         };
@@ -109,6 +110,6 @@
             .into_iter()
             .map(|node| self.entry(node, Availability::Ready))
             .collect();
-        self.notify_door(door, Event::Backends(ListKind::Cached, list));
+        self.notify_door(door, Event::EndpointsChanged(ListKind::Cached, list));
     }
 }
--- a/crates/fleet-simulation/src/world/links.rs
+++ b/crates/fleet-simulation/src/world/links.rs
@@ -4,7 +4,7 @@
 use super::World;
 use crate::pooling::{Act, Dialled, Got, Pool};
 use crate::scenario::Ill;
-use cometspool::{Effect, Millis, Outcome};
+use cometspool::{Idempotency, Millis, Outcome};
 
 /// Time after which a dial that nobody answers is given up.
 const DIAL_TIMEOUT: Millis = 250.0;
@@ -41,7 +41,7 @@
                     self.settle(
                         call,
                         if full {
-                            Outcome::Full
+                            Outcome::Rejected
                         } else {
                             Outcome::ConnectFailed
                         },
@@ -59,7 +59,7 @@
             return;
         };
         let class = self.requests[self.calls[call].request as usize].class;
-        let once = self.spec.classes[class].class.effect == Effect::Unsafe;
+        let once = self.spec.classes[class].class.idempotency == Idempotency::NonIdempotent;
         loop {
             match self.pool(door, |pool, now, acts| {
                 pool.take(now, backend, call, once, acts)
@@ -165,7 +165,7 @@
         let Some(link) = self.calls[call].link.take() else {
             return;
         };
-        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full)
+        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected)
             && !self.links[link as usize].reset
         {
             self.pool(door, |pool, now, acts| pool.freed(now, backend, link, acts));
--- a/crates/fleet-simulation/src/world/schedule.rs
+++ b/crates/fleet-simulation/src/world/schedule.rs
@@ -1,7 +1,7 @@
 //! What is due in simulated time, in the order of its time; of two for one time, the one set first comes first.
 
 use super::World;
-use cometspool::{AlarmId, BackendEntry, Millis, Outcome};
+use cometspool::{BackendEntry, Millis, Outcome, TimerId};
 use std::cmp::{Ordering, Reverse};
 
 /// Something that happens at a set time.
@@ -14,7 +14,7 @@
     Again(u32),
     /// A front door reads a request.
     Read(u32),
-    Alarm(usize, AlarmId),
+    Alarm(usize, TimerId),
     /// An attempt's last byte comes to its backend.
     Begin(usize),
     /// A core has done the work of an attempt.
--- a/crates/fleet-simulation/tests/cold.rs
+++ b/crates/fleet-simulation/tests/cold.rs
@@ -77,9 +77,9 @@
         cores,
     } = fleet;
     let class = Class {
-        aim: 1200.0,
+        latency_objective: 1200.0,
         deadline: 3000.0,
-        effect: Effect::Safe,
+        idempotency: Idempotency::Idempotent,
         ..Class::default()
     };
     Spec {
@@ -91,8 +91,8 @@
                 ..Plan::default()
             }],
             max_attempts: 4,
-            second_copies: true,
-            cancel: true,
+            hedging: true,
+            cancellation: true,
             start_capacity: COLD.0,
             warm_up: COLD.1,
             overload_factor: OVERLOAD.0,
@@ -240,7 +240,7 @@
         spec.faults
             .extend((0..half).map(|i| (3000.0, Fault::Ill(i, Ill::Dead))));
         spec.faults
-            .extend((0..half).map(|i| (3200.0, Fault::Told(i, Availability::Gone))));
+            .extend((0..half).map(|i| (3200.0, Fault::Told(i, Availability::Removed))));
         spec.faults
             .extend((0..half).map(|i| (6000.0, Fault::Start(i))));
         burst(fleet, spec, 5500.0);
--- a/crates/fleet-simulation/tests/world.rs
+++ b/crates/fleet-simulation/tests/world.rs
@@ -8,9 +8,9 @@
 
 fn spec(seed: u64) -> Spec {
     let class = Class {
-        aim: 1200.0,
+        latency_objective: 1200.0,
         deadline: 3000.0,
-        effect: Effect::Safe,
+        idempotency: Idempotency::Idempotent,
         ..Class::default()
     };
     let faults = vec![
@@ -30,8 +30,8 @@
                 ..Plan::default()
             }],
             max_attempts: 4,
-            second_copies: true,
-            cancel: true,
+            hedging: true,
+            cancellation: true,
             ..Settings::default()
         },
         classes: vec![ClassSpec {
@@ -112,7 +112,7 @@
         let plan = Plan {
             rate: 10.0,
             burst: 20.0,
-            over_cost: 0.5,
+            over_quota_cost: 0.5,
             ceiling: Some(ceiling),
             ..Plan::default()
         };
--- a/src/bin/cometspool-simulator-adapter/main.rs
+++ b/src/bin/cometspool-simulator-adapter/main.rs
@@ -1,13 +1,13 @@
 //! Puts the decisions of cometspool on the simulator's wire: frames on standard input and output.
 //!
-//! One [`Gateway`] for each instance; this program translates and decides nothing.
+//! One [`PolicyEngine`] for each instance; this program translates and decides nothing.
 
 #![forbid(unsafe_code)]
 
 mod codec;
 
 use codec::{Record, Reply};
-use cometspool::settings::{self, Metric, Told};
+use cometspool::settings::{self, Metric, ParsedSettings};
 use cometspool::*;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -19,7 +19,7 @@
 static PANIC: Mutex<String> = Mutex::new(String::new());
 
 struct Instance {
-    gateway: Gateway,
+    gateway: PolicyEngine,
     metrics: Vec<Metric>,
 }
 
@@ -91,10 +91,12 @@
 ) -> Result<(), String> {
     match record {
         Record::Create { seed, facts } => {
-            let Told {
-                settings, metrics, ..
+            let ParsedSettings {
+                settings,
+                report_metrics: metrics,
+                ..
             } = settings::parse(&facts)?;
-            let gateway = guarded(|| Gateway::new(settings, seed))?;
+            let gateway = guarded(|| PolicyEngine::new(settings, seed))?;
             instances.insert(door, Instance { gateway, metrics });
             Ok(())
         }
@@ -131,7 +133,7 @@
                 2 => ListKind::Cached,
                 _ => ListKind::Failed,
             };
-            Event::Backends(kind, entries.iter().map(backend_entry).collect())
+            Event::EndpointsChanged(kind, entries.iter().map(backend_entry).collect())
         }
         Record::Ingress {
             id,
@@ -142,42 +144,42 @@
             units,
             class,
             again,
-        } => Event::Arrival(Request {
+        } => Event::RequestArrived(Request {
             id: RequestId(id),
             customer: CustomerId(customer),
             plan: PlanId(plan as usize),
             class: ClassId(usize::from(class)),
             units: f64::from(units),
             deadline,
-            spread: f64::from(doors),
-            again,
-            waited: 0.0,
+            gateway_count: f64::from(doors),
+            is_retry: again,
+            queued_for: 0.0,
         }),
         Record::FirstByte { id } => Event::StreamStarted(RequestId(id)),
-        Record::Settled(o) => Event::Settled(Settled {
+        Record::Settled(o) => Event::AttemptCompleted(AttemptCompleted {
             request: RequestId(o.id),
             attempt: u32::from(o.attempt),
             backend: BackendId(o.backend),
             outcome: outcome(o.outcome),
             elapsed: o.waited,
-            closed: o.closed,
-            use_of_quota: (o.used > 0).then(|| f64::from(o.used - 1) / 100.0),
-            true_units: (o.actual > 0).then(|| f64::from(o.actual)),
-            broken: 0,
-            report: settings::report(metrics, &o.stats),
+            request_closed: o.closed,
+            quota_usage: (o.used > 0).then(|| f64::from(o.used - 1) / 100.0),
+            actual_units: (o.actual > 0).then(|| f64::from(o.actual)),
+            broken_connections: 0,
+            load_report: settings::load_report(metrics, &o.stats),
         }),
-        Record::ClientGone { id } => Event::ClientGone(RequestId(id)),
-        Record::Alarm { name } => Event::Alarm(AlarmId(name)),
+        Record::ClientGone { id } => Event::ClientDisconnected(RequestId(id)),
+        Record::Alarm { name } => Event::TimerFired(TimerId(name)),
         Record::Probed {
             waited,
             backend,
             outcome: how,
             stats,
-        } => Event::Probed {
+        } => Event::HealthCheckCompleted {
             backend: BackendId(backend),
             outcome: outcome(how),
             elapsed: waited,
-            report: settings::report(metrics, &stats),
+            load_report: settings::load_report(metrics, &stats),
         },
         Record::Create { .. } | Record::Retire | Record::Unused => return None,
     })
@@ -191,17 +193,17 @@
         availability: match entry.availability {
             2 => Availability::Ready,
             1 => Availability::Draining,
-            _ => Availability::Gone,
+            _ => Availability::Removed,
         },
-        started: (entry.came_up != 0.0).then_some(entry.came_up),
-        size: f64::from(entry.size),
+        started_at: (entry.came_up != 0.0).then_some(entry.came_up),
+        weight: f64::from(entry.size),
     }
 }
 
 fn outcome(code: u16) -> Outcome {
     match code {
         0 => Outcome::Ok,
-        2 => Outcome::Full,
+        2 => Outcome::Rejected,
         3 => Outcome::Timeout,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
@@ -216,25 +218,25 @@
         Action::Send {
             request,
             backend,
-            limit,
+            timeout: limit,
             ..
         } => {
             reply.send(door, request.0, backend.0, limit.unwrap_or(0.0));
         }
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
             ..
         } => reply.refuse(door, request.0, retry_after.unwrap_or(0.0)),
         Action::Fail(request) => reply.fail(door, request.0),
-        Action::CallOff { request, attempt } => {
+        Action::CancelAttempt { request, attempt } => {
             reply.call_off(door, request.0, attempt.min(u32::from(u16::MAX)) as u16);
         }
-        Action::SetAlarm { at, alarm } => reply.set_alarm(door, at, alarm.0),
-        Action::Probe(backend) => reply.probe(door, backend.0),
-        Action::CloseIdle(backend) => reply.close_idle(door, backend.0),
+        Action::SetTimer { at, timer } => reply.set_alarm(door, at, timer.0),
+        Action::CheckHealth(backend) => reply.probe(door, backend.0),
+        Action::CloseIdleConnections(backend) => reply.close_idle(door, backend.0),
         // The simulator opens connections as they are needed.
-        Action::Warm { .. } => {}
+        Action::Preconnect { .. } => {}
         Action::Subscribe => reply.subscribe(door),
         Action::FetchList => reply.fetch_list(door),
         Action::Log(text) => reply.log(door, &text),
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -6,7 +6,7 @@
 use std::f64::consts::LN_2;
 
 /// A number drawn evenly from nought to one.
-pub(crate) fn chance(rng: &mut Pcg32) -> f64 {
+pub(crate) fn uniform(rng: &mut Pcg32) -> f64 {
     f64::from(rng.next_u32()) / 4_294_967_296.0
 }
 
@@ -34,19 +34,19 @@
 
 impl Cewma {
     /// Counts an arrival of `units`; `lambda` is ln 2 / halflife, per millisecond.
-    pub fn feed(&mut self, now: Millis, units: f64, lambda: f64) {
+    pub fn record(&mut self, now: Millis, units: f64, lambda: f64) {
         self.n = units + self.n * (lambda * (self.t - now)).exp();
         self.t = now;
     }
 
     /// What is left by now of what was counted, in units.
-    pub fn left(&self, now: Millis, lambda: f64) -> f64 {
+    pub fn decayed(&self, now: Millis, lambda: f64) -> f64 {
         self.n * (lambda * (self.t - now)).exp()
     }
 
     /// The recent rate, in units a second.
     pub fn rate(&self, now: Millis, lambda: f64) -> f64 {
-        1000.0 * lambda * self.left(now, lambda)
+        1000.0 * lambda * self.decayed(now, lambda)
     }
 }
 
--- a/src/measure/tests.rs
+++ b/src/measure/tests.rs
@@ -8,7 +8,7 @@
     let (mut rng, mut tenth) = (Pcg32::seed_from_u64(1), Quantile::new(50.0));
     let mut sum = 0.0;
     for i in 0..40_000 {
-        tenth.feed(100.0 * chance(&mut rng), 0.1, 0.02);
+        tenth.feed(100.0 * uniform(&mut rng), 0.1, 0.02);
         sum += if i >= 20_000 { tenth.get() } else { 0.0 };
     }
     assert!((sum / 20_000.0 - 10.0).abs() < 1.0, "{}", sum / 20_000.0);
--- a/src/net/control/config.rs
+++ b/src/net/control/config.rs
@@ -3,7 +3,7 @@
 use crate::net::control::endpoint_list::Members;
 use crate::net::control::fleet_section::{FleetSection, SectionError};
 use crate::net::runtime::clock::Skew;
-use cometspool::settings::{self, Told};
+use cometspool::settings::{self, ParsedSettings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::fmt::Write;
@@ -116,7 +116,7 @@
     /// How far its clock is off, in a test.
     pub clock: Skew,
     /// The settings.
-    pub told: Told,
+    pub told: ParsedSettings,
 }
 
 /// Fewest descriptors with which a front door can do its work.
@@ -198,7 +198,7 @@
     }
 
     /// The seed and the settings, if they and the limits are usable.
-    fn check(&self) -> Result<(u64, Told), ConfigError> {
+    fn check(&self) -> Result<(u64, ParsedSettings), ConfigError> {
         let seed = u64::from_str_radix(&self.seed, 16).map_err(|_| {
             ConfigError::Value(format!("seed: {:?} is not a hexadecimal number", self.seed))
         })?;
@@ -285,7 +285,7 @@
 
 fn word(value: &Value) -> Option<String> {
     match value {
-        Value::String(text) => Some(settings::plain(text)),
+        Value::String(text) => Some(settings::normalize_name(text)),
         Value::Bool(_) | Value::Number(_) => Some(value.to_string()),
         Value::Null | Value::Array(_) | Value::Object(_) => None,
     }
--- a/src/net/downstream/request.rs
+++ b/src/net/downstream/request.rs
@@ -6,8 +6,8 @@
 };
 use crate::net::runtime::budget::Budget;
 use crate::net::runtime::context::Site;
-use cometspool::settings::plain;
-use cometspool::{ClassId, CustomerId, Effect, Millis, PlanId, Settings};
+use cometspool::settings::normalize_name;
+use cometspool::{ClassId, CustomerId, Idempotency, Millis, PlanId, Settings};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Bytes, Incoming as IncomingBody};
 use hyper::header::{HeaderName, CONTENT_TYPE, COOKIE, HOST, TRANSFER_ENCODING};
@@ -91,7 +91,7 @@
     }
     let id = name(headers, &REQUEST_ID)?;
     let class = class(site, head)?;
-    let plan_name = plain(text(headers, &API_PLAN)?);
+    let plan_name = normalize_name(text(headers, &API_PLAN)?);
     let plan = site
         .names
         .plans
@@ -140,7 +140,7 @@
 /// The class, which header, path and method must agree on.
 fn class(site: &Site, head: &Parts) -> Result<usize, Bad> {
     let name = text(&head.headers, &REQUEST_CLASS)?;
-    let plain_name = plain(name);
+    let plain_name = normalize_name(name);
     let class = site
         .names
         .classes
@@ -156,10 +156,10 @@
         return Err(Bad::Class);
     }
     let keyed = head.headers.contains_key(IDEMPOTENCY_KEY);
-    let agrees = match site.settings.classes[class].effect {
-        Effect::Safe => head.method == Method::GET && !keyed,
-        Effect::Keyed { .. } => head.method == Method::POST && keyed,
-        Effect::Unsafe => head.method == Method::POST && !keyed,
+    let agrees = match site.settings.classes[class].idempotency {
+        Idempotency::Idempotent => head.method == Method::GET && !keyed,
+        Idempotency::WithKey { .. } => head.method == Method::POST && keyed,
+        Idempotency::NonIdempotent => head.method == Method::POST && !keyed,
     };
     if agrees {
         Ok(class)
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Due {
     /// An alarm of the module.
-    Alarm(AlarmId),
+    Alarm(TimerId),
     /// The time-out of an attempt.
     TimeOut(RequestId, u32),
     /// The client of a request stops waiting.
@@ -139,7 +139,7 @@
 }
 
 struct State {
-    gateway: Gateway,
+    gateway: PolicyEngine,
     requests: HashMap<RequestId, Entry>,
     /// Ids on the wire of the requests in the table, and of those over for less than [`ID_MEMORY`].
     ids: HashSet<Rc<str>>,
@@ -193,7 +193,13 @@
         let told = &config.told;
         let (clock, doors) = (Clock::skewed(config.clock), told.settings.gateways);
         let room = capacity::budget(config.sockets(), config.limits.memory_mb << 20);
-        let pools = Rc::new(Pools::new(told.links, room, doors, config.seed, clock));
+        let pools = Rc::new(Pools::new(
+            told.connections,
+            room,
+            doors,
+            config.seed,
+            clock,
+        ));
         let reading = Rc::new(Reading::new(told, config.limits.memory_mb << 20));
         let transport = Transport {
             pools: pools.clone(),
@@ -231,7 +237,7 @@
             pools,
             carrier,
             state: RefCell::new(State {
-                gateway: Gateway::new(told.settings.clone(), config.seed),
+                gateway: PolicyEngine::new(told.settings.clone(), config.seed),
                 requests: HashMap::new(),
                 ids: HashSet::new(),
                 past_ids: VecDeque::new(),
@@ -282,7 +288,7 @@
             Action::Send {
                 request,
                 backend,
-                limit,
+                timeout: limit,
                 begin_before,
                 delivery,
             } => {
@@ -296,21 +302,21 @@
                     delivery,
                 );
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
                 ..
             } => self.answer(request, Answer::Refused(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
-            Action::CallOff { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 self.settle(request, attempt, Ended::of(Outcome::Cancelled));
             }
-            Action::SetAlarm { at, alarm } => self.set_timer(at, Due::Alarm(alarm)),
-            Action::CloseIdle(backend) => self.pools.close_idle(backend),
-            Action::Warm { backend, within } => self.pools.ahead(backend, within),
+            Action::SetTimer { at, timer } => self.set_timer(at, Due::Alarm(timer)),
+            Action::CloseIdleConnections(backend) => self.pools.close_idle(backend),
+            Action::Preconnect { backend, within } => self.pools.ahead(backend, within),
             Action::Log(text) => eprintln!("{text}"),
             // Changes of the list come unasked, and probes are not permitted.
-            Action::Subscribe | Action::FetchList | Action::Probe(_) => {}
+            Action::Subscribe | Action::FetchList | Action::CheckHealth(_) => {}
         }
     }
 
@@ -368,11 +374,7 @@
         };
         let number = entry.attempts;
         entry.attempts += 1;
-        let copies = if self.site.settings.second_copies {
-            2
-        } else {
-            1
-        };
+        let copies = if self.site.settings.hedging { 2 } else { 1 };
         let fits = entry.answer.is_some()
             && entry.out.len() < copies
             && number < self.site.settings.max_attempts;
@@ -387,7 +389,7 @@
             let ended = Ended::of(Outcome::NotSent);
             self.post(
                 now,
-                Event::Settled(settled(id, number, backend, 0.0, &ended, false)),
+                Event::AttemptCompleted(settled(id, number, backend, 0.0, &ended, false)),
             );
             return;
         };
@@ -447,7 +449,7 @@
                 closed,
             )
         };
-        self.post(now, Event::Settled(event));
+        self.post(now, Event::AttemptCompleted(event));
         self.wind_up(id);
     }
 
@@ -498,7 +500,7 @@
 
     fn fire(&self, now: Millis, due: Due) {
         match due {
-            Due::Alarm(alarm) => self.post(now, Event::Alarm(alarm)),
+            Due::Alarm(alarm) => self.post(now, Event::TimerFired(alarm)),
             Due::TimeOut(id, number) => self.settle(id, number, Ended::of(Outcome::Timeout)),
             Due::Deadline(id) => {
                 // The module answers before this; a request that it holds must not stay without an answer.
@@ -510,7 +512,7 @@
                     .is_some_and(|e| e.answer.is_some());
                 if waited {
                     self.answer(id, Answer::Failed);
-                    self.post(now, Event::ClientGone(id));
+                    self.post(now, Event::ClientDisconnected(id));
                 }
             }
         }
@@ -523,7 +525,7 @@
         let availability = match member.health {
             Health::Up => Availability::Ready,
             Health::Draining => Availability::Draining,
-            Health::Removed => Availability::Gone,
+            Health::Removed => Availability::Removed,
         };
         match member.health {
             Health::Up => self.pools.open(id, member.dial, member.born_ms),
@@ -534,16 +536,16 @@
                 state.unborn.remove(&id);
             }
         }
-        let site = settings::plain(&member.site);
+        let site = settings::normalize_name(&member.site);
         let zone = self.site.names.zones.iter().position(|zone| *zone == site);
         BackendEntry {
             id,
             zone: ZoneId(zone.map_or(u32::MAX, |zone| zone as u32)),
             cell: CellId(member.block),
             availability,
-            started: (member.born_ms > 0.0)
+            started_at: (member.born_ms > 0.0)
                 .then(|| state.born(id, member.born_ms, self.site.clock.now())),
-            size: member.share,
+            weight: member.share,
         }
     }
 
@@ -585,7 +587,7 @@
 
     /// Tells the module how many front doors seem present, for its trials of ejected backends.
     pub(super) fn present(&self, doors: u32) {
-        self.post(self.site.clock.now(), Event::Present(doors));
+        self.post(self.site.clock.now(), Event::FleetSizeChanged(doors));
     }
 
     /// Disposes of idle connections before backends do, for as long as the front door runs.
@@ -622,7 +624,8 @@
             if let Some(handover) = &mut state.handover {
                 handover.taken(&name, budget.end());
             }
-            let safe = self.site.settings.classes[incoming.class.0].effect == Effect::Safe;
+            let safe =
+                self.site.settings.classes[incoming.class.0].idempotency == Idempotency::Idempotent;
             let (order, answer) = (Rc::new(incoming.order), Some(sender));
             state.requests.insert(
                 id,
@@ -645,15 +648,15 @@
             class: incoming.class,
             units: incoming.units,
             deadline: budget.end(),
-            spread: incoming.spread,
-            again: incoming.again,
-            waited: (now - incoming.at).max(0.0),
+            gateway_count: incoming.spread,
+            is_retry: incoming.again,
+            queued_for: (now - incoming.at).max(0.0),
         };
         if incoming.budget.over(now) {
             // It waited unread until nobody waited for it: there is nothing to decide.
             self.answer(id, Answer::Failed);
         } else {
-            self.post(now, Event::Arrival(request));
+            self.post(now, Event::RequestArrived(request));
         }
         Some((id, receiver))
     }
@@ -667,7 +670,7 @@
                 .is_some_and(|entry| entry.answer.take().is_some())
         };
         if waited {
-            self.post(self.site.clock.now(), Event::ClientGone(id));
+            self.post(self.site.clock.now(), Event::ClientDisconnected(id));
             self.wind_up(id);
         }
     }
@@ -695,7 +698,7 @@
         let stop = self.state.borrow().stop;
         self.post(
             self.site.clock.now(),
-            Event::Stopping(stop.unwrap_or_default()),
+            Event::ShutdownStarted(stop.unwrap_or_default()),
         );
     }
 
@@ -760,7 +763,10 @@
             addresses.retain(|_, holder| backends.contains_key(&holder.host));
             entries
         };
-        self.post(self.site.clock.now(), Event::Backends(kind, entries));
+        self.post(
+            self.site.clock.now(),
+            Event::EndpointsChanged(kind, entries),
+        );
     }
 }
 
@@ -891,18 +897,18 @@
     elapsed: Millis,
     ended: &Ended,
     closed: bool,
-) -> Settled {
-    Settled {
+) -> AttemptCompleted {
+    AttemptCompleted {
         request,
         attempt,
         backend,
         outcome: ended.outcome,
         elapsed,
-        closed,
-        use_of_quota: ended.used,
-        true_units: ended.charge,
-        report: ended.report,
-        broken: ended.broken,
+        request_closed: closed,
+        quota_usage: ended.used,
+        actual_units: ended.charge,
+        load_report: ended.report,
+        broken_connections: ended.broken,
     }
 }
 
--- a/src/net/driver/schedules.rs
+++ b/src/net/driver/schedules.rs
@@ -6,7 +6,7 @@
 use crate::net::messages::Presence;
 use crate::net::runtime::budget::Budget;
 use cometspool::settings::Names;
-use cometspool::settings::{Links, Told};
+use cometspool::settings::{ConnectionSettings, ParsedSettings};
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
 use proptest::prelude::*;
@@ -73,7 +73,7 @@
         let mut pick = |n: u32| rng.next_u32() % n;
         let outcome = match pick(10) {
             0 => Outcome::Error,
-            1 => Outcome::Full,
+            1 => Outcome::Rejected,
             2 => Outcome::ConnectFailed,
             3 => Outcome::Reset,
             _ => Outcome::Ok,
@@ -110,27 +110,31 @@
 
 fn settings(copies: bool) -> Settings {
     let class = |effect| Class {
-        aim: 1200.0,
+        latency_objective: 1200.0,
         deadline: LONGEST,
-        effect,
+        idempotency: effect,
         ..Class::default()
     };
-    let keyed = Effect::Keyed {
-        group: Group::All,
-        memory: 5000.0,
+    let keyed = Idempotency::WithKey {
+        scope: DeduplicationScope::All,
+        retention: 5000.0,
     };
     Settings {
         gateways: 2,
         tick: 4.0,
-        classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(keyed),
+            class(Idempotency::NonIdempotent),
+        ],
         plans: vec![Plan {
             rate: 1000.0,
             burst: 4000.0,
             ..Plan::default()
         }],
         max_attempts: 4,
-        second_copies: copies,
-        cancel: true,
+        hedging: copies,
+        cancellation: true,
         retry_after: true,
         max_retry_after: 2000.0,
         ..Settings::default()
@@ -139,12 +143,12 @@
 
 /// A driver over the stand-in, with a list of backends.
 fn door(settings: Settings, seed: u64, backends: u32, world: &Rc<RefCell<World>>) -> Rc<Door> {
-    let links = Links::default();
-    let told = Told {
+    let links = ConnectionSettings::default();
+    let told = ParsedSettings {
         settings,
-        metrics: Vec::new(),
+        report_metrics: Vec::new(),
         names: Names::default(),
-        links,
+        connections: links,
     };
     let address = "127.0.0.1:1".parse().expect("an address");
     let limits = Limits {
@@ -187,7 +191,7 @@
                 noted.line.pretend_whole();
             }
             tokio::time::sleep(Duration::from_secs_f64(fate.after / 1000.0)).await;
-            let proven = matches!(fate.outcome, Outcome::Full | Outcome::ConnectFailed);
+            let proven = matches!(fate.outcome, Outcome::Rejected | Outcome::ConnectFailed);
             noted.world.borrow_mut().seen[noted.place].never_ran |= proven;
             Ended::of(fate.outcome)
         }) as Pin<Box<dyn Future<Output = Ended>>>
@@ -598,17 +602,17 @@
         };
         let first = door
             .entry(&mut door.state.borrow_mut(), &member(ahead))
-            .started
+            .started_at
             .expect("a start");
         assert!(first <= door.site.clock.now());
         pass(5000.0).await;
         let again = door
             .entry(&mut door.state.borrow_mut(), &member(ahead))
-            .started;
+            .started_at;
         assert_eq!(again, Some(first), "told again, it is no other start");
         let later = door
             .entry(&mut door.state.borrow_mut(), &member(ahead + 1.0))
-            .started
+            .started_at
             .expect("a start");
         assert!(
             later > first && later <= door.site.clock.now(),
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -2,7 +2,7 @@
 //! attempt ended, the one final answer.
 
 use crate::net::runtime::budget::Budget;
-use cometspool::{ClassId, CustomerId, Millis, Outcome, PlanId, Report};
+use cometspool::{ClassId, CustomerId, LoadReport, Millis, Outcome, PlanId};
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::header::{HeaderName, HeaderValue, HOST};
@@ -107,7 +107,7 @@
     /// The true units.
     pub charge: Option<f64>,
     /// The backend's load.
-    pub report: Report,
+    pub report: LoadReport,
     /// Connections that had come up and broke under it.
     pub broken: u32,
 }
@@ -120,7 +120,7 @@
             body: Bytes::new(),
             used: None,
             charge: None,
-            report: Report::default(),
+            report: LoadReport::default(),
             broken: 0,
         }
     }
--- a/src/net/runtime/context.rs
+++ b/src/net/runtime/context.rs
@@ -2,7 +2,7 @@
 
 use crate::net::runtime::budget::{Lag, Woken};
 use crate::net::runtime::clock::Clock;
-use cometspool::settings::{Names, Told};
+use cometspool::settings::{Names, ParsedSettings};
 use cometspool::{Millis, Settings};
 
 /// The clock, how far the process was kept from running, and what the deployment told.
@@ -19,7 +19,7 @@
 
 impl Site {
     /// A front door that was told this; its process began with `woken`.
-    pub(crate) fn new(told: &Told, woken: Woken, clock: Clock) -> Site {
+    pub(crate) fn new(told: &ParsedSettings, woken: Woken, clock: Clock) -> Site {
         let since = clock.of(woken.start());
         let (settings, names) = (told.settings.clone(), told.names.clone());
         Site {
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -112,7 +112,7 @@
         }
         let connection = taken.map_err(|why| match why {
             NoConnection::Own => Outcome::NotSent,
-            NoConnection::Full => Outcome::Full,
+            NoConnection::Full => Outcome::Rejected,
             NoConnection::Theirs => Outcome::ConnectFailed,
         })?;
         // It may have outlasted the backend's place in the list, too.
@@ -153,7 +153,7 @@
         let whole = connection.wire.whole();
         // What is answered before it was written whole was answered unseen, and its connection is of no more use.
         let Some(received) =
-            received.filter(|received| whole || received.ended.outcome == Outcome::Full)
+            received.filter(|received| whole || received.ended.outcome == Outcome::Rejected)
         else {
             return if whole {
                 Exchange::BrokenSent
@@ -162,7 +162,7 @@
             };
         };
         // A new connection's first request turned away tells of a table that is full.
-        if received.ended.outcome == Outcome::Full && connection.kept.is_none() {
+        if received.ended.outcome == Outcome::Rejected && connection.kept.is_none() {
             self.pools.crowded(backend);
         }
         if whole && received.delimited {
--- a/src/net/upstream/attempt/tests.rs
+++ b/src/net/upstream/attempt/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::net::messages::Presence;
 use crate::net::runtime::budget::Budget;
-use cometspool::settings::{self, Links};
+use cometspool::settings::{self, ConnectionSettings};
 use hyper::body::Bytes;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
@@ -25,10 +25,10 @@
 }
 
 fn transport() -> Transport {
-    let links = Links {
+    let links = ConnectionSettings {
         dial_timeout: 20_000.0,
-        idle_close: 600_000.0,
-        ..Links::default()
+        idle_timeout: 600_000.0,
+        ..ConnectionSettings::default()
     };
     let told = settings::parse("extra.max_units=8").expect("settings");
     let (clock, reading) = (Clock::new(), Rc::new(Reading::new(&told, 0)));
@@ -383,7 +383,7 @@
             &line,
         );
         let (ended, ()) = tokio::join!(sent, answer);
-        assert_eq!(ended.outcome, Outcome::Full);
+        assert_eq!(ended.outcome, Outcome::Rejected);
         assert!(
             before > 10 && transport.pools.most(BackendId(1)) == 1,
             "{before}, {}",
--- a/src/net/upstream/pool_driver.rs
+++ b/src/net/upstream/pool_driver.rs
@@ -316,7 +316,7 @@
 impl Pools {
     /// No backends yet, and at most `budget` connections, for one of `doors` front doors.
     pub(crate) fn new(
-        told: settings::Links,
+        told: settings::ConnectionSettings,
         budget: usize,
         doors: u32,
         seed: u64,
@@ -324,10 +324,10 @@
     ) -> Pools {
         let bounds = Bounds {
             budget,
-            idle_close: told.idle_close,
+            idle_close: told.idle_timeout,
             doors,
-            handshake_price: told.handshake_price,
-            connection_price: told.connection_price,
+            handshake_price: told.handshake_cost,
+            connection_price: told.connection_cost,
         };
         let shared = Shared {
             clock,
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -4,8 +4,8 @@
 //! connection (RFC 9112, 6.3): it is whole where that is closed in order, and cut where it is reset.
 
 use crate::net::messages::{Ended, LONGEST_BODY};
-use cometspool::settings::{self, Metric, Told};
-use cometspool::{Outcome, Report};
+use cometspool::settings::{self, Metric, ParsedSettings};
+use cometspool::{LoadReport, Outcome};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{HeaderName, CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -103,24 +103,24 @@
 
 impl Reading {
     /// Reads as the settings tell, within `memory` bytes for all.
-    pub(crate) fn new(told: &Told, memory: usize) -> Reading {
+    pub(crate) fn new(told: &ParsedSettings, memory: usize) -> Reading {
         Reading {
             names: told.names.metrics.clone(),
-            metrics: told.metrics.clone(),
+            metrics: told.report_metrics.clone(),
             max_units: told.settings.max_units,
             budget: MemoryBudget::new(memory / BUDGET_PART),
         }
     }
 
-    fn report(&self, text: &str) -> Report {
-        let mut report = Report::default();
+    fn report(&self, text: &str) -> LoadReport {
+        let mut report = LoadReport::default();
         for (name, value) in text
             .split(',')
             .filter_map(|field| field.trim().split_once('='))
         {
             let place = self.names.iter().position(|known| known == name);
             if let (Some(place), Ok(value)) = (place, value.parse::<f32>()) {
-                settings::tell(&mut report, self.metrics[place], value);
+                settings::set_metric(&mut report, self.metrics[place], value);
             }
         }
         report
@@ -211,7 +211,7 @@
     );
     match status {
         StatusCode::OK => Outcome::Ok,
-        _ if unavailable && text(headers, &NOT_STARTED) == Some("1") => Outcome::Full,
+        _ if unavailable && text(headers, &NOT_STARTED) == Some("1") => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -125,12 +125,15 @@
         customer.largest = customer.largest.max(request.units);
         let excess = customer.excess(now, plan, &part, seen);
         customer.refill(now, plan, &part, seen.pressure, excess > 1.0);
-        customer.average.feed(now, request.units, part.lambda);
+        customer.average.record(now, request.units, part.lambda);
         if plan.rate > 0.0 {
             // The box: beyond the limit everything is refused until the estimate has decayed.
             let rate = customer.average.rate(now, part.lambda);
             if rate > part.limit {
-                return Err((Why::Box, Some((rate / part.limit).ln() / part.lambda)));
+                return Err((
+                    RejectReason::PenaltyBox,
+                    Some((rate / part.limit).ln() / part.lambda),
+                ));
             }
             // Guards against slices too small to tell use past the quota: slivers let in by all evidence.
             let strain = if part.sliver {
@@ -141,8 +144,9 @@
             customer.share = seen.opening / strain.max(seen.opening);
             // By Little's law a cap on attempts out is a rate too: what others have out is not seen.
             let others = excess.min(1.0) * plan.rate * seen.per_unit * (1.0 - 1.0 / part.spread);
-            let spare = f64::from(plan.max_open) - f64::from(customer.cap.open);
-            let capped = part.open < 1.0 && others > 0.0 && plan.over_worth <= plan.over_cost;
+            let spare = f64::from(plan.max_concurrency) - f64::from(customer.cap.open);
+            let capped =
+                part.open < 1.0 && others > 0.0 && plan.over_quota_weight <= plan.over_quota_cost;
             let fits = if capped {
                 spare / (others + others.sqrt())
             } else {
@@ -156,38 +160,41 @@
             // Past a dry quota it only takes the place of what others let in, the more of them there are.
             let past = strain.max(sudden).max(1.0).powf(part.spread.ln());
             if seen.luck > fits.min(customer.share / past) {
-                return Err((Why::Chance, None));
+                return Err((RejectReason::LoadShedding, None));
             }
             // Under pressure a slice keeps a reserve: those nearest the end of their quotas give way first.
             let short = request.units + seen.pressure * (part.depth - request.units).max(0.0)
                 - customer.slice;
             if short > 0.0 {
-                return Err((Why::Slice, Some(1000.0 * short / customer.flow)));
+                return Err((
+                    RejectReason::TokenBucket,
+                    Some(1000.0 * short / customer.flow),
+                ));
             }
         }
         customer.cap.pass_time(now, part.open, self.terms.aim);
         if plan.ceiling.is_some() && customer.ceiling.0 < request.units {
-            return Err((Why::Ceiling, None));
+            return Err((RejectReason::Ceiling, None));
         }
         customer
             .cap
             .allows(plan, part.open)
             .then_some(())
-            .ok_or((Why::OpenCap, None))
+            .ok_or((RejectReason::ConcurrencyLimit, None))
     }
 
     /// A request that was let in has its backend: its units are taken.
     pub(super) fn take(&mut self, now: Millis, request: &Request) {
         let quick = HALFLIFE_BURSTS * self.lambda(&self.terms.set.plans[request.plan.0]);
         if let Some(customer) = self.customers.get_mut(&request.customer) {
-            customer.recent.feed(now, request.units, quick);
+            customer.recent.record(now, request.units, quick);
             customer.slice -= request.units;
             customer.ceiling.0 -= request.units;
         }
     }
 
     /// An attempt ended, with what its answer tells of the customer's use.
-    pub(super) fn settle(&mut self, now: Millis, request: &Request, settled: &Settled) {
+    pub(super) fn settle(&mut self, now: Millis, request: &Request, settled: &AttemptCompleted) {
         let part = self.part(request);
         let plan = &self.terms.set.plans[request.plan.0];
         let Some(customer) = self.customers.get_mut(&request.customer) else {
@@ -195,14 +202,14 @@
         };
         customer.cap.pass_time(now, part.open, self.terms.aim);
         customer.cap.open = customer.cap.open.saturating_sub(1);
-        if let Some(true_units) = settled.true_units.filter(|u| u.is_finite()) {
+        if let Some(true_units) = settled.actual_units.filter(|u| u.is_finite()) {
             // The quota counts the true units, so the slice does; the ceiling goes by the guess.
             customer.slice = (customer.slice + request.units - true_units).min(part.depth);
         }
         // A figure that is absurd counts no more than one at which the box shuts.
         let most = part.limit / plan.rate.max(1e-9);
         if let Some(used) = settled
-            .use_of_quota
+            .quota_usage
             .filter(|u| u.is_finite() && *u >= 0.0)
             .map(|u| u.min(most))
         {
@@ -249,22 +256,22 @@
             .max(request.units);
         let lambda = self.lambda(plan);
         let (even, open) = (
-            plan.burst / request.spread,
-            f64::from(plan.max_open) / request.spread,
+            plan.burst / request.gateway_count,
+            f64::from(plan.max_concurrency) / request.gateway_count,
         );
-        let sliver = request.spread > 1.0 && even < SLICE_LEAST * self.usual;
+        let sliver = request.gateway_count > 1.0 && even < SLICE_LEAST * self.usual;
         let held = if sliver { plan.burst } else { even };
         Part {
             lambda,
             recall: if sliver { lambda } else { RECALL * lambda },
             limit: BOX_FACTOR * plan.rate + 1000.0 * lambda * plan.burst,
-            even: plan.rate / request.spread,
+            even: plan.rate / request.gateway_count,
             sliver,
             depth: held.max(SLICE_LEAST * largest),
-            spread: request.spread,
+            spread: request.gateway_count,
             usual: self.usual,
             told: self.told,
-            open: if plan.max_open > 0 {
+            open: if plan.max_concurrency > 0 {
                 open
             } else {
                 f64::INFINITY
@@ -281,7 +288,7 @@
         let longest = rated.map(Self::halflife).fold(1000.0, f64::max);
         let age = EVICT_HALFLIVES * longest;
         self.evict_at = now + age / 4.0;
-        let left = |c: &Customer| c.average.left(now, LN_2 / longest);
+        let left = |c: &Customer| c.average.decayed(now, LN_2 / longest);
         self.customers
             .retain(|_, c| c.cap.open > 0 || now - c.t < age || left(c) > 0.01);
     }
@@ -291,7 +298,7 @@
     /// How likely a request has to be past its quota to be worth less than nothing: what one past it costs
     /// over what both errors cost. Where room at the backends is short, by this part, it has a price as well.
     fn doubt(&self, short: f64) -> f64 {
-        let loss = self.over_cost - self.over_worth;
+        let loss = self.over_quota_cost - self.over_quota_weight;
         ((loss + short) / (1.0 + loss).max(LEAST_DOUBT)).clamp(LEAST_DOUBT, 1.0 - LEAST_DOUBT)
     }
 }
@@ -319,7 +326,7 @@
         };
         sure(asked, held + burst)
             .max(sure(
-                self.average.left(now, part.lambda),
+                self.average.decayed(now, part.lambda),
                 quota + plan.burst,
             ))
             .max(0.0)
@@ -346,12 +353,12 @@
             0.0
         };
         let here = (holds * least + trust * here.clamp(least, 1.0)) / (holds + trust);
-        let repeat = if of.again {
+        let repeat = if of.is_retry {
             of.units * opening / likely
         } else {
             0.0
         };
-        (self.recent.left(now, quick) / here).max(repeat) / holds.max(1e-9)
+        (self.recent.decayed(now, quick) / here).max(repeat) / holds.max(1e-9)
     }
 
     /// Brings slice and ceiling part up to now; the slice's flow follows demand as the design says.
--- a/src/policy/backends.rs
+++ b/src/policy/backends.rs
@@ -2,7 +2,7 @@
 
 use super::guards::Due;
 use super::Terms;
-use crate::measure::{chance, Fading, Ratio};
+use crate::measure::{uniform, Fading, Ratio};
 use crate::policy_api::*;
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
@@ -250,7 +250,7 @@
         let others = self.ready.len().saturating_sub(1).max(1) as f64;
         let meeting = self.doors * (CIRCLE_LEAST / others).min(1.0);
         let doubled = f64::from(1 << (times - 1).min(EJECT_DOUBLINGS));
-        meeting.max(EJECT_AIMS) * self.terms.aim * doubled * (0.5 + chance(rng))
+        meeting.max(EJECT_AIMS) * self.terms.aim * doubled * (0.5 + uniform(rng))
     }
 
     /// What an outcome tells of its backend; it may be told to the operators, and close connections.
@@ -258,7 +258,7 @@
         &mut self,
         now: Millis,
         asked: &Request,
-        settled: &Settled,
+        settled: &AttemptCompleted,
         rng: &mut Pcg32,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -274,7 +274,7 @@
         // The last attempt of a request is called off at its cut, before its own time-out.
         let slow = matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
         if silent && (outcome == Outcome::Timeout || (outcome == Outcome::Cancelled && hung)) {
-            actions.push(Action::CloseIdle(settled.backend));
+            actions.push(Action::CloseIdleConnections(settled.backend));
         }
         if let Some(flight) = flight.filter(|_| outcome == Outcome::Ok || (slow && !hung)) {
             let others = self.all.len().saturating_sub(1).max(1) as f64;
@@ -289,7 +289,7 @@
         // Guards against trouble on the way taken for sick backends: where connections break everywhere, each
         // would be set aside in turn and the rest be crowded. It costs some requests at a backend that takes
         // connections and breaks every one; a process that died refuses the next one, and that tells enough.
-        let broke = if settled.broken > 0 {
+        let broke = if settled.broken_connections > 0 {
             Some(BREAK_STEP)
         } else {
             None
@@ -299,7 +299,7 @@
             Fault::Hanging(class),
             (Fault::Failing, 0.0, 0.0),
         );
-        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
+        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             self.all[at].answered.insert(class, now);
             self.blame(now, at, (hanging, 0.0, 0.5));
         } else if slow && hung {
@@ -311,7 +311,7 @@
             Outcome::ConnectFailed => ((failing, 1.0, broke.unwrap_or(1.0)), none),
             Outcome::Reset => ((failing, 1.0, broke.unwrap_or(FAULT_STEP)), none),
             Outcome::Timeout => ((failing, 1.0, FAULT_STEP), none),
-            Outcome::Full => ((Fault::Full(asked.plan), 1.0, FAULT_STEP), none),
+            Outcome::Rejected => ((Fault::Full(asked.plan), 1.0, FAULT_STEP), none),
             Outcome::Cancelled | Outcome::NotSent => (none, none),
         };
         self.blame(now, at, first);
@@ -362,21 +362,23 @@
         if whole {
             self.all
                 .iter_mut()
-                .for_each(|backend| backend.entry.availability = Availability::Gone);
+                .for_each(|backend| backend.entry.availability = Availability::Removed);
         }
         for entry in entries {
             let entry = BackendEntry {
-                size: in_range(entry.size, 0.01, 1e6, 1.0),
+                weight: in_range(entry.weight, 0.01, 1e6, 1.0),
                 ..*entry
             };
             // Guards against all gateways' first requests in one instant: each has yet to earn a part.
-            let debt = self.terms.set.max_units.max(1.0) * chance(rng);
+            let debt = self.terms.set.max_units.max(1.0) * uniform(rng);
             let fresh = Backend::new(entry, now, debt);
             match self
                 .all
                 .binary_search_by_key(&entry.id, |backend| backend.entry.id)
             {
-                Ok(at) if self.all[at].entry.started == entry.started => self.all[at].entry = entry,
+                Ok(at) if self.all[at].entry.started_at == entry.started_at => {
+                    self.all[at].entry = entry;
+                }
                 Ok(at) => {
                     self.all[at] = Backend {
                         out: std::mem::take(&mut self.all[at].out),
@@ -387,7 +389,7 @@
             }
         }
         self.all
-            .retain(|b| b.entry.availability != Availability::Gone || !b.out.is_empty());
+            .retain(|b| b.entry.availability != Availability::Removed || !b.out.is_empty());
         let ready = |at: &usize| self.all[*at].entry.availability == Availability::Ready;
         self.ready = (0..self.all.len()).filter(ready).collect();
     }
--- a/src/policy/guards.rs
+++ b/src/policy/guards.rs
@@ -97,7 +97,7 @@
     pub(super) fn allows(&self, plan: &Plan, part: f64) -> bool {
         let open = f64::from(self.open + 1);
         let most = if part < 1.0 {
-            f64::from(plan.max_open)
+            f64::from(plan.max_concurrency)
         } else {
             part
         };
@@ -123,8 +123,9 @@
         even_rate: f64,
     ) -> f64 {
         // Warmth rises evenly: what it was on average since then counts, not what it is now.
-        let warmth = (set.warmth(self.at, entry) + set.warmth(now, entry)) / 2.0;
-        let rate = warmth * even_rate * entry.size;
+        let warmth =
+            (set.slow_start_fraction(self.at, entry) + set.slow_start_fraction(now, entry)) / 2.0;
+        let rate = warmth * even_rate * entry.weight;
         let most = set.max_units.max(1.0);
         (self.units + rate * (now - self.at) / 1000.0).clamp(-most, most)
     }
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -3,7 +3,7 @@
 use super::backends::{Backend, Fleet, CIRCLE_LEAST, FORGOTTEN};
 use super::retry::{Live, Reach};
 use super::Terms;
-use crate::measure::{chance, Cewma};
+use crate::measure::{uniform, Cewma};
 use crate::policy_api::*;
 use rand_pcg::Pcg32;
 use std::f64::consts::LN_2;
@@ -53,7 +53,7 @@
 
     /// Units within the quotas ask to be sent on.
     pub(super) fn asked(&mut self, now: Millis, units: f64) {
-        self.demand.feed(now, units, self.lambda());
+        self.demand.record(now, units, self.lambda());
     }
 
     fn lambda(&self) -> f64 {
@@ -81,7 +81,8 @@
     fn circle(&self, now: Millis, has: &[BackendId], fleet: &Fleet) -> Vec<usize> {
         let (count, gateways) = (fleet.ready.len(), self.terms.gateways);
         let wanted = (CIRCLE_GATEWAYS * count as f64 / gateways).max(CIRCLE_LEAST);
-        let own = f64::from(self.terms.set.me % self.terms.set.gateways.max(1)) / gateways;
+        let own =
+            f64::from(self.terms.set.gateway_index % self.terms.set.gateways.max(1)) / gateways;
         let slack = ((CIRCLE_SLACK * wanted) as usize).min(count);
         let first = (own * count as f64) as usize + count - slack;
         let subset = |step: usize| fleet.ready[(first + step) % count];
@@ -100,7 +101,7 @@
             .take_while(|at| {
                 let (backend, more) = (&fleet.all[*at], held < wanted);
                 if backend.ejections == 0 && fleet.shunned(now, backend) <= FORGOTTEN {
-                    held += self.terms.set.warmth(now, &backend.entry);
+                    held += self.terms.set.slow_start_fraction(now, &backend.entry);
                 }
                 more
             });
@@ -118,12 +119,12 @@
         if within < self.terms.set.warm_up / 4.0 {
             let fresh = circle.iter().map(id).filter(|id| !self.kept.contains(id));
             self.warm
-                .extend(fresh.map(|backend| Action::Warm { backend, within }));
+                .extend(fresh.map(|backend| Action::Preconnect { backend, within }));
         }
         self.kept = circle.iter().map(id).collect();
         let part = 4.0 * (now - self.kept_at) / self.terms.set.warm_up.max(1.0);
         self.kept_at = now;
-        if chance(rng) < part {
+        if uniform(rng) < part {
             let subset = self.circle(now, &[], fleet);
             let beside = circle.iter().position(|at| !subset.contains(at));
             beside.map(|place| self.kept.remove(place));
@@ -137,8 +138,8 @@
         let (size, able) = circle.iter().fold((0.0, 0.0), |(size, able), at| {
             let entry = &fleet.all[*at].entry;
             (
-                size + entry.size,
-                able + entry.size * self.terms.set.warmth(now, entry),
+                size + entry.weight,
+                able + entry.weight * self.terms.set.slow_start_fraction(now, entry),
             )
         });
         f64::max(able, size / self.terms.set.overload_factor.max(1.0)).max(0.01)
@@ -154,7 +155,7 @@
         rng: &mut Pcg32,
     ) -> Option<Choice> {
         let (now, fleet, set, (demand, even_rate)) = (ask.now, ask.fleet, &self.terms.set, rates);
-        let safe = set.classes[ask.live.request.class.0].effect == Effect::Safe;
+        let safe = set.classes[ask.live.request.class.0].idempotency == Idempotency::Idempotent;
         let pace = fleet.common_pace();
         let load = demand * pace / 1000.0;
         let turn = pace / (1.0 + (load / among.len().max(1) as f64 / SPARSE_LOAD).powi(4));
@@ -167,14 +168,14 @@
             );
             let copied = ask.live.out.iter().any(|out| out.to == id);
             let barred = bars && backend.barred(now, safe);
-            let too_cold = due <= 0.0 && set.warmth(now, &backend.entry) < 1.0;
+            let too_cold = due <= 0.0 && set.slow_start_fraction(now, &backend.entry) < 1.0;
             if copied || barred || too_cold || !ask.reach.holds(&backend.entry) {
                 continue;
             }
             let pace = fleet.pace(backend);
             let wait = pace * backend.load_out();
             let cost =
-                self.cost(ask, backend, wait, pace) * (1.0 + 0.05 * chance(rng)) - turn * due;
+                self.cost(ask, backend, wait, pace) * (1.0 + 0.05 * uniform(rng)) - turn * due;
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((
                     cost,
@@ -193,7 +194,7 @@
     /// What sending a request to a backend is expected to cost, as time.
     fn cost(&self, ask: &Ask, backend: &Backend, wait: Millis, pace: f64) -> Millis {
         let (set, request, now) = (&self.terms.set, &ask.live.request, ask.now);
-        let doubt = if set.classes[request.class.0].effect == Effect::Unsafe {
+        let doubt = if set.classes[request.class.0].idempotency == Idempotency::NonIdempotent {
             2.0
         } else {
             1.0
@@ -201,7 +202,7 @@
         let overdue = ask.fleet.overdue(now, backend, request.class);
         let distrust = ask.fleet.distrust(now, backend, request) * doubt;
         let time = wait.max(overdue) + pace * request.units;
-        let crossing = CROSSING_AIMS * set.cross_zone_price * self.terms.aim;
+        let crossing = CROSSING_AIMS * set.cross_zone_cost * self.terms.aim;
         let crossing = if backend.entry.zone == set.zone {
             0.0
         } else {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -8,7 +8,7 @@
 mod load_balancing;
 mod retry;
 
-use crate::measure::chance;
+use crate::measure::uniform;
 use crate::policy_api::*;
 use admission::{Quotas, Seen};
 use backends::{Fleet, Flight};
@@ -20,10 +20,10 @@
 use std::sync::Arc;
 
 const PATIENCE: f64 = 1.5; // times the expected answer that a client must have: half take longer
-const LIST_ALARM: AlarmId = AlarmId(u64::MAX); // asks again for the list of backends
+const LIST_ALARM: TimerId = TimerId(u64::MAX); // asks again for the list of backends
 
 /// Why a request is refused, and how long the reason will last if that is known.
-type Refused = (Why, Option<Millis>);
+type Refused = (RejectReason, Option<Millis>);
 
 /// What all parts go by: the settings and, of these, the shortest aim and the number of gateways.
 struct Terms {
@@ -33,7 +33,7 @@
 }
 
 /// The decisions of one gateway.
-pub struct Gateway {
+pub struct PolicyEngine {
     terms: Arc<Terms>,
     rng: Pcg32,
     born: Option<Millis>,
@@ -45,16 +45,16 @@
     stop: Option<Millis>, // when a planned stop has all answered, once there is one
 }
 
-impl Gateway {
+impl PolicyEngine {
     /// A gateway with these settings; `seed` is its only source of chance.
     pub fn new(set: Settings, seed: u64) -> Self {
         let gateways = f64::from(set.gateways.max(1));
         let terms = Arc::new(Terms {
-            aim: set.shortest_aim(),
+            aim: set.shortest_latency_objective(),
             set,
             gateways,
         });
-        Gateway {
+        PolicyEngine {
             rng: Pcg32::seed_from_u64(seed),
             born: None,
             quotas: Quotas::new(terms.clone()),
@@ -71,45 +71,48 @@
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.born.get_or_insert(now);
         match event {
-            Event::Backends(kind, entries) => self.listed(now, kind, &entries, actions),
-            Event::Arrival(request) => self.arrived(now, request, actions),
+            Event::EndpointsChanged(kind, entries) => self.listed(now, kind, &entries, actions),
+            Event::RequestArrived(request) => self.arrived(now, request, actions),
             Event::StreamStarted(id) => {
                 self.attempts
                     .live
                     .entry(id)
                     .and_modify(|live| live.started = true);
             }
-            Event::Settled(settled) => self.settled(now, &settled, actions),
-            Event::ClientGone(id) => self.abandon(id, actions),
-            Event::Alarm(LIST_ALARM) => actions.push(Action::Subscribe),
-            Event::Alarm(AlarmId(name)) => match (name >> 32, RequestId(name as u32)) {
+            Event::AttemptCompleted(settled) => self.settled(now, &settled, actions),
+            Event::ClientDisconnected(id) => self.abandon(id, actions),
+            Event::TimerFired(LIST_ALARM) => actions.push(Action::Subscribe),
+            Event::TimerFired(TimerId(name)) => match (name >> 32, RequestId(name as u32)) {
                 (0, id) => self.out_of_time(now, id, actions),
                 (attempt, id) => self.copy(now, id, attempt as u32 - 1, actions),
             },
-            Event::Stopping(end) => self.stop = Some(end),
-            Event::Present(doors) => self.fleet.doors = self.terms.gateways.max(doors.into()),
-            Event::Probed { .. } => {} // none are sent: load is judged by this gateway's own attempts
+            Event::ShutdownStarted(end) => self.stop = Some(end),
+            Event::FleetSizeChanged(doors) => {
+                self.fleet.doors = self.terms.gateways.max(doors.into());
+            }
+            Event::HealthCheckCompleted { .. } => {} // none are sent: load is judged by this gateway's own attempts
         }
         actions.append(&mut self.subset.warm);
     }
 
     /// How many customers the gateway holds an entry of.
-    pub fn customers_held(&self) -> usize {
+    pub fn tracked_customers(&self) -> usize {
         self.quotas.customers.len()
     }
 
     fn arrived(&mut self, now: Millis, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         let Some(request) = request.bounded(now, &self.terms.set) else {
-            actions.push(Action::Refuse {
+            actions.push(Action::Reject {
                 request: id,
                 retry_after: None,
-                why: Why::Unknown,
+                reason: RejectReason::UnknownPlanOrClass,
             });
             return;
         };
         if let Some(end) = self.stop {
-            actions.push(self.refusal(id, (Why::Stopping, Some((end - now).max(0.0)))));
+            actions
+                .push(self.refusal(id, (RejectReason::ShuttingDown, Some((end - now).max(0.0)))));
             return;
         }
         self.quotas.evict(now);
@@ -118,9 +121,9 @@
             Ok(choice) => {
                 self.attempts.earn_retries();
                 let at = self.slow_mark(&live).min(self.attempts.cut(&live));
-                actions.push(Action::SetAlarm {
+                actions.push(Action::SetTimer {
                     at,
-                    alarm: AlarmId(u64::from(id.0)),
+                    timer: TimerId(u64::from(id.0)),
                 });
                 self.attempts.live.insert(id, live);
                 self.send(now, id, choice, actions);
@@ -138,16 +141,18 @@
             pressure: self.opening.pressure.max(1.0 - self.opening.open),
             opening: self.opening.open,
             per_unit: self.fleet.common_pace() / 1000.0,
-            luck: chance(&mut self.rng),
+            luck: uniform(&mut self.rng),
         };
         self.quotas.admit(now, request, &seen)?;
         self.subset.asked(now, request.units);
-        let choice = self.choose(now, live).ok_or((Why::Room, None))?;
+        let choice = self
+            .choose(now, live)
+            .ok_or((RejectReason::NoCapacity, None))?;
         // A client that leaves before an answer can be expected would come again after work done for nothing.
         let expected = choice.wait + choice.pace * request.units;
         let late = PATIENCE * expected > request.deadline - now || !self.attempts.fits(now, live);
         if choice.wait > guards::WAIT_LIMIT * self.terms.aim || late {
-            return Err((Why::Room, None));
+            return Err((RejectReason::NoCapacity, None));
         }
         self.quotas.take(now, request);
         Ok(choice)
@@ -169,10 +174,10 @@
     fn refusal(&self, request: RequestId, (why, wait): Refused) -> Action {
         let advised = wait.filter(|_| self.terms.set.retry_after);
         let retry_after = advised.map(|wait| wait.clamp(0.0, self.terms.set.max_retry_after));
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
-            why,
+            reason: why,
         }
     }
 
@@ -181,7 +186,8 @@
         // A larger request than usual has more time.
         let size = (live.request.units / self.quotas.usual.max(0.01)).max(1.0);
         live.arrived
-            + (guards::SLOW_AIMS * size).min(1.0) * self.terms.set.classes[live.request.class.0].aim
+            + (guards::SLOW_AIMS * size).min(1.0)
+                * self.terms.set.classes[live.request.class.0].latency_objective
     }
 
     fn send(&mut self, now: Millis, id: RequestId, to: Choice, actions: &mut Vec<Action>) {
@@ -197,13 +203,13 @@
             .attempts
             .patience(now, live, expected, self.opening.calm());
         // A second copy costs less than giving up: the first may still answer.
-        let copy = self.terms.set.second_copies && patience < left;
+        let copy = self.terms.set.hedging && patience < left;
         let limit = if copy { left } else { patience.min(left) }.max(self.terms.set.tick);
         if copy && live.out.is_empty() {
-            let alarm = AlarmId(u64::from(live.sends + 1) << 32 | u64::from(id.0));
-            actions.push(Action::SetAlarm {
+            let alarm = TimerId(u64::from(live.sends + 1) << 32 | u64::from(id.0));
+            actions.push(Action::SetTimer {
                 at: now + patience,
-                alarm,
+                timer: alarm,
             });
         }
         let (delivery, begin_before) = (
@@ -236,13 +242,13 @@
         actions.push(Action::Send {
             request: id,
             backend,
-            limit,
+            timeout: limit,
             begin_before,
             delivery,
         });
     }
 
-    fn settled(&mut self, now: Millis, settled: &Settled, actions: &mut Vec<Action>) {
+    fn settled(&mut self, now: Millis, settled: &AttemptCompleted, actions: &mut Vec<Action>) {
         let id = settled.request;
         let Some(live) = self.attempts.live.get_mut(&id) else {
             return;
@@ -272,12 +278,12 @@
                 (guards::SLOW_AIMS * (now - live.arrived) / mark).min(1.0),
             );
         }
-        if settled.broken > 0 {
+        if settled.broken_connections > 0 {
             self.attempts.broke_at = now;
         }
         actions.extend(self.fleet.learn(now, &live.request, settled, &mut self.rng));
         self.quotas.settle(now, &live.request, settled);
-        if settled.closed || live.answered || served {
+        if settled.request_closed || live.answered || served {
             // A copy that is still out works for nobody.
             if live.out.is_empty() || !live.answered {
                 self.abandon(id, actions);
@@ -318,7 +324,7 @@
     /// The final answer for a request that will not be served: a refusal only where repeating is harmless.
     fn last_word(&self, now: Millis, live: &Live) -> Action {
         if self.attempts.reach(now, live) == Reach::Anywhere {
-            self.refusal(live.request.id, (Why::Failed, None))
+            self.refusal(live.request.id, (RejectReason::AttemptsFailed, None))
         } else {
             Action::Fail(live.request.id)
         }
@@ -334,9 +340,9 @@
             self.abandon(id, actions);
             return;
         }
-        actions.push(Action::SetAlarm {
+        actions.push(Action::SetTimer {
             at: cut,
-            alarm: AlarmId(u64::from(id.0)),
+            timer: TimerId(u64::from(id.0)),
         });
         // What hangs is no sign of queues: a fallen opening would refuse what the backends have room for.
         if !live
@@ -360,8 +366,8 @@
         live.answered = true;
         if live.out.is_empty() {
             self.attempts.live.remove(&id);
-        } else if self.terms.set.cancel && !live.started {
-            actions.extend(live.out.iter().map(|out| Action::CallOff {
+        } else if self.terms.set.cancellation && !live.started {
+            actions.extend(live.out.iter().map(|out| Action::CancelAttempt {
                 request: id,
                 attempt: out.attempt,
             }));
@@ -376,13 +382,13 @@
         actions: &mut Vec<Action>,
     ) {
         match kind {
-            _ if self.terms.set.discovery == Discovery::Pushed => {}
+            _ if self.terms.set.discovery == DiscoveryMode::Pushed => {}
             ListKind::Cached => actions.push(Action::Subscribe),
             ListKind::Failed => {
-                let pause = self.terms.set.ask_within / 8.0 * (0.5 + chance(&mut self.rng));
-                actions.push(Action::SetAlarm {
+                let pause = self.terms.set.poll_interval / 8.0 * (0.5 + uniform(&mut self.rng));
+                actions.push(Action::SetTimer {
                     at: now + pause,
-                    alarm: LIST_ALARM,
+                    timer: LIST_ALARM,
                 });
             }
             ListKind::Full | ListKind::Changes => {}
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -105,9 +105,13 @@
     /// When a request gets its final answer at the latest: with its aim where later is worth nothing.
     pub(super) fn cut(&self, live: &Live) -> Millis {
         let class = self.class(live);
-        let aim = live.arrived - live.request.waited + class.aim;
+        let aim = live.arrived - live.request.queued_for + class.latency_objective;
         let last = live.request.deadline - 2.0 * self.terms.set.tick;
-        last.min(if class.late_worth > 0.0 { last } else { aim })
+        last.min(if class.late_priority_weight > 0.0 {
+            last
+        } else {
+            aim
+        })
     }
 
     /// Whether an attempt begun now can end in what is left of its request's time.
@@ -146,9 +150,9 @@
         calm: bool,
     ) -> Millis {
         let class = self.class(live);
-        let again = matches!(class.effect, Effect::Safe)
-            || matches!(class.effect, Effect::Keyed { group: Group::All, memory } if memory > class.aim);
-        let limit = (HUNG * expected).max(HUNG_AIMS * class.aim);
+        let again = matches!(class.idempotency, Idempotency::Idempotent)
+            || matches!(class.idempotency, Idempotency::WithKey { scope: DeduplicationScope::All, retention } if retention > class.latency_objective);
+        let limit = (HUNG * expected).max(HUNG_AIMS * class.latency_objective);
         let fits =
             2.0 * limit <= self.cut(live) - now && live.sends + 1 < self.terms.set.max_attempts;
         if again && fits && calm && self.retries >= 1.0 {
@@ -161,8 +165,8 @@
     /// Guards against connections that are dead unseen, in pools or between: a request that must not be run
     /// again is lost with each. Others can be repeated; caution costs each the time of a way there and back.
     pub(super) fn delivery(&self, now: Millis, live: &Live) -> DeliveryMode {
-        match self.class(live).effect {
-            Effect::Unsafe => DeliveryMode::Once,
+        match self.class(live).idempotency {
+            Idempotency::NonIdempotent => DeliveryMode::Once,
             _ if now - self.broke_at < CAUTION_AIMS * self.terms.aim => DeliveryMode::Cautious,
             _ => DeliveryMode::Normal,
         }
@@ -170,7 +174,10 @@
 
     /// When the key of what has run is forgotten, an attempt that is out being taken to run.
     pub(super) fn key_expires(&self, live: &Live) -> Option<Millis> {
-        let Effect::Keyed { memory, .. } = self.class(live).effect else {
+        let Idempotency::WithKey {
+            retention: memory, ..
+        } = self.class(live).idempotency
+        else {
             return None;
         };
         let first = live
@@ -187,18 +194,21 @@
         let Some(ran) = live.ran.as_ref().or(live.out.first()) else {
             return Reach::Anywhere;
         };
-        match self.class(live).effect {
-            Effect::Safe => Reach::Anywhere,
-            Effect::Unsafe => Reach::Nowhere,
+        match self.class(live).idempotency {
+            Idempotency::Idempotent => Reach::Anywhere,
+            Idempotency::NonIdempotent => Reach::Nowhere,
             _ if self.key_expires(live).is_some_and(|expires| now >= expires) => Reach::Nowhere,
-            Effect::Keyed {
-                group: Group::All, ..
+            Idempotency::WithKey {
+                scope: DeduplicationScope::All,
+                ..
             } => Reach::Anywhere,
-            Effect::Keyed {
-                group: Group::Zone, ..
+            Idempotency::WithKey {
+                scope: DeduplicationScope::Zone,
+                ..
             } => Reach::Zone(ran.zone),
-            Effect::Keyed {
-                group: Group::Cell, ..
+            Idempotency::WithKey {
+                scope: DeduplicationScope::Cell,
+                ..
             } => Reach::Cell(ran.cell),
         }
     }
--- a/src/policy_api/mod.rs
+++ b/src/policy_api/mod.rs
@@ -35,11 +35,11 @@
 
 /// An alarm, named by the module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AlarmId(pub u64);
+pub struct TimerId(pub u64);
 
 /// The backends that drop a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// Every backend.
     All,
     /// Those in the zone of the first attempt.
@@ -50,33 +50,33 @@
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeating it is harmless.
-    Safe,
+    Idempotent,
     /// Repeats are dropped within a group of backends for a time.
-    Keyed {
+    WithKey {
         /// Who drops the repeats.
-        group: Group,
+        scope: DeduplicationScope,
         /// For how long, from the send of the first attempt that may have run.
-        memory: Millis,
+        retention: Millis,
     },
     /// It must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns its full worth.
-    pub aim: Millis,
+    pub latency_objective: Millis,
     /// How long a client waits at most, over all its tries.
     pub deadline: Millis,
     /// Worth of one unit of it.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Part of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_priority_weight: f64,
     /// Whether it may run again.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Whether its answer is a stream.
     pub streaming: bool,
 }
@@ -100,20 +100,20 @@
     /// Units of quota that may be used at once.
     pub burst: f64,
     /// Attempts out at once that the quota covers; 0 means no such quota.
-    pub max_open: u32,
+    pub max_concurrency: u32,
     /// Factor on the worth of a request.
-    pub price: f64,
+    pub weight_factor: f64,
     /// Part of its worth that a request sent on beyond the quota earns.
-    pub over_worth: f64,
+    pub over_quota_weight: f64,
     /// Part of its worth that a request sent on beyond the quota costs.
-    pub over_cost: f64,
+    pub over_quota_cost: f64,
     /// The hard ceiling, if the plan has one.
     pub ceiling: Option<Ceiling>,
 }
 
 /// How the list of backends reaches a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Changes arrive by themselves.
     Pushed,
     /// Changes arrive only after a subscription or a query.
@@ -122,13 +122,13 @@
 
 /// How load reports of backends reach a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReportMode {
     /// Not at all.
     Off,
     /// In every outcome and probe result.
     Inline,
     /// In probe results only.
-    OnProbe,
+    OnHealthCheck,
 }
 
 /// What a deployment permits and how it is shaped, told once at the start of a gateway.
@@ -137,7 +137,7 @@
     /// Number of gateways in this tier.
     pub gateways: u32,
     /// Number of this gateway among them, from 0.
-    pub me: u32,
+    pub gateway_index: u32,
     /// Zone this gateway stands in.
     pub zone: ZoneId,
     /// Shortest time between two batches of events.
@@ -151,29 +151,29 @@
     /// Period of the use meter; 0 means there is no meter.
     pub meter_period: Millis,
     /// How the list of backends arrives.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// How load reports arrive.
-    pub reports: Reports,
+    pub load_reports: LoadReportMode,
     /// Most attempts for one request.
     pub max_attempts: u32,
     /// Whether one request may have two attempts out at a time.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Whether attempts may be called off.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// Whether probes are permitted.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Whether clients are handed a retry-after time.
     pub retry_after: bool,
     /// Longest retry-after time that clients follow.
     pub max_retry_after: Millis,
     /// Price of an attempt that crosses zones, as a part of the whole worth.
-    pub cross_zone_price: f64,
+    pub cross_zone_cost: f64,
     /// Time after the client's deadline in which a final answer still counts.
     pub answer_slack: Millis,
     /// Grace within which sends to a draining or gone backend must stop.
     pub drain_grace: Millis,
     /// With [`Discovery::OnRequest`]: how old an unasked list may be before it counts as known.
-    pub ask_within: Millis,
+    pub poll_interval: Millis,
     /// Part of its capacity with which a backend starts, at least.
     pub start_capacity: f64,
     /// Time after which a started backend is warm, at most.
@@ -192,7 +192,7 @@
     /// Finishing its work.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One line of the list of backends.
@@ -207,12 +207,12 @@
     /// Its state.
     pub availability: Availability,
     /// Time of its last start; `None` if long ago.
-    pub started: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// Size relative to others; 1 where nothing is known.
-    pub size: f64,
+    pub weight: f64,
 }
 
-/// What a [`Event::Backends`] holds.
+/// What a [`Event::EndpointsChanged`] holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the changed lines.
@@ -241,11 +241,11 @@
     /// When the client stops waiting for this try.
     pub deadline: Millis,
     /// Through how many gateways this customer's requests come.
-    pub spread: f64,
+    pub gateway_count: f64,
     /// Whether the client marks it as a further try; never where clients mark none.
-    pub again: bool,
+    pub is_retry: bool,
     /// How long it had been waiting when it was handed over, unread while the front door was held up.
-    pub waited: Millis,
+    pub queued_for: Millis,
 }
 
 /// How an attempt ended.
@@ -256,7 +256,7 @@
     /// The backend answered with an error; it may have run.
     Error,
     /// Turned away unseen; it never ran.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or may still run.
     Timeout,
     /// No connection; it never ran.
@@ -274,7 +274,7 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         )
     }
 }
@@ -292,7 +292,7 @@
 
 /// A load report of a backend; late and not exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests it holds.
     pub in_flight: Option<f64>,
     /// Requests that wait.
@@ -309,7 +309,7 @@
 
 /// The end of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Settled {
+pub struct AttemptCompleted {
     /// Whose attempt.
     pub request: RequestId,
     /// Which attempt of the request, from 0.
@@ -321,38 +321,38 @@
     /// Time since it was sent.
     pub elapsed: Millis,
     /// Whether the request is over.
-    pub closed: bool,
+    pub request_closed: bool,
     /// The customer's use by all gateways in the last metered period, as a part of its rate.
-    pub use_of_quota: Option<f64>,
+    pub quota_usage: Option<f64>,
     /// True units, where they are settled with the answer.
-    pub true_units: Option<f64>,
+    pub actual_units: Option<f64>,
     /// The backend's load, if it came along.
-    pub report: Report,
+    pub load_report: LoadReport,
     /// Connections that had come up and broke under this attempt; others may have stood in for them.
-    pub broken: u32,
+    pub broken_connections: u32,
 }
 
 /// Something that happened at a front door.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The list of backends, or changes of it.
-    Backends(ListKind, Vec<BackendEntry>),
+    EndpointsChanged(ListKind, Vec<BackendEntry>),
     /// A request came in.
-    Arrival(Request),
+    RequestArrived(Request),
     /// A streamed answer has begun.
     StreamStarted(RequestId),
     /// An attempt ended.
-    Settled(Settled),
+    AttemptCompleted(AttemptCompleted),
     /// The client went away.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// An alarm came due.
-    Alarm(AlarmId),
+    TimerFired(TimerId),
     /// A planned stop: what arrives from now on is told to come back once it is over, at this time at the latest.
-    Stopping(Millis),
+    ShutdownStarted(Millis),
     /// So many front doors seem present: a hint, for what all of them do at once.
-    Present(u32),
+    FleetSizeChanged(u32),
     /// A probe ended.
-    Probed {
+    HealthCheckCompleted {
         /// Which backend.
         backend: BackendId,
         /// How it ended.
@@ -360,31 +360,31 @@
         /// How long it took.
         elapsed: Millis,
         /// The load report, if it came along.
-        report: Report,
+        load_report: LoadReport,
     },
 }
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Why {
+pub enum RejectReason {
     /// It names a plan or class that the settings do not know.
-    Unknown,
+    UnknownPlanOrClass,
     /// The front door stops.
-    Stopping,
+    ShuttingDown,
     /// Its customer's recent average is over the box limit.
-    Box,
+    PenaltyBox,
     /// Its customer's use, or the room at the backends, lets only a part of its requests in.
-    Chance,
+    LoadShedding,
     /// Its customer's slice does not hold it.
-    Slice,
+    TokenBucket,
     /// Its customer has as many attempts out here as it may.
-    OpenCap,
+    ConcurrencyLimit,
     /// Its customer's part of the ceiling does not hold it.
     Ceiling,
     /// No backend may be sent it, or it would be served too late.
-    Room,
+    NoCapacity,
     /// It was sent, and all attempts failed.
-    Failed,
+    AttemptsFailed,
 }
 
 /// Something the front door is to do.
@@ -397,43 +397,43 @@
         /// To which backend.
         backend: BackendId,
         /// Its time-out.
-        limit: Option<Millis>,
+        timeout: Option<Millis>,
         /// The time before which it has to reach the backend, if there is one: later it could run a second time.
         begin_before: Option<Millis>,
         /// How it is written.
         delivery: DeliveryMode,
     },
     /// Final answer: turned away, trying again is harmless.
-    Refuse {
+    Reject {
         /// Which request.
         request: RequestId,
         /// When to come back, if advised.
         retry_after: Option<Millis>,
         /// The reason, for the operators.
-        why: Why,
+        reason: RejectReason,
     },
     /// Final answer: failed, nothing promised.
     Fail(RequestId),
     /// Stop waiting for an attempt.
-    CallOff {
+    CancelAttempt {
         /// Which request.
         request: RequestId,
         /// Which attempt.
         attempt: u32,
     },
-    /// Ask for an [`Event::Alarm`] at a time.
-    SetAlarm {
+    /// Ask for an [`Event::TimerFired`] at a time.
+    SetTimer {
         /// When.
         at: Millis,
         /// Its name.
-        alarm: AlarmId,
+        timer: TimerId,
     },
     /// Check a backend.
-    Probe(BackendId),
+    CheckHealth(BackendId),
     /// Close idle connections to a backend.
-    CloseIdle(BackendId),
+    CloseIdleConnections(BackendId),
     /// Have a connection to a backend that requests are expected to go to.
-    Warm {
+    Preconnect {
         /// Which backend.
         backend: BackendId,
         /// The time in which the next request is expected there.
@@ -450,11 +450,11 @@
 impl Default for Class {
     fn default() -> Self {
         Class {
-            aim: 1000.0,
+            latency_objective: 1000.0,
             deadline: 2000.0,
-            worth: 1.0,
-            late_worth: 0.0,
-            effect: Effect::Unsafe,
+            priority_weight: 1.0,
+            late_priority_weight: 0.0,
+            idempotency: Idempotency::NonIdempotent,
             streaming: false,
         }
     }
@@ -465,10 +465,10 @@
         Plan {
             rate: 0.0,
             burst: 0.0,
-            max_open: 0,
-            price: 1.0,
-            over_worth: 0.0,
-            over_cost: 0.0,
+            max_concurrency: 0,
+            weight_factor: 1.0,
+            over_quota_weight: 0.0,
+            over_quota_cost: 0.0,
             ceiling: None,
         }
     }
@@ -479,25 +479,25 @@
     fn default() -> Self {
         Settings {
             gateways: 1,
-            me: 0,
+            gateway_index: 0,
             zone: ZoneId(0),
             tick: 1.0,
             classes: Vec::new(),
             plans: Vec::new(),
             max_units: 1.0,
             meter_period: 0.0,
-            discovery: Discovery::Pushed,
-            reports: Reports::Off,
+            discovery: DiscoveryMode::Pushed,
+            load_reports: LoadReportMode::Off,
             max_attempts: 1,
-            second_copies: false,
-            cancel: false,
-            probes: false,
+            hedging: false,
+            cancellation: false,
+            health_checks: false,
             retry_after: false,
             max_retry_after: 0.0,
-            cross_zone_price: 0.0,
+            cross_zone_cost: 0.0,
             answer_slack: 0.0,
             drain_grace: 0.0,
-            ask_within: 10_000.0,
+            poll_interval: 10_000.0,
             start_capacity: 0.1,
             warm_up: 30_000.0,
             overload_factor: 2.0,
@@ -508,11 +508,11 @@
 
 impl Settings {
     /// The shortest aim of a class: the measure of all times that the settings do not tell.
-    pub fn shortest_aim(&self) -> Millis {
+    pub fn shortest_latency_objective(&self) -> Millis {
         let aim = self
             .classes
             .iter()
-            .map(|class| class.aim)
+            .map(|class| class.latency_objective)
             .fold(f64::INFINITY, f64::min);
         if aim.is_finite() {
             aim.max(1.0)
@@ -522,8 +522,8 @@
     }
 
     /// Share of its capacity that a backend has at least at a time, by the rule on cold backends.
-    pub fn warmth(&self, at: Millis, backend: &BackendEntry) -> f64 {
-        let Some(started) = backend.started else {
+    pub fn slow_start_fraction(&self, at: Millis, backend: &BackendEntry) -> f64 {
+        let Some(started) = backend.started_at else {
             return 1.0;
         };
         let part = ((at - started) / self.warm_up.max(1.0)).clamp(0.0, 1.0);
@@ -539,9 +539,15 @@
         let longest = settings.classes.get(self.class.0)?.deadline;
         Some(Request {
             units: in_range(self.units, 0.0, settings.max_units.max(1.0), 1.0),
-            spread: in_range(self.spread, 1.0, f64::from(settings.gateways.max(1)), 1.0).round(),
+            gateway_count: in_range(
+                self.gateway_count,
+                1.0,
+                f64::from(settings.gateways.max(1)),
+                1.0,
+            )
+            .round(),
             deadline: in_range(self.deadline, now, now + longest, now + longest),
-            waited: in_range(self.waited, 0.0, longest, 0.0),
+            queued_for: in_range(self.queued_for, 0.0, longest, 0.0),
             ..self
         })
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -26,15 +26,15 @@
 
 /// All that the settings tell.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct ParsedSettings {
     /// What the decisions go by.
     pub settings: Settings,
     /// The values of a load report, in their order.
-    pub metrics: Vec<Metric>,
+    pub report_metrics: Vec<Metric>,
     /// The names that numbers stand for.
     pub names: Names,
     /// What connections to backends go by.
-    pub links: Links,
+    pub connections: ConnectionSettings,
 }
 
 /// The names of classes, plans, zones and report values, each at its number.
@@ -52,36 +52,36 @@
 
 /// Times that bound a connection to a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Links {
+pub struct ConnectionSettings {
     /// A connection not made within this has failed.
     pub dial_timeout: Millis,
     /// A backend closes a connection that has been idle this long.
-    pub idle_close: Millis,
+    pub idle_timeout: Millis,
     /// Price of new connections, for each first try.
-    pub handshake_price: f64,
+    pub handshake_cost: f64,
     /// Price of the connections open on average, over a hundred for each backend.
-    pub connection_price: f64,
+    pub connection_cost: f64,
 }
 
-impl Default for Links {
+impl Default for ConnectionSettings {
     fn default() -> Self {
-        Links {
+        ConnectionSettings {
             dial_timeout: 250.0,
-            idle_close: 10_000.0,
-            handshake_price: 0.0,
-            connection_price: 0.0,
+            idle_timeout: 10_000.0,
+            handshake_cost: 0.0,
+            connection_cost: 0.0,
         }
     }
 }
 
 /// A value as the facts hold it: spaces and commas as underscores.
-pub fn plain(value: &str) -> String {
+pub fn normalize_name(value: &str) -> String {
     value.replace([' ', ','], "_")
 }
 
-struct Facts<'a>(BTreeMap<&'a str, &'a str>);
+struct FlatSettings<'a>(BTreeMap<&'a str, &'a str>);
 
-impl Facts<'_> {
+impl FlatSettings<'_> {
     fn get<T: FromStr>(&self, path: &str, otherwise: T) -> Result<T, String> {
         match self.0.get(path) {
             None => Ok(otherwise),
@@ -139,14 +139,14 @@
 }
 
 /// Reads the facts; an error names the one that cannot be read.
-pub fn parse(text: &str) -> Result<Told, String> {
-    let facts = Facts(
+pub fn parse(text: &str) -> Result<ParsedSettings, String> {
+    let facts = FlatSettings(
         text.lines()
             .filter_map(|line| line.split_once('='))
             .collect(),
     );
     let base = Settings::default();
-    let links = Links::default();
+    let links = ConnectionSettings::default();
     let names = Names {
         classes: facts.names("grades")?,
         plans: facts.names("plans")?,
@@ -155,7 +155,7 @@
     };
     let settings = Settings {
         gateways: facts.get("fleet_size", base.gateways)?,
-        me: facts.get("me", base.me)?,
+        gateway_index: facts.get("me", base.gateway_index)?,
         zone: ZoneId(facts.get("my_zone", base.zone.0)?),
         tick: facts.number("tick", base.tick)?,
         classes: (0..facts.get("grades.count", 0)?)
@@ -170,75 +170,75 @@
             "registry_mode",
             base.discovery,
             &[
-                ("pushed", Discovery::Pushed),
-                ("on_request", Discovery::OnRequest),
+                ("pushed", DiscoveryMode::Pushed),
+                ("on_request", DiscoveryMode::OnRequest),
             ],
         )?,
-        reports: facts.choice(
+        load_reports: facts.choice(
             "report.via",
-            base.reports,
+            base.load_reports,
             &[
-                ("off", Reports::Off),
-                ("inline", Reports::Inline),
-                ("on_probe", Reports::OnProbe),
+                ("off", LoadReportMode::Off),
+                ("inline", LoadReportMode::Inline),
+                ("on_probe", LoadReportMode::OnHealthCheck),
             ],
         )?,
         max_attempts: facts.get("policy_limits.send_cap", base.max_attempts)?,
-        second_copies: facts.get("policy_limits.second_copies", base.second_copies)?,
-        cancel: facts.get("policy_limits.cancel", base.cancel)?,
-        probes: facts.get("policy_limits.probes", base.probes)?,
+        hedging: facts.get("policy_limits.second_copies", base.hedging)?,
+        cancellation: facts.get("policy_limits.cancel", base.cancellation)?,
+        health_checks: facts.get("policy_limits.probes", base.health_checks)?,
         retry_after: facts.get("policy_limits.retry_after", base.retry_after)?,
         max_retry_after: facts.number("policy_limits.max_retry_after", base.max_retry_after)?,
-        cross_zone_price: facts.number("charges.cross_zone", base.cross_zone_price)?,
+        cross_zone_cost: facts.number("charges.cross_zone", base.cross_zone_cost)?,
         answer_slack: facts.number("rules.answer_slack", base.answer_slack)?,
         drain_grace: facts.number("rules.stop_sending_within", base.drain_grace)?,
-        ask_within: facts.number("rules.ask_within", base.ask_within)?,
+        poll_interval: facts.number("rules.ask_within", base.poll_interval)?,
         start_capacity: facts.number("rules.start_capacity", base.start_capacity)?,
         warm_up: facts.number("rules.warm_up", base.warm_up)?,
         overload_factor: facts.number("rules.overload_factor", base.overload_factor)?,
         overload_window: facts.number("rules.fall", base.overload_window)?,
     };
-    Ok(Told {
+    Ok(ParsedSettings {
         settings,
-        metrics: names.metrics.iter().map(|name| metric(name)).collect(),
+        report_metrics: names.metrics.iter().map(|name| metric(name)).collect(),
         names,
-        links: Links {
+        connections: ConnectionSettings {
             dial_timeout: facts.number("policy_limits.dial_timeout", links.dial_timeout)?,
-            idle_close: facts.number("policy_limits.idle_close", links.idle_close)?,
-            handshake_price: facts.number("charges.handshake", links.handshake_price)?,
-            connection_price: facts.number("charges.connection", links.connection_price)?,
+            idle_timeout: facts.number("policy_limits.idle_close", links.idle_timeout)?,
+            handshake_cost: facts.number("charges.handshake", links.handshake_cost)?,
+            connection_cost: facts.number("charges.connection", links.connection_cost)?,
         },
     })
 }
 
-fn class(facts: &Facts<'_>, index: usize) -> Result<Class, String> {
+fn class(facts: &FlatSettings<'_>, index: usize) -> Result<Class, String> {
     let path = |key: &str| format!("grades.{index}.{key}");
     let base = Class::default();
     let groups = [
-        ("all", Group::All),
-        ("zone", Group::Zone),
-        ("cell", Group::Cell),
+        ("all", DeduplicationScope::All),
+        ("zone", DeduplicationScope::Zone),
+        ("cell", DeduplicationScope::Cell),
     ];
-    let keyed = Effect::Keyed {
-        group: facts.choice(&path("group"), Group::Cell, &groups)?,
-        memory: facts.number(&path("memory_span"), 0.0)?,
+    let keyed = Idempotency::WithKey {
+        scope: facts.choice(&path("group"), DeduplicationScope::Cell, &groups)?,
+        retention: facts.number(&path("memory_span"), 0.0)?,
     };
     let effects = [
-        ("safe", Effect::Safe),
+        ("safe", Idempotency::Idempotent),
         ("keyed", keyed),
-        ("unsafe", Effect::Unsafe),
+        ("unsafe", Idempotency::NonIdempotent),
     ];
     Ok(Class {
-        aim: facts.number(&path("aim"), base.aim)?,
+        latency_objective: facts.number(&path("aim"), base.latency_objective)?,
         deadline: facts.number(&path("give_up"), base.deadline)?,
-        worth: facts.number(&path("credit"), base.worth)?,
-        late_worth: facts.number(&path("late_worth"), base.late_worth)?,
-        effect: facts.choice(&path("idempotency"), base.effect, &effects)?,
+        priority_weight: facts.number(&path("credit"), base.priority_weight)?,
+        late_priority_weight: facts.number(&path("late_worth"), base.late_priority_weight)?,
+        idempotency: facts.choice(&path("idempotency"), base.idempotency, &effects)?,
         streaming: facts.get(&path("streaming"), base.streaming)?,
     })
 }
 
-fn plan(facts: &Facts<'_>, index: usize) -> Result<Plan, String> {
+fn plan(facts: &FlatSettings<'_>, index: usize) -> Result<Plan, String> {
     let path = |key: &str| format!("plans.{index}.{key}");
     let base = Plan::default();
     let ceiling = Ceiling {
@@ -249,10 +249,10 @@
     Ok(Plan {
         rate: facts.number(&path("per_second"), base.rate)?,
         burst: facts.number(&path("peak_units"), base.burst)?,
-        max_open: facts.get(&path("max_out"), base.max_open)?,
-        price: facts.number(&path("pays"), base.price)?,
-        over_worth: facts.number(&path("excess_worth"), base.over_worth)?,
-        over_cost: facts.number(&path("over_cost"), base.over_cost)?,
+        max_concurrency: facts.get(&path("max_out"), base.max_concurrency)?,
+        weight_factor: facts.number(&path("pays"), base.weight_factor)?,
+        over_quota_weight: facts.number(&path("excess_worth"), base.over_quota_weight)?,
+        over_quota_cost: facts.number(&path("over_cost"), base.over_quota_cost)?,
         ceiling: (ceiling.rate > 0.0).then_some(ceiling),
     })
 }
@@ -270,16 +270,16 @@
 }
 
 /// Puts the values of a load report in their places.
-pub fn report(metrics: &[Metric], values: &[f32]) -> Report {
-    let mut report = Report::default();
+pub fn load_report(metrics: &[Metric], values: &[f32]) -> LoadReport {
+    let mut report = LoadReport::default();
     for (metric, value) in metrics.iter().zip(values) {
-        tell(&mut report, *metric, *value);
+        set_metric(&mut report, *metric, *value);
     }
     report
 }
 
 /// Puts one value of a load report in its place.
-pub fn tell(report: &mut Report, metric: Metric, value: f32) {
+pub fn set_metric(report: &mut LoadReport, metric: Metric, value: f32) {
     let value = Some(f64::from(value));
     match metric {
         Metric::InFlight => report.in_flight = value,
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -7,13 +7,17 @@
     let text = "fleet_size=3\nme=2\nplans.count=1\nplans.0.per_second=2.5\nplans.0.cap_rate=5\nnew.key=x\n\
                 grades.count=1\ngrades.0.idempotency=keyed\ngrades.0.group=zone\ngrades.0.memory_span=6000\n\
                 report.names=depth,strange,concurrent\nregistry_mode=on_request";
-    let Told {
+    let ParsedSettings {
         settings,
-        metrics: order,
+        report_metrics: order,
         ..
     } = parse(text).unwrap();
     assert_eq!(
-        (settings.gateways, settings.me, settings.plans[0].rate),
+        (
+            settings.gateways,
+            settings.gateway_index,
+            settings.plans[0].rate
+        ),
         (3, 2, 2.5)
     );
     assert_eq!(
@@ -25,15 +29,15 @@
         })
     );
     assert_eq!(
-        settings.classes[0].effect,
-        Effect::Keyed {
-            group: Group::Zone,
-            memory: 6000.0
+        settings.classes[0].idempotency,
+        Idempotency::WithKey {
+            scope: DeduplicationScope::Zone,
+            retention: 6000.0
         }
     );
-    assert_eq!(settings.discovery, Discovery::OnRequest);
+    assert_eq!(settings.discovery, DiscoveryMode::OnRequest);
     assert_eq!(settings.max_attempts, Settings::default().max_attempts);
-    let told = report(&order, &[4.0, 9.0, 6.0]);
+    let told = load_report(&order, &[4.0, 9.0, 6.0]);
     assert_eq!(
         (told.queue, told.in_flight, told.utilisation),
         (Some(4.0), Some(6.0), None)
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -17,7 +17,7 @@
 #[test]
 fn the_average_halves_in_a_halflife() {
     let mut average = Cewma::default();
-    average.feed(0.0, 8.0, LAMBDA);
+    average.record(0.0, 8.0, LAMBDA);
     let first = average.rate(0.0, LAMBDA);
     assert!((first - 8.0 * std::f64::consts::LN_2 / 2.0).abs() < 1e-9);
     assert!((average.rate(2000.0, LAMBDA) - first / 2.0).abs() < 1e-9);
@@ -26,7 +26,7 @@
 #[test]
 fn a_steady_rate_is_found() {
     let mut average = Cewma::default();
-    (0..4000).for_each(|i| average.feed(f64::from(i) * 10.0, 1.0, LAMBDA));
+    (0..4000).for_each(|i| average.record(f64::from(i) * 10.0, 1.0, LAMBDA));
     assert!((average.rate(39_990.0, LAMBDA) - 100.0).abs() < 0.5);
 }
 
@@ -87,18 +87,18 @@
             let Some(at) = stage.arrive(
                 now,
                 Request {
-                    spread: 2.0,
+                    gateway_count: 2.0,
                     ..request(i, 0, now)
                 },
             ) else {
                 continue;
             };
             served += u32::from(i >= 240); // the slice has had time to rise
-            let end = Settled {
-                use_of_quota: Some(used),
+            let end = AttemptCompleted {
+                quota_usage: Some(used),
                 ..settled(i, 0, at, Outcome::Ok)
             };
-            stage.play(now + 10.0, Event::Settled(end));
+            stage.play(now + 10.0, Event::AttemptCompleted(end));
         }
         served
     };
@@ -122,11 +122,11 @@
         ..request(1, 0, 0.0)
     };
     let at = stage.arrive(1.0, first).unwrap();
-    let end = Settled {
-        true_units: Some(19.0),
+    let end = AttemptCompleted {
+        actual_units: Some(19.0),
         ..settled(1, 0, at, Outcome::Ok)
     };
-    stage.play(2.0, Event::Settled(end));
+    stage.play(2.0, Event::AttemptCompleted(end));
     assert!(stage.serve(3.0, request(2, 0, 3.0)));
     assert!(!stage.serve(4.0, request(3, 0, 4.0)));
 }
@@ -143,7 +143,7 @@
         };
         assert!(stage.serve(now, once));
     }
-    assert!(stage.gateway.customers_held() < 1000);
+    assert!(stage.gateway.tracked_customers() < 1000);
     // The first customer is back: its slice is full, as it would have been.
     let now = 302_000.0;
     let served = (0..40)
@@ -174,7 +174,7 @@
             sent += f64::from(u8::from(stage.serve(
                 now,
                 Request {
-                    spread: 2.0,
+                    gateway_count: 2.0,
                     ..request(i, 0, now)
                 },
             )));
@@ -190,7 +190,7 @@
 #[test]
 fn attempts_open_at_once_keep_to_this_gateways_part_rounded_up_while_time_is_spare() {
     let plan = Plan {
-        max_open: 3,
+        max_concurrency: 3,
         ..plan()
     };
     let mut stage = Stage::new(
@@ -200,12 +200,12 @@
     assert!(stage.serve(
         1.0,
         Request {
-            spread: 2.0,
+            gateway_count: 2.0,
             ..request(99, 0, 1.0)
         }
     ));
     let late = |i| Request {
-        spread: 2.0,
+        gateway_count: 2.0,
         ..request(i, 0, 2000.0)
     };
     let sent = (0..5).filter(|i| stage.arrive(2000.0, late(*i)).is_some());
@@ -221,7 +221,7 @@
         stage.serve(
             spike(*i),
             Request {
-                spread: 2.0,
+                gateway_count: 2.0,
                 ..request(*i, 0, 0.0)
             },
         )
@@ -236,7 +236,7 @@
     let plan = Plan {
         rate: 120.0,
         burst: 240.0,
-        max_open: 6,
+        max_concurrency: 6,
         ..Plan::default()
     };
     let backends = || (1..=8).map(|id| ready(id, 0)).collect::<Vec<_>>();
@@ -256,16 +256,16 @@
             .partition(|(.., since)| now - since >= 100.0);
         out = rest;
         for (door, id, at, _) in Vec::<(usize, u32, BackendId, f64)>::from_iter(due) {
-            let end = Settled {
+            let end = AttemptCompleted {
                 elapsed: 100.0,
-                use_of_quota: Some(0.8),
+                quota_usage: Some(0.8),
                 ..settled(id, 0, at, Outcome::Ok)
             };
-            stages[door].play(now, Event::Settled(end));
+            stages[door].play(now, Event::AttemptCompleted(end));
         }
         let door = (i as usize * 7) % 12;
         let asked = Request {
-            spread: 12.0,
+            gateway_count: 12.0,
             deadline: now + 3000.0,
             ..request(i, 0, now)
         };
@@ -318,7 +318,7 @@
 fn of_a_stranger(id: u32, now: Millis) -> Request {
     Request {
         customer: CustomerId(u64::from(id)),
-        spread: 70.0,
+        gateway_count: 70.0,
         ..request(id, 0, now)
     }
 }
@@ -347,11 +347,11 @@
         let slow = i < 200;
         answers.retain(|(at, id, backend)| {
             if *at <= now {
-                let end = Settled {
+                let end = AttemptCompleted {
                     elapsed: 900.0,
                     ..settled(*id, 0, *backend, Outcome::Ok)
                 };
-                stage.play(now, Event::Settled(end));
+                stage.play(now, Event::AttemptCompleted(end));
             }
             *at > now
         });
@@ -390,18 +390,18 @@
         let now = 10_000.0 + f64::from(i) * every;
         let asked = Request {
             customer: CustomerId(7),
-            spread: 70.0,
+            gateway_count: 70.0,
             ..request(i, 0, now)
         };
         let Some(at) = stage.arrive(now, asked) else {
             continue;
         };
         served += 1;
-        let end = Settled {
-            use_of_quota: told(i),
+        let end = AttemptCompleted {
+            quota_usage: told(i),
             ..settled(i, 0, at, Outcome::Ok)
         };
-        stage.play(now + 10.0, Event::Settled(end));
+        stage.play(now + 10.0, Event::AttemptCompleted(end));
     }
     served
 }
@@ -413,7 +413,7 @@
     let plan = || Plan {
         rate: 10.0,
         burst: 20.0,
-        over_cost: 0.5,
+        over_quota_cost: 0.5,
         ..Plan::default()
     };
     type Told = fn(u32) -> Option<f64>;
@@ -441,8 +441,8 @@
         let plan = Plan {
             rate: 2.0,
             burst: 8.0,
-            over_cost,
-            over_worth,
+            over_quota_cost: over_cost,
+            over_quota_weight: over_worth,
             ..Plan::default()
         };
         // Half a request a second comes here, for two minutes.
@@ -464,7 +464,7 @@
     let plan = Plan {
         rate: 2.0,
         burst: 8.0,
-        over_cost: 1.0,
+        over_quota_cost: 1.0,
         ..Plan::default()
     };
     let (gap, last) = (std::cell::Cell::new(1.0), std::cell::Cell::new(0));
@@ -487,8 +487,8 @@
     let plan = Plan {
         rate: 10.0,
         burst: 20.0,
-        over_cost,
-        over_worth,
+        over_quota_cost: over_cost,
+        over_quota_weight: over_worth,
         ..Plan::default()
     };
     let set = Settings {
@@ -499,17 +499,17 @@
     for i in 0..200 {
         let now = f64::from(i) * 50.0;
         let asked = Request {
-            spread: 200.0,
+            gateway_count: 200.0,
             ..of_a_stranger(100_000 + i, now)
         };
         let Some(at) = stage.arrive(now, asked) else {
             continue;
         };
-        let end = Settled {
-            use_of_quota: told,
+        let end = AttemptCompleted {
+            quota_usage: told,
             ..settled(100_000 + i, 0, at, Outcome::Ok)
         };
-        stage.play(now + 10.0, Event::Settled(end));
+        stage.play(now + 10.0, Event::AttemptCompleted(end));
     }
     let let_in = tries
         .iter()
@@ -518,8 +518,8 @@
             let now = 10_000.0 + after;
             let asked = Request {
                 customer: CustomerId(*customer),
-                spread: 200.0,
-                again: *again,
+                gateway_count: 200.0,
+                is_retry: *again,
                 ..request(*i as u32, 0, now)
             };
             let Some(at) = stage.arrive(now, asked) else {
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -16,7 +16,7 @@
 fn answer(actions: &[Action]) -> &'static str {
     let mut words = actions.iter().filter_map(|a| match a {
         Action::Send { .. } => Some("send"),
-        Action::Refuse { .. } => Some("refuse"),
+        Action::Reject { .. } => Some("refuse"),
         Action::Fail(_) => Some("fail"),
         _ => None,
     });
@@ -30,7 +30,7 @@
 fn the_next_step_after_each_outcome_is_the_one_its_class_allows() {
     let table = [
         (Outcome::Ok, ["nothing", "nothing", "nothing"]),
-        (Outcome::Full, ["send", "send", "send"]),
+        (Outcome::Rejected, ["send", "send", "send"]),
         (Outcome::ConnectFailed, ["send", "send", "send"]),
         (Outcome::NotSent, ["send", "send", "send"]),
         (Outcome::Error, ["send", "send", "fail"]),
@@ -54,29 +54,33 @@
 
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_group_and_its_time() {
-    for group in [Group::All, Group::Zone, Group::Cell] {
+    for group in [
+        DeduplicationScope::All,
+        DeduplicationScope::Zone,
+        DeduplicationScope::Cell,
+    ] {
         for late in [false, true] {
             let mut set = settings(open_plan(), 1);
-            set.classes[1].effect = Effect::Keyed {
-                group,
-                memory: 500.0,
+            set.classes[1].idempotency = Idempotency::WithKey {
+                scope: group,
+                retention: 500.0,
             };
             // One backend in each zone and cell, so the group of the first attempt has no other member.
             let mut stage = Stage::new(set, vec![ready(1, 0), ready(2, 1)]);
             let at = stage.arrive(1.0, request(1, 1, 1.0)).unwrap();
             let now = if late { 601.0 } else { 101.0 };
-            let end = Settled {
+            let end = AttemptCompleted {
                 elapsed: now - 1.0,
                 ..settled(1, 0, at, Outcome::Error)
             };
-            stage.play(now, Event::Settled(end));
+            stage.play(now, Event::AttemptCompleted(end));
             match (late, group) {
                 (true, _) => assert_eq!(
                     answer(&stage.actions),
                     "fail",
                     "{group:?}: its key is forgotten"
                 ),
-                (false, Group::All) => assert_eq!(answer(&stage.actions), "send"),
+                (false, DeduplicationScope::All) => assert_eq!(answer(&stage.actions), "send"),
                 (false, _) => assert_eq!(stage.sent(), Some(at), "{group:?}"),
             }
         }
@@ -86,15 +90,15 @@
 #[test]
 fn the_memory_counts_from_the_first_attempt_that_may_have_run() {
     let mut set = settings(open_plan(), 1);
-    set.classes[1].effect = Effect::Keyed {
-        group: Group::All,
-        memory: 500.0,
+    set.classes[1].idempotency = Idempotency::WithKey {
+        scope: DeduplicationScope::All,
+        retention: 500.0,
     };
     let mut stage = Stage::new(set, (1..=4).map(|id| ready(id, 0)).collect());
     let first = stage.arrive(1.0, request(1, 1, 1.0)).unwrap();
     stage.play(
         301.0,
-        Event::Settled(Settled {
+        Event::AttemptCompleted(AttemptCompleted {
             elapsed: 300.0,
             ..settled(1, 0, first, Outcome::Error)
         }),
@@ -102,7 +106,7 @@
     let second = stage.sent().unwrap();
     stage.play(
         551.0,
-        Event::Settled(Settled {
+        Event::AttemptCompleted(AttemptCompleted {
             elapsed: 250.0,
             ..settled(1, 1, second, Outcome::Error)
         }),
@@ -115,7 +119,7 @@
     for class in 0..3 {
         let mut stage = Stage::new(
             Settings {
-                cancel: true,
+                cancellation: true,
                 ..settings(open_plan(), 1)
             },
             vec![ready(1, 0)],
@@ -126,14 +130,14 @@
         };
         let at = stage.arrive(1.0, asked).unwrap();
         let alarm = stage.actions.iter().find_map(|a| match a {
-            Action::SetAlarm { at, alarm } => Some((*at, *alarm)),
+            Action::SetTimer { at, timer } => Some((*at, *timer)),
             _ => None,
         });
         let (when, alarm) = alarm.unwrap();
         assert!(when < 400.0);
         let word = if class == 0 { "refuse" } else { "fail" };
-        assert_eq!(answer(stage.play(when, Event::Alarm(alarm))), word);
-        assert!(stage.actions.contains(&Action::CallOff {
+        assert_eq!(answer(stage.play(when, Event::TimerFired(alarm))), word);
+        assert!(stage.actions.contains(&Action::CancelAttempt {
             request: RequestId(1),
             attempt: 0
         }));
@@ -143,11 +147,11 @@
             "nothing"
         );
         assert_eq!(
-            answer(stage.play(when + 2.0, Event::Alarm(alarm))),
+            answer(stage.play(when + 2.0, Event::TimerFired(alarm))),
             "nothing"
         );
         assert_eq!(
-            answer(stage.play(when + 3.0, Event::ClientGone(RequestId(1)))),
+            answer(stage.play(when + 3.0, Event::ClientDisconnected(RequestId(1)))),
             "nothing"
         );
     }
@@ -161,21 +165,27 @@
     );
     let mut at = stage.arrive(1.0, request(1, 0, 1.0)).unwrap();
     for attempt in 0..3 {
-        stage.settle(2.0 + f64::from(attempt), 1, attempt, at, Outcome::Full);
+        stage.settle(2.0 + f64::from(attempt), 1, attempt, at, Outcome::Rejected);
         at = stage.sent().unwrap();
     }
-    assert_eq!(answer(stage.settle(9.0, 1, 3, at, Outcome::Full)), "refuse");
+    assert_eq!(
+        answer(stage.settle(9.0, 1, 3, at, Outcome::Rejected)),
+        "refuse"
+    );
 }
 
 #[test]
 fn nothing_goes_to_a_backend_that_drains_or_is_gone() {
-    for availability in [Availability::Draining, Availability::Gone] {
+    for availability in [Availability::Draining, Availability::Removed] {
         let mut stage = Stage::new(settings(open_plan(), 1), vec![ready(1, 0), ready(2, 0)]);
         let leaving = BackendEntry {
             availability,
             ..ready(1, 0)
         };
-        stage.play(1.0, Event::Backends(ListKind::Changes, vec![leaving]));
+        stage.play(
+            1.0,
+            Event::EndpointsChanged(ListKind::Changes, vec![leaving]),
+        );
         for id in 0..2 {
             assert_eq!(stage.arrive(2.0, request(id, 0, 2.0)), Some(BackendId(2)));
         }
@@ -184,7 +194,10 @@
         assert_eq!(stage.sent(), Some(BackendId(2)));
     }
     let mut stage = Stage::new(settings(open_plan(), 1), vec![ready(1, 0), ready(2, 0)]);
-    stage.play(1.0, Event::Backends(ListKind::Full, vec![ready(2, 0)]));
+    stage.play(
+        1.0,
+        Event::EndpointsChanged(ListKind::Full, vec![ready(2, 0)]),
+    );
     assert_eq!(stage.arrive(2.0, request(1, 0, 2.0)), Some(BackendId(2)));
 }
 
@@ -201,10 +214,10 @@
         let now = f64::from(i) * 5.0;
         if i == 2000 {
             let cold = BackendEntry {
-                started: Some(now),
+                started_at: Some(now),
                 ..ready(3, 0)
             };
-            stage.play(now, Event::Backends(ListKind::Changes, vec![cold]));
+            stage.play(now, Event::EndpointsChanged(ListKind::Changes, vec![cold]));
             sent = [0; 4];
         }
         if let Some(at) = stage.arrive(now, request(i, 0, now)) {
@@ -234,7 +247,7 @@
         ..settings(open_plan(), 100)
     };
     let cold = BackendEntry {
-        started: Some(20_000.0),
+        started_at: Some(20_000.0),
         ..ready(0, 0)
     };
     let (mut by_second, mut all) = ([0u32; 10], 0);
@@ -244,7 +257,10 @@
         for i in 0..60u32 {
             let now = f64::from(i) * 500.0 + f64::from(seed) * 5.0;
             if i == 40 {
-                stage.play(20_000.0, Event::Backends(ListKind::Changes, vec![cold]));
+                stage.play(
+                    20_000.0,
+                    Event::EndpointsChanged(ListKind::Changes, vec![cold]),
+                );
             }
             if let Some(at) = stage.arrive(now, request(i, 0, now)) {
                 if at == cold.id {
@@ -268,7 +284,7 @@
 #[test]
 fn a_fleet_of_cold_backends_alone_is_still_made_use_of() {
     let cold = |id| BackendEntry {
-        started: Some(0.0),
+        started_at: Some(0.0),
         ..ready(id, 0)
     };
     let mut stage = Stage::new(settings(open_plan(), 1), vec![cold(1), cold(2)]);
@@ -297,12 +313,12 @@
             Outcome::Ok
         };
         let elapsed = if outcome == Outcome::Ok { 15.0 } else { 1.0 };
-        let end = Settled {
+        let end = AttemptCompleted {
             elapsed,
-            closed: outcome == Outcome::Ok,
+            request_closed: outcome == Outcome::Ok,
             ..settled(i, 0, at, outcome)
         };
-        stage.play(now + elapsed, Event::Settled(end));
+        stage.play(now + elapsed, Event::AttemptCompleted(end));
     }
     assert!(
         to_bad[0] < 20,
@@ -333,7 +349,7 @@
         } else {
             stage.play(
                 now + 8.0,
-                Event::Settled(Settled {
+                Event::AttemptCompleted(AttemptCompleted {
                     elapsed: 8.0,
                     ..settled(i, 0, at, Outcome::Ok)
                 }),
@@ -363,25 +379,25 @@
 fn what_is_unknown_or_not_a_number_does_no_harm() {
     let mut stage = Stage::new(settings(open_plan(), 1), vec![ready(1, 0)]);
     stage.settle(1.0, 77, 0, BackendId(9), Outcome::Ok);
-    stage.play(2.0, Event::Alarm(AlarmId(12345)));
-    stage.play(2.0, Event::ClientGone(RequestId(5)));
+    stage.play(2.0, Event::TimerFired(TimerId(12345)));
+    stage.play(2.0, Event::ClientDisconnected(RequestId(5)));
     stage.play(2.0, Event::StreamStarted(RequestId(5)));
     for (i, odd) in [f64::NAN, f64::INFINITY, -1.0, 0.0].into_iter().enumerate() {
         let id = i as u32;
         let asked = Request {
             units: odd,
-            spread: odd,
+            gateway_count: odd,
             deadline: 3000.0 + odd,
             ..request(id, 0, 3.0)
         };
         if let Some(at) = stage.arrive(3.0, asked) {
-            let end = Settled {
+            let end = AttemptCompleted {
                 elapsed: odd,
-                use_of_quota: Some(odd),
-                true_units: Some(odd),
+                quota_usage: Some(odd),
+                actual_units: Some(odd),
                 ..settled(id, 0, at, Outcome::Ok)
             };
-            stage.play(4.0, Event::Settled(end));
+            stage.play(4.0, Event::AttemptCompleted(end));
         }
     }
     let unknown = Request {
@@ -389,25 +405,28 @@
         class: ClassId(9),
         ..request(50, 0, 5.0)
     };
-    assert_eq!(answer(stage.play(5.0, Event::Arrival(unknown))), "refuse");
+    assert_eq!(
+        answer(stage.play(5.0, Event::RequestArrived(unknown))),
+        "refuse"
+    );
     assert!(stage.serve(6000.0, request(60, 0, 6000.0)));
 }
 
 #[test]
 fn the_list_is_asked_for_where_it_does_not_come_by_itself() {
     let set = Settings {
-        discovery: Discovery::OnRequest,
+        discovery: DiscoveryMode::OnRequest,
         ..settings(open_plan(), 1)
     };
     let mut stage = Stage::new(set, vec![ready(1, 0)]);
     assert!(stage.actions.contains(&Action::Subscribe));
-    stage.play(10.0, Event::Backends(ListKind::Failed, vec![]));
-    let Some(Action::SetAlarm { at, alarm }) = stage.actions.first().cloned() else {
+    stage.play(10.0, Event::EndpointsChanged(ListKind::Failed, vec![]));
+    let Some(Action::SetTimer { at, timer }) = stage.actions.first().cloned() else {
         panic!("no new try")
     };
     assert!(at < 10.0 + 10_000.0);
     assert!(stage
-        .play(at, Event::Alarm(alarm))
+        .play(at, Event::TimerFired(timer))
         .contains(&Action::Subscribe));
     assert_eq!(
         stage.arrive(at, request(1, 0, at)),
@@ -436,7 +455,7 @@
     // Nothing is ever answered: the marks at half of the aim alone tell, and less is let in.
     let set = settings(open_plan(), 1);
     let mut stage = Stage::new(set, (0..99).map(|id| ready(id, 0)).collect());
-    let mut alarms: Vec<(f64, AlarmId)> = Vec::new();
+    let mut alarms: Vec<(f64, TimerId)> = Vec::new();
     let mut sent = [0; 2];
     for i in 0..250u32 {
         let now = f64::from(i) * 10.0;
@@ -444,17 +463,17 @@
             .into_iter()
             .partition(|(at, _)| *at <= now);
         alarms = rest;
-        for (at, alarm) in Vec::<(f64, AlarmId)>::from_iter(due) {
-            stage.play(at, Event::Alarm(alarm));
+        for (at, alarm) in Vec::<(f64, TimerId)>::from_iter(due) {
+            stage.play(at, Event::TimerFired(alarm));
         }
         let asked = Request {
             customer: CustomerId(u64::from(i)),
             ..request(i, 0, now)
         };
-        stage.play(now, Event::Arrival(asked));
+        stage.play(now, Event::RequestArrived(asked));
         sent[usize::from(i >= 200)] += u32::from(stage.sent().is_some());
         alarms.extend(stage.actions.iter().filter_map(|a| match a {
-            Action::SetAlarm { at, alarm } => Some((*at, *alarm)),
+            Action::SetTimer { at, timer } => Some((*at, *timer)),
             _ => None,
         }));
     }
@@ -478,7 +497,7 @@
             for (_, id, at) in done {
                 stage.play(
                     now,
-                    Event::Settled(Settled {
+                    Event::AttemptCompleted(AttemptCompleted {
                         elapsed: time,
                         ..settled(id, 0, at, Outcome::Ok)
                     }),
@@ -513,7 +532,7 @@
             .expect("a patient client is served");
         stage.play(
             now + 200.0,
-            Event::Settled(Settled {
+            Event::AttemptCompleted(AttemptCompleted {
                 elapsed: 200.0,
                 ..settled(i, 0, at, Outcome::Ok)
             }),
@@ -564,7 +583,7 @@
         sent[plan][at.0 as usize] += 1;
         // Backend 1 turns plan 0 away; what is turned away once more elsewhere is answered.
         if plan == 0 && at == BackendId(1) {
-            stage.settle(now + 1.0, i, 0, at, Outcome::Full);
+            stage.settle(now + 1.0, i, 0, at, Outcome::Rejected);
             let Some(next) = stage.sent() else { continue };
             stage.settle(now + 2.0, i, 1, next, Outcome::Ok);
         } else {
@@ -582,13 +601,13 @@
 fn only_what_may_be_repeated_gets_a_shorter_limit() {
     let limit_of = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
-            Action::Send { limit, .. } => *limit,
+            Action::Send { timeout: limit, .. } => *limit,
             _ => None,
         })
     };
     for (class, shorter) in [(0, true), (1, false), (2, false)] {
         let mut set = settings(open_plan(), 1);
-        set.classes[class].late_worth = 0.5;
+        set.classes[class].late_priority_weight = 0.5;
         set.max_attempts = 2;
         let mut stage = Stage::new(set, (1..=4).map(|id| ready(id, 0)).collect());
         let at = stage.arrive(1.0, request(1, class, 1.0)).unwrap();
@@ -597,13 +616,13 @@
         if shorter {
             stage.play(
                 1.0 + limit,
-                Event::Settled(Settled {
+                Event::AttemptCompleted(AttemptCompleted {
                     elapsed: limit,
                     ..settled(1, 0, at, Outcome::Timeout)
                 }),
             );
             assert!(
-                stage.actions.contains(&Action::CloseIdle(at)),
+                stage.actions.contains(&Action::CloseIdleConnections(at)),
                 "{:?}",
                 stage.actions
             );
@@ -630,12 +649,12 @@
         } else {
             (Outcome::Ok, 0)
         };
-        let end = Settled {
-            broken,
+        let end = AttemptCompleted {
+            broken_connections: broken,
             ..settled(i, 0, at, outcome)
         };
         assert!(
-            !aside(stage.play(now + 10.0, Event::Settled(end))),
+            !aside(stage.play(now + 10.0, Event::AttemptCompleted(end))),
             "request {i}"
         );
     }
@@ -663,8 +682,8 @@
         });
         stage.play(
             now + 1.0,
-            Event::Settled(Settled {
-                broken,
+            Event::AttemptCompleted(AttemptCompleted {
+                broken_connections: broken,
                 ..settled(id, 0, at, Outcome::Ok)
             }),
         );
@@ -699,22 +718,25 @@
     } else {
         BackendId(1)
     };
-    let end = Settled {
+    let end = AttemptCompleted {
         elapsed: 2900.0,
-        closed: true,
+        request_closed: true,
         ..settled(1, 0, bad, Outcome::Cancelled)
     };
-    stage.play(2900.0, Event::Settled(end));
+    stage.play(2900.0, Event::AttemptCompleted(end));
     // Another one is out there, as if sent for want of a choice.
     let draining = BackendEntry {
         availability: Availability::Draining,
         ..ready(other.0, 0)
     };
-    stage.play(2901.0, Event::Backends(ListKind::Changes, vec![draining]));
+    stage.play(
+        2901.0,
+        Event::EndpointsChanged(ListKind::Changes, vec![draining]),
+    );
     assert_eq!(stage.arrive(2902.0, request(2, 2, 2902.0)), Some(bad));
     stage.play(
         2903.0,
-        Event::Backends(ListKind::Changes, vec![ready(other.0, 0)]),
+        Event::EndpointsChanged(ListKind::Changes, vec![ready(other.0, 0)]),
     );
     let mut shared = 0;
     for i in (0..200).step_by(2) {
@@ -741,7 +763,7 @@
         ..Plan::default()
     };
     let settings = Settings {
-        me,
+        gateway_index: me,
         max_units: 1.0,
         warm_up: 10_000.0,
         ..settings(wide, 100)
@@ -814,7 +836,7 @@
 #[test]
 fn cold_backends_carry_their_part_where_most_are_cold() {
     let cold = |id: u32| BackendEntry {
-        started: Some(0.0),
+        started_at: Some(0.0),
         ..ready(id, 0)
     };
     let mut taken = [0.0, 0.0];
@@ -853,12 +875,12 @@
             if (160..360).contains(&i) && i % 10 == 0 {
                 let old = (i - 160) / 10;
                 let gone = BackendEntry {
-                    availability: Availability::Gone,
+                    availability: Availability::Removed,
                     ..ready(id(old), 0)
                 };
                 stage.play(
                     now,
-                    Event::Backends(ListKind::Changes, vec![gone, ready(id(100 + old), 0)]),
+                    Event::EndpointsChanged(ListKind::Changes, vec![gone, ready(id(100 + old), 0)]),
                 );
             }
             let at = stage.arrive(now, request(i, 0, now)).expect("room");
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -23,7 +23,7 @@
             .expect("a calm gateway sends");
         stage.play(
             now + took,
-            Event::Settled(Settled {
+            Event::AttemptCompleted(AttemptCompleted {
                 elapsed: took,
                 ..settled(i, 0, at, Outcome::Ok)
             }),
@@ -41,7 +41,7 @@
         let at = stage.arrive(now, request(900, 0, now)).expect("sent");
         stage.play(
             now + after,
-            Event::Settled(Settled {
+            Event::AttemptCompleted(AttemptCompleted {
                 elapsed: after,
                 ..settled(900, 0, at, Outcome::Error)
             }),
@@ -55,7 +55,7 @@
             stage
                 .actions
                 .iter()
-                .any(|a| matches!(a, Action::Refuse { .. })),
+                .any(|a| matches!(a, Action::Reject { .. })),
             !again
         );
     }
@@ -67,7 +67,7 @@
     for (waited, sent) in [(0.0, true), (600.0, true), (900.0, false), (5000.0, false)] {
         let (mut stage, now) = taught(settings(open_plan(), 1), 150.0);
         let asked = Request {
-            waited,
+            queued_for: waited,
             ..request(900, 0, now)
         };
         assert_eq!(
@@ -84,7 +84,7 @@
                 .arrive(
                     now,
                     Request {
-                        waited,
+                        queued_for: waited,
                         ..request(id, 0, now)
                     }
                 )
@@ -103,17 +103,17 @@
     for i in 0..200u32 {
         let now = start + f64::from(i) * 100.0;
         let asked = Request {
-            waited: 500.0,
+            queued_for: 500.0,
             customer: CustomerId(u64::from(i)),
             ..request(1000 + i, 0, now)
         };
         if let Some(at) = stage.arrive(now, asked) {
             sent += 1;
-            let end = Settled {
+            let end = AttemptCompleted {
                 elapsed: 100.0,
                 ..settled(1000 + i, 0, at, Outcome::Ok)
             };
-            stage.play(now + 99.0, Event::Settled(end));
+            stage.play(now + 99.0, Event::AttemptCompleted(end));
         }
     }
     assert_eq!(sent, 200);
@@ -125,7 +125,7 @@
 fn further_attempts_stay_a_share_of_first_ones_through_an_outage() {
     for outcome in [
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::ConnectFailed,
         Outcome::Reset,
     ] {
@@ -142,7 +142,10 @@
             firsts += 1;
             for attempt in 0.. {
                 sends += 1;
-                stage.play(now + 1.0, Event::Settled(settled(i, attempt, at, outcome)));
+                stage.play(
+                    now + 1.0,
+                    Event::AttemptCompleted(settled(i, attempt, at, outcome)),
+                );
                 let Some(next) = stage.sent() else { break };
                 at = next;
             }
@@ -168,13 +171,16 @@
     };
     let (mut stage, now) = taught(set, 100.0);
     let at = stage.arrive(now, request(900, 0, now)).expect("sent");
-    stage.play(now + 1.0, Event::Stopping(now + 1500.0));
+    stage.play(now + 1.0, Event::ShutdownStarted(now + 1500.0));
     for (id, then, wait) in [(901, 100.0, 1400.0), (902, 1600.0, 0.0)] {
-        stage.play(now + then, Event::Arrival(request(id, 0, now + then)));
-        let refused = Action::Refuse {
+        stage.play(
+            now + then,
+            Event::RequestArrived(request(id, 0, now + then)),
+        );
+        let refused = Action::Reject {
             request: RequestId(id),
             retry_after: Some(wait),
-            why: Why::Stopping,
+            reason: RejectReason::ShuttingDown,
         };
         assert_eq!(stage.actions, [refused]);
     }
@@ -187,14 +193,14 @@
     stage
         .actions
         .iter()
-        .all(|action| matches!(action, Action::CloseIdle(_)))
+        .all(|action| matches!(action, Action::CloseIdleConnections(_)))
 }
 
 /// A gateway whose first attempt of request 900, sent to the first backend, has hung until its alarm.
-fn hung(class: usize, copies: bool) -> (Stage, f64, BackendId, Option<AlarmId>) {
+fn hung(class: usize, copies: bool) -> (Stage, f64, BackendId, Option<TimerId>) {
     let set = Settings {
-        second_copies: copies,
-        cancel: true,
+        hedging: copies,
+        cancellation: true,
         ..settings(open_plan(), 1)
     };
     let (mut stage, now) = taught(set, 20.0);
@@ -204,7 +210,7 @@
         .iter()
         .rev()
         .filter_map(|action| match action {
-            Action::SetAlarm { alarm, .. } if alarm.0 > u64::from(u32::MAX) => Some(*alarm),
+            Action::SetTimer { timer: alarm, .. } if alarm.0 > u64::from(u32::MAX) => Some(*alarm),
             _ => None,
         });
     let alarm = alarms.next();
@@ -217,10 +223,10 @@
 fn a_second_copy_goes_to_another_backend_and_only_where_it_may() {
     let (mut stage, now, first, alarm) = hung(0, true);
     let alarm = alarm.expect("an alarm for a copy");
-    stage.play(now + 400.0, Event::Alarm(alarm));
+    stage.play(now + 400.0, Event::TimerFired(alarm));
     let copy = stage.sent().expect("a copy");
     assert_ne!(first, copy);
-    stage.play(now + 401.0, Event::Alarm(alarm));
+    stage.play(now + 401.0, Event::TimerFired(alarm));
     assert_eq!(stage.sent(), None, "a third copy");
     // The copy fails: the first is whole and nothing is said; then the first answers.
     stage.settle(now + 450.0, 900, 1, copy, Outcome::Reset);
@@ -228,7 +234,7 @@
     stage.settle(now + 500.0, 900, 0, first, Outcome::Ok);
     assert!(!stage.actions.iter().any(|a| matches!(
         a,
-        Action::Refuse { .. } | Action::Fail(_) | Action::Send { .. }
+        Action::Reject { .. } | Action::Fail(_) | Action::Send { .. }
     )));
     for (class, copies) in [(2, true), (0, false)] {
         assert_eq!(
@@ -246,11 +252,11 @@
         let (mut stage, now, first, alarm) = hung(0, true);
         stage.play(
             now + 400.0,
-            Event::Alarm(alarm.expect("an alarm for a copy")),
+            Event::TimerFired(alarm.expect("an alarm for a copy")),
         );
         let at = [first, stage.sent().expect("a copy")];
         stage.settle(now + 450.0, 900, winner, at[winner as usize], Outcome::Ok);
-        let off = Action::CallOff {
+        let off = Action::CancelAttempt {
             request: RequestId(900),
             attempt: loser,
         };
@@ -279,11 +285,11 @@
     let (mut stage, now, first, alarm) = hung(0, true);
     stage.play(
         now + 400.0,
-        Event::Alarm(alarm.expect("an alarm for a copy")),
+        Event::TimerFired(alarm.expect("an alarm for a copy")),
     );
     let copy = stage.sent().expect("a copy");
-    stage.play(now + 450.0, Event::ClientGone(RequestId(900)));
-    let off = |attempt| Action::CallOff {
+    stage.play(now + 450.0, Event::ClientDisconnected(RequestId(900)));
+    let off = |attempt| Action::CancelAttempt {
         request: RequestId(900),
         attempt,
     };
@@ -295,7 +301,7 @@
     let (mut stage, now, first, alarm) = hung(0, true);
     stage.play(
         now + 400.0,
-        Event::Alarm(alarm.expect("an alarm for a copy")),
+        Event::TimerFired(alarm.expect("an alarm for a copy")),
     );
     let copy = stage.sent().expect("a copy");
     stage.settle(now + 990.0, 900, 0, first, Outcome::Reset);
@@ -305,7 +311,7 @@
         stage
             .actions
             .iter()
-            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .filter(|a| matches!(a, Action::Reject { .. }))
             .count(),
         1
     );
@@ -315,8 +321,8 @@
 #[test]
 fn second_copies_come_out_of_the_budget_of_retries() {
     let set = Settings {
-        second_copies: true,
-        cancel: true,
+        hedging: true,
+        cancellation: true,
         ..settings(open_plan(), 1)
     };
     let (mut stage, start) = taught(set, 20.0);
@@ -327,10 +333,13 @@
             continue;
         };
         let alarm = stage.actions.iter().rev().find_map(|action| match action {
-            Action::SetAlarm { alarm, .. } if alarm.0 > u64::from(u32::MAX) => Some(*alarm),
+            Action::SetTimer { timer: alarm, .. } if alarm.0 > u64::from(u32::MAX) => Some(*alarm),
             _ => None,
         });
-        stage.play(now + 400.0, Event::Alarm(alarm.unwrap_or(AlarmId(1 << 40))));
+        stage.play(
+            now + 400.0,
+            Event::TimerFired(alarm.unwrap_or(TimerId(1 << 40))),
+        );
         if let Some(copy) = stage.sent() {
             copies += 1;
             stage.settle(now + 410.0, id, 1, copy, Outcome::Ok);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,25 +4,29 @@
 
 /// A gateway with the actions of its last event.
 pub(crate) struct Stage {
-    pub gateway: Gateway,
+    pub gateway: PolicyEngine,
     pub actions: Vec<Action>,
 }
 
 /// One gateway of `spread` with a plan and a class of each effect: 0 safe, 1 keyed, 2 unsafe.
 pub(crate) fn settings(plan: Plan, gateways: u32) -> Settings {
     let class = |effect| Class {
-        aim: 1000.0,
+        latency_objective: 1000.0,
         deadline: 3000.0,
-        effect,
+        idempotency: effect,
         ..Class::default()
     };
-    let keyed = Effect::Keyed {
-        group: Group::Zone,
-        memory: 2000.0,
+    let keyed = Idempotency::WithKey {
+        scope: DeduplicationScope::Zone,
+        retention: 2000.0,
     };
     Settings {
         gateways,
-        classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(keyed),
+            class(Idempotency::NonIdempotent),
+        ],
         plans: vec![plan],
         max_attempts: 4,
         ..Settings::default()
@@ -36,8 +40,8 @@
         zone: ZoneId(zone),
         cell: CellId(zone),
         availability: Availability::Ready,
-        started: None,
-        size: 1.0,
+        started_at: None,
+        weight: 1.0,
     }
 }
 
@@ -50,9 +54,9 @@
         class: ClassId(class),
         units: 1.0,
         deadline: now + 3000.0,
-        spread: 1.0,
-        again: false,
-        waited: 0.0,
+        gateway_count: 1.0,
+        is_retry: false,
+        queued_for: 0.0,
     }
 }
 
@@ -66,10 +70,10 @@
     /// One of several gateways, each with a seed of its own.
     pub(crate) fn seeded(settings: Settings, seed: u64, backends: Vec<BackendEntry>) -> Stage {
         let mut stage = Stage {
-            gateway: Gateway::new(settings, seed),
+            gateway: PolicyEngine::new(settings, seed),
             actions: Vec::new(),
         };
-        stage.play(0.0, Event::Backends(ListKind::Cached, backends));
+        stage.play(0.0, Event::EndpointsChanged(ListKind::Cached, backends));
         stage
     }
 
@@ -82,7 +86,7 @@
 
     /// Plays an arrival and tells where it was sent, if it was.
     pub(crate) fn arrive(&mut self, now: Millis, request: Request) -> Option<BackendId> {
-        self.play(now, Event::Arrival(request));
+        self.play(now, Event::RequestArrived(request));
         self.sent()
     }
 
@@ -103,7 +107,10 @@
         at: BackendId,
         outcome: Outcome,
     ) -> &[Action] {
-        self.play(now, Event::Settled(settled(id, attempt, at, outcome)))
+        self.play(
+            now,
+            Event::AttemptCompleted(settled(id, attempt, at, outcome)),
+        )
     }
 
     /// Plays an arrival that is answered 10 ms later if it is sent; tells whether it was.
@@ -117,17 +124,17 @@
 }
 
 /// The end of an attempt after 10 ms; a good one closes the request.
-pub(crate) fn settled(id: u32, attempt: u32, at: BackendId, outcome: Outcome) -> Settled {
-    Settled {
+pub(crate) fn settled(id: u32, attempt: u32, at: BackendId, outcome: Outcome) -> AttemptCompleted {
+    AttemptCompleted {
         request: RequestId(id),
         attempt,
         backend: at,
         outcome,
         elapsed: 10.0,
-        closed: outcome == Outcome::Ok,
-        use_of_quota: None,
-        true_units: None,
-        report: Report::default(),
-        broken: 0,
+        request_closed: outcome == Outcome::Ok,
+        quota_usage: None,
+        actual_units: None,
+        load_report: LoadReport::default(),
+        broken_connections: 0,
     }
 }
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -12,7 +12,7 @@
         ..Plan::default()
     };
     let set = Settings {
-        me,
+        gateway_index: me,
         max_units: 1.0,
         ..settings(plan, gateways)
     };
@@ -45,11 +45,11 @@
             } else {
                 (Outcome::Ok, 20.0)
             };
-            let end = Settled {
+            let end = AttemptCompleted {
                 elapsed: took,
                 ..settled(id, attempt, backend, outcome)
             };
-            stage.play(now + took, Event::Settled(end));
+            stage.play(now + took, Event::AttemptCompleted(end));
             at = stage.sent();
         }
         now += gap;
@@ -95,7 +95,7 @@
     let trials = |present: u32| {
         let doors = (0..18).map(|me| {
             let mut stage = gateway(me, 18, 12);
-            stage.play(0.0, Event::Present(present));
+            stage.play(0.0, Event::FleetSizeChanged(present));
             let sent = play(&mut stage, (0.0, 60_000.0, 100.0), 0, &|backend| {
                 backend.0 == 0
             });
@@ -179,10 +179,13 @@
         "{before:?}"
     );
     let anew = BackendEntry {
-        started: Some(-1e6),
+        started_at: Some(-1e6),
         ..ready(0, 0)
     };
-    stage.play(32_000.0, Event::Backends(ListKind::Changes, vec![anew]));
+    stage.play(
+        32_000.0,
+        Event::EndpointsChanged(ListKind::Changes, vec![anew]),
+    );
     let sent = play(&mut stage, (32_000.0, 34_000.0, 50.0), 0, &|_| false);
     assert!(
         sent.get(&BackendId(0)).is_some_and(|sent| *sent >= 5),
--- a/tests/policy_trace.rs
+++ b/tests/policy_trace.rs
@@ -43,7 +43,7 @@
             Action::Send {
                 request,
                 backend,
-                limit,
+                timeout: limit,
                 begin_before,
                 delivery,
             } => {
@@ -58,10 +58,10 @@
                     DeliveryMode::Once => 2,
                 });
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
-                why,
+                reason: why,
             } => {
                 self.number(2);
                 self.number(request.0.into());
@@ -72,25 +72,25 @@
                 self.number(3);
                 self.number(request.0.into());
             }
-            Action::CallOff { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 self.number(4);
                 self.number(request.0.into());
                 self.number((*attempt).into());
             }
-            Action::SetAlarm { at, alarm } => {
+            Action::SetTimer { at, timer } => {
                 self.number(5);
                 self.time(*at);
-                self.number(alarm.0);
+                self.number(timer.0);
             }
-            Action::Probe(backend) => {
+            Action::CheckHealth(backend) => {
                 self.number(6);
                 self.number(backend.0.into());
             }
-            Action::CloseIdle(backend) => {
+            Action::CloseIdleConnections(backend) => {
                 self.number(7);
                 self.number(backend.0.into());
             }
-            Action::Warm { backend, within } => {
+            Action::Preconnect { backend, within } => {
                 self.number(8);
                 self.number(backend.0.into());
                 self.time(*within);
@@ -103,17 +103,17 @@
     }
 }
 
-fn reason(why: Why) -> u64 {
+fn reason(why: RejectReason) -> u64 {
     match why {
-        Why::Unknown => 0,
-        Why::Stopping => 1,
-        Why::Box => 2,
-        Why::Chance => 3,
-        Why::Slice => 4,
-        Why::OpenCap => 5,
-        Why::Ceiling => 6,
-        Why::Room => 7,
-        Why::Failed => 8,
+        RejectReason::UnknownPlanOrClass => 0,
+        RejectReason::ShuttingDown => 1,
+        RejectReason::PenaltyBox => 2,
+        RejectReason::LoadShedding => 3,
+        RejectReason::TokenBucket => 4,
+        RejectReason::ConcurrencyLimit => 5,
+        RejectReason::Ceiling => 6,
+        RejectReason::NoCapacity => 7,
+        RejectReason::AttemptsFailed => 8,
     }
 }
 
@@ -125,14 +125,18 @@
 /// Settings that turn each switch by a bit of `run`.
 fn settings(run: u32) -> Settings {
     let on = |bit: u32| run >> bit & 1 == 1;
-    let class = |effect: Effect, aim: f64, late_worth: f64| Class {
-        aim,
+    let class = |effect: Idempotency, aim: f64, late_worth: f64| Class {
+        latency_objective: aim,
         deadline: 3.0 * aim,
-        late_worth,
-        effect,
+        late_priority_weight: late_worth,
+        idempotency: effect,
         ..Class::default()
     };
-    let groups = [Group::All, Group::Zone, Group::Cell];
+    let groups = [
+        DeduplicationScope::All,
+        DeduplicationScope::Zone,
+        DeduplicationScope::Cell,
+    ];
     let group = groups[run as usize % groups.len()];
     let ceiling = Ceiling {
         rate: 40.0,
@@ -141,56 +145,60 @@
     };
     Settings {
         gateways: [1, 3, 40, 300][run as usize / 2 % 4],
-        me: run % 3,
+        gateway_index: run % 3,
         tick: 1.0,
         classes: vec![
-            class(Effect::Safe, 400.0, 0.3),
+            class(Idempotency::Idempotent, 400.0, 0.3),
             class(
-                Effect::Keyed {
-                    group,
-                    memory: 900.0,
+                Idempotency::WithKey {
+                    scope: group,
+                    retention: 900.0,
                 },
                 500.0,
                 0.0,
             ),
-            class(Effect::Unsafe, 600.0, 0.5),
+            class(Idempotency::NonIdempotent, 600.0, 0.5),
         ],
         plans: vec![
             Plan {
                 rate: 14.0,
                 burst: 14.0,
-                max_open: 12,
-                over_cost: 0.6,
+                max_concurrency: 12,
+                over_quota_cost: 0.6,
                 ..Plan::default()
             },
             Plan {
                 rate: 60.0,
                 burst: 20.0,
-                over_worth: 0.2,
-                over_cost: 1.0,
+                over_quota_weight: 0.2,
+                over_quota_cost: 1.0,
                 ceiling: Some(ceiling),
                 ..Plan::default()
             },
             Plan {
-                max_open: 5,
+                max_concurrency: 5,
                 ..Plan::default()
             },
         ],
         max_units: 4.0,
         meter_period: if on(2) { 1000.0 } else { 0.0 },
         discovery: if on(3) {
-            Discovery::OnRequest
+            DiscoveryMode::OnRequest
         } else {
-            Discovery::Pushed
+            DiscoveryMode::Pushed
+        },
+        load_reports: if on(1) {
+            LoadReportMode::Inline
+        } else {
+            LoadReportMode::Off
         },
-        reports: if on(1) { Reports::Inline } else { Reports::Off },
         max_attempts: 1 + run % 4,
-        second_copies: on(0),
-        cancel: on(1),
-        probes: on(4),
+        hedging: on(0),
+        cancellation: on(1),
+        health_checks: on(4),
         retry_after: on(2) || on(4),
         max_retry_after: 2000.0,
-        cross_zone_price: if on(3) { 0.1 } else { 0.0 },
+        cross_zone_cost: if on(3) { 0.1 } else { 0.0 },
         answer_slack: 10.0,
         drain_grace: 50.0,
         warm_up: 4000.0,
@@ -202,7 +210,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Pending {
     Arrival(u32),
-    Alarm(AlarmId),
+    Alarm(TimerId),
     AttemptEnds { request: u32, attempt: u32 },
     ListChanges(u32),
     ClientLeaves(u32),
@@ -220,7 +228,7 @@
 /// One gateway with its scripted clients and backends.
 struct Run {
     rng: Pcg32,
-    gateway: Gateway,
+    gateway: PolicyEngine,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     pending: Vec<Pending>,
     attempts: BTreeMap<u32, u32>,
@@ -233,7 +241,7 @@
     fn new(run: u32) -> Run {
         Run {
             rng: Pcg32::seed_from_u64(u64::from(run) + 1000),
-            gateway: Gateway::new(settings(run), u64::from(run)),
+            gateway: PolicyEngine::new(settings(run), u64::from(run)),
             queue: BinaryHeap::new(),
             pending: Vec::new(),
             attempts: BTreeMap::new(),
@@ -266,11 +274,11 @@
             Action::Send {
                 request,
                 backend,
-                limit,
+                timeout: limit,
                 ..
             } => self.send(now, request.0, backend.0, limit),
-            Action::SetAlarm { at, alarm } => self.schedule(at.max(now), Pending::Alarm(alarm)),
-            Action::CallOff { request, attempt } => {
+            Action::SetTimer { at, timer } => self.schedule(at.max(now), Pending::Alarm(timer)),
+            Action::CancelAttempt { request, attempt } => {
                 self.end_attempt(now, request.0, attempt, Some(Outcome::Cancelled));
             }
             Action::Subscribe => {
@@ -279,7 +287,7 @@
                 } else {
                     ListKind::Changes
                 };
-                self.handle(now, Event::Backends(kind, Vec::new()));
+                self.handle(now, Event::EndpointsChanged(kind, Vec::new()));
             }
             _ => {}
         }
@@ -297,7 +305,7 @@
             (2, luck) if luck < 0.5 => (Outcome::Timeout, 5000.0),
             (_, luck) if luck < 0.01 => (Outcome::Reset, service / 2.0),
             (_, luck) if luck < 0.02 => (Outcome::ConnectFailed, 1.0),
-            (_, luck) if luck < 0.04 => (Outcome::Full, 2.0),
+            (_, luck) if luck < 0.04 => (Outcome::Rejected, 2.0),
             (_, luck) if luck < 0.045 => (Outcome::NotSent, 0.0),
             _ => (Outcome::Ok, service),
         };
@@ -324,19 +332,19 @@
         let answered = matches!(outcome, Outcome::Ok | Outcome::Error);
         let metered = answered && draw(&mut self.rng) < 0.5;
         let true_units = answered && draw(&mut self.rng) < 0.3;
-        let settled = Settled {
+        let settled = AttemptCompleted {
             request: RequestId(request),
             attempt,
             backend: BackendId(out.backend),
             outcome,
             elapsed: now - out.sent,
-            closed: draw(&mut self.rng) < 0.01,
-            use_of_quota: metered.then(|| 2.0 * draw(&mut self.rng)),
-            true_units: true_units.then(|| 3.0 * draw(&mut self.rng)),
-            report: Report::default(),
-            broken: u32::from(outcome == Outcome::Reset),
+            request_closed: draw(&mut self.rng) < 0.01,
+            quota_usage: metered.then(|| 2.0 * draw(&mut self.rng)),
+            actual_units: true_units.then(|| 3.0 * draw(&mut self.rng)),
+            load_report: LoadReport::default(),
+            broken_connections: u32::from(outcome == Outcome::Reset),
         };
-        self.handle(now, Event::Settled(settled));
+        self.handle(now, Event::AttemptCompleted(settled));
     }
 
     fn arrive(&mut self, now: Millis, number: u32) {
@@ -349,9 +357,9 @@
             class: ClassId(if number % 400 == 399 { 7 } else { class }),
             units: 0.3 + 2.0 * draw(&mut self.rng),
             deadline: now + 300.0 + 1500.0 * draw(&mut self.rng),
-            spread: [1.0, 2.0, 30.0][(customer % 3) as usize],
-            again: draw(&mut self.rng) < 0.1,
-            waited: if draw(&mut self.rng) < 0.05 {
+            gateway_count: [1.0, 2.0, 30.0][(customer % 3) as usize],
+            is_retry: draw(&mut self.rng) < 0.1,
+            queued_for: if draw(&mut self.rng) < 0.05 {
                 40.0
             } else {
                 0.0
@@ -361,7 +369,7 @@
             let leaves = now + 200.0 * draw(&mut self.rng);
             self.schedule(leaves, Pending::ClientLeaves(number));
         }
-        self.handle(now, Event::Arrival(request));
+        self.handle(now, Event::RequestArrived(request));
     }
 
     fn entry(&mut self, number: u32, now: Millis) -> BackendEntry {
@@ -372,11 +380,11 @@
             cell: CellId(number % 5),
             availability: match luck {
                 luck if luck < 0.1 => Availability::Draining,
-                luck if luck < 0.15 => Availability::Gone,
+                luck if luck < 0.15 => Availability::Removed,
                 _ => Availability::Ready,
             },
-            started: (draw(&mut self.rng) < 0.3).then(|| now - 4000.0 * draw(&mut self.rng)),
-            size: if number.is_multiple_of(4) { 2.0 } else { 1.0 },
+            started_at: (draw(&mut self.rng) < 0.3).then(|| now - 4000.0 * draw(&mut self.rng)),
+            weight: if number.is_multiple_of(4) { 2.0 } else { 1.0 },
         }
     }
 
@@ -389,9 +397,9 @@
         let entries = (least..=BACKENDS)
             .map(|number| self.entry(number, now))
             .collect();
-        self.handle(now, Event::Backends(kind, entries));
+        self.handle(now, Event::EndpointsChanged(kind, entries));
         if step.is_multiple_of(2) {
-            self.handle(now, Event::Present(2 + step * 5));
+            self.handle(now, Event::FleetSizeChanged(2 + step * 5));
         }
     }
 
@@ -399,7 +407,7 @@
         let first = (1..=BACKENDS)
             .map(|number| self.entry(number, 0.0))
             .collect();
-        self.handle(0.0, Event::Backends(ListKind::Cached, first));
+        self.handle(0.0, Event::EndpointsChanged(ListKind::Cached, first));
         let mut at = 10.0;
         for number in 1..=ARRIVALS_PER_RUN {
             // Calm at first, then a burst, then calm again.
@@ -416,15 +424,15 @@
             match self.pending[number as usize] {
                 Pending::Arrival(number) => self.arrive(now, number),
                 Pending::Alarm(_) if now > at + 20_000.0 => {}
-                Pending::Alarm(alarm) => self.handle(now, Event::Alarm(alarm)),
+                Pending::Alarm(alarm) => self.handle(now, Event::TimerFired(alarm)),
                 Pending::AttemptEnds { request, attempt } => {
                     self.end_attempt(now, request, attempt, None);
                 }
                 Pending::ListChanges(step) => self.change_list(now, step),
                 Pending::ClientLeaves(number) => {
-                    self.handle(now, Event::ClientGone(RequestId(number)));
+                    self.handle(now, Event::ClientDisconnected(RequestId(number)));
                 }
-                Pending::Stops => self.handle(now, Event::Stopping(at + 100.0)),
+                Pending::Stops => self.handle(now, Event::ShutdownStarted(at + 100.0)),
             }
         }
         (self.digest.0, self.events)
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -26,7 +26,7 @@
     zones: BTreeMap<BackendId, u32>,
     leaving: BTreeMap<BackendId, bool>,
     open: BTreeMap<u32, Open>,
-    alarms: Vec<(f64, AlarmId)>,
+    alarms: Vec<(f64, TimerId)>,
 }
 
 impl Door {
@@ -37,16 +37,16 @@
                 Action::Send {
                     request, backend, ..
                 } => self.sent(now, request.0, backend),
-                Action::Refuse { request, .. } => self.answered(now, request.0, true),
+                Action::Reject { request, .. } => self.answered(now, request.0, true),
                 Action::Fail(request) => self.answered(now, request.0, false),
-                Action::SetAlarm { at, alarm } => self.alarms.push((at, alarm)),
+                Action::SetTimer { at, timer } => self.alarms.push((at, timer)),
                 _ => {}
             }
         }
     }
 
     /// Takes the earliest alarm that is due.
-    fn next_alarm(&mut self, now: f64) -> Option<(f64, AlarmId)> {
+    fn next_alarm(&mut self, now: f64) -> Option<(f64, TimerId)> {
         let due = (0..self.alarms.len()).filter(|i| self.alarms[*i].0 <= now);
         let first = due.min_by(|a, b| self.alarms[*a].0.total_cmp(&self.alarms[*b].0))?;
         Some(self.alarms.remove(first))
@@ -98,7 +98,7 @@
     let plan = Plan {
         rate,
         burst: 2.0 * rate,
-        max_open,
+        max_concurrency: max_open,
         ..Plan::default()
     };
     let list: Vec<_> = (0..backends).map(|id| ready(id, id % 2)).collect();
@@ -116,7 +116,7 @@
         Outcome::Ok,
         Outcome::Ok,
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::Timeout,
         Outcome::ConnectFailed,
         Outcome::Reset,
@@ -126,7 +126,7 @@
         now += f64::from(pick(40));
         // One alarm may set the next, which may be due as well: each fires before anything later happens.
         while let Some((at, alarm)) = door.next_alarm(now) {
-            door.play(at, Event::Alarm(alarm));
+            door.play(at, Event::TimerFired(alarm));
         }
         match pick(10) {
             0..=4 => {
@@ -146,10 +146,10 @@
                 let asked = Request {
                     customer,
                     deadline,
-                    spread: 2.0,
+                    gateway_count: 2.0,
                     ..request(id, class, now)
                 };
-                door.play(now, Event::Arrival(asked));
+                door.play(now, Event::RequestArrived(asked));
             }
             5..=8 => {
                 let waiting: Vec<u32> = door
@@ -165,19 +165,19 @@
                 let outcome = outcomes[pick(7) as usize];
                 let open = door.open.get_mut(&id).expect("a known request");
                 let (attempt, backend) = open.out.take().expect("an attempt that is out");
-                let proven = matches!(outcome, Outcome::Full | Outcome::ConnectFailed);
+                let proven = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
                 if !proven {
                     open.ran = open.ran.or(Some((open.sent_at, door.zones[&backend])));
                 }
                 let closed = open.answered || outcome == Outcome::Ok;
                 open.answered = closed;
                 let elapsed = now - open.sent_at;
-                let end = Settled {
+                let end = AttemptCompleted {
                     elapsed,
-                    closed,
+                    request_closed: closed,
                     ..settled(id, attempt, backend, outcome)
                 };
-                door.play(now, Event::Settled(end));
+                door.play(now, Event::AttemptCompleted(end));
             }
             _ => {
                 let id = pick(backends);
@@ -192,13 +192,13 @@
                     availability,
                     ..ready(id, id % 2)
                 };
-                door.play(now, Event::Backends(ListKind::Changes, vec![line]));
+                door.play(now, Event::EndpointsChanged(ListKind::Changes, vec![line]));
             }
         }
     }
     while !door.alarms.is_empty() {
         for (at, alarm) in std::mem::take(&mut door.alarms) {
-            door.play(at.max(now), Event::Alarm(alarm));
+            door.play(at.max(now), Event::TimerFired(alarm));
         }
     }
     let unanswered = door
