--- a/src/net/control/backoff.rs
+++ b/src/net/control/backoff.rs
@@ -41,19 +41,19 @@
     }
 
     /// How many front doors it reckons with: whoever learns better may change it.
-    pub(crate) fn gateways(&self) -> Rc<Cell<u32>> {
+    pub(crate) fn fleet_size(&self) -> Rc<Cell<u32>> {
         self.gateways.clone()
     }
 
     /// The pause after a call or a connection that was lost. It is short: what the service has to tell counts as
     /// told while it is not asked.
-    pub(crate) fn lost(&mut self) -> Duration {
+    pub(crate) fn after_failure(&mut self) -> Duration {
         self.draw(SOON)
     }
 
     /// The pause after a call that was turned away for too many others: `longest` at most, unless that is too short to
     /// be out of step with others. The window is cut to it, not the pause: pauses that are cut would end in step.
-    pub(crate) fn turned_away(&mut self, longest: Duration) -> Duration {
+    pub(crate) fn after_rejection(&mut self, longest: Duration) -> Duration {
         let grown = self
             .first()
             .saturating_mul(1 << self.turned_away.min(16))
@@ -64,7 +64,7 @@
     }
 
     /// The service has answered.
-    pub(crate) fn answered(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.turned_away = 0;
     }
 
--- a/src/net/control/backoff/tests.rs
+++ b/src/net/control/backoff/tests.rs
@@ -16,7 +16,7 @@
         let mut backoff = Backoff::new(FLEET as u32, door);
         let mut at = Duration::ZERO;
         while at < to {
-            at += backoff.turned_away(Duration::MAX);
+            at += backoff.after_rejection(Duration::MAX);
             if at >= from {
                 tenths[(at.as_millis() / 100) as usize] += 1;
             }
@@ -46,9 +46,9 @@
 #[test]
 fn what_was_lost_is_asked_for_again_soon() {
     let (mut alone, mut many) = (Backoff::new(1, 7), Backoff::new(100, 7));
-    assert!(alone.turned_away(Duration::MAX) <= SOON);
+    assert!(alone.after_rejection(Duration::MAX) <= SOON);
     assert!((0..100)
-        .map(|_| many.lost())
+        .map(|_| many.after_failure())
         .all(|pause| pause > Duration::ZERO && pause <= SOON));
 }
 
@@ -57,25 +57,25 @@
 fn the_pause_is_bounded_and_short_again_after_an_answer() {
     let mut backoff = Backoff::new(100, 3);
     let pauses: Vec<Duration> = (0..100)
-        .map(|_| backoff.turned_away(Duration::MAX))
+        .map(|_| backoff.after_rejection(Duration::MAX))
         .collect();
     assert!(pauses
         .iter()
         .all(|pause| *pause > Duration::ZERO && *pause <= backoff.most()));
     assert!(pauses.iter().any(|pause| *pause > backoff.first()));
-    backoff.answered();
-    assert!(backoff.turned_away(Duration::MAX) <= backoff.first());
+    backoff.reset();
+    assert!(backoff.after_rejection(Duration::MAX) <= backoff.first());
 }
 
 /// Guards a pace that follows the fleet's size: as if it had been told that size from the start.
 #[test]
 fn windows_follow_the_size_that_is_learnt() {
     let (mut told, mut learnt) = (Backoff::new(300, 9), Backoff::new(3, 9));
-    learnt.gateways().set(300);
+    learnt.fleet_size().set(300);
     for _ in 0..6 {
         assert_eq!(
-            told.turned_away(Duration::MAX),
-            learnt.turned_away(Duration::MAX)
+            told.after_rejection(Duration::MAX),
+            learnt.after_rejection(Duration::MAX)
         );
     }
 }
@@ -85,10 +85,10 @@
     let mut calls = vec![0; tenths];
     for door in 0..fleet {
         let mut backoff = Backoff::new(fleet, u64::from(door));
-        let mut at = backoff.turned_away(LONGEST_PAUSE);
+        let mut at = backoff.after_rejection(LONGEST_PAUSE);
         while let Some(tenth) = calls.get_mut((at.as_millis() / 100) as usize) {
             *tenth += 1;
-            at += backoff.turned_away(LONGEST_PAUSE);
+            at += backoff.after_rejection(LONGEST_PAUSE);
         }
     }
     calls
@@ -139,11 +139,11 @@
     for fleet in [1, 36, 100, 300, 790, u32::MAX] {
         let mut backoff = Backoff::new(fleet, 11);
         let pauses: Vec<Duration> = (0..100)
-            .map(|_| backoff.turned_away(LONGEST_PAUSE))
+            .map(|_| backoff.after_rejection(LONGEST_PAUSE))
             .collect();
         assert!(pauses
             .iter()
             .all(|pause| *pause > Duration::ZERO && *pause <= LONGEST_PAUSE));
-        assert!((0..100).all(|_| backoff.turned_away(Duration::ZERO) <= SOON));
+        assert!((0..100).all(|_| backoff.after_rejection(Duration::ZERO) <= SOON));
     }
 }
--- a/src/net/control/config.rs
+++ b/src/net/control/config.rs
@@ -1,6 +1,6 @@
 //! What a front door is told: the `BALANCER_*` variables and the JSON file that one of them names.
 
-use crate::net::control::endpoint_list::Members;
+use crate::net::control::endpoint_list::EndpointList;
 use crate::net::control::fleet_section::{FleetSection, SectionError};
 use crate::net::runtime::clock::Skew;
 use cometspool::settings::{self, ParsedSettings};
@@ -85,7 +85,7 @@
     discovery: String,
     seed: String,
     limits: Limits,
-    known: Option<Members>,
+    known: Option<EndpointList>,
     handover: Option<PathBuf>,
     fleet: Option<Value>,
     #[serde(default)]
@@ -108,7 +108,7 @@
     /// Limits of the machine.
     pub limits: Limits,
     /// The list of backends as this front door last had it.
-    pub known: Option<Members>,
+    pub cached_endpoints: Option<EndpointList>,
     /// Where what a successor has to know is kept; nowhere unless told.
     pub handover: Option<PathBuf>,
     /// What it is told of its fleet; nothing unless told.
@@ -116,7 +116,7 @@
     /// How far its clock is off, in a test.
     pub clock: Skew,
     /// The settings.
-    pub told: ParsedSettings,
+    pub parsed: ParsedSettings,
 }
 
 /// Fewest descriptors with which a front door can do its work.
@@ -141,14 +141,14 @@
             )?,
             seed,
             limits: file.limits,
-            known: file.known,
+            cached_endpoints: file.known,
             handover: file.handover,
-            told,
+            parsed: told,
         })
     }
 
     /// Descriptors that are left for clients and backends beside those of the fleet layer.
-    pub(crate) fn sockets(&self) -> usize {
+    pub(crate) fn descriptor_budget(&self) -> usize {
         self.limits
             .sockets
             .saturating_sub(self.fleet.as_ref().map_or(0, FleetSection::descriptors))
@@ -157,7 +157,7 @@
     /// Where discovery answers from now on, by a file that was replaced while the program runs. The file goes
     /// before the variable here: a variable cannot change in a running process, so it tells the old address.
     /// The whole file must be usable.
-    pub(crate) fn told_discovery() -> Result<SocketAddr, ConfigError> {
+    pub(crate) fn reread_discovery_address() -> Result<SocketAddr, ConfigError> {
         let file = File::read()?;
         file.check()?;
         file.fleet(&std::env::var("BALANCER_NAME").unwrap_or(file.name.clone()))?;
@@ -224,7 +224,7 @@
                     "clock: only a test may set it, and says so with \"test\"".to_owned(),
                 ));
             }
-            if !clock.sound() {
+            if !clock.is_valid() {
                 return Err(ConfigError::Value(
                     "clock: a rate from 0.1 to 10 and a time are wanted".to_owned(),
                 ));
--- a/src/net/control/discovery.rs
+++ b/src/net/control/discovery.rs
@@ -6,8 +6,8 @@
 mod deadline;
 
 use crate::net::control::backoff::Backoff;
-use crate::net::control::endpoint_list::Members;
-use deadline::{Deadline, Lapse, SILENCE};
+use crate::net::control::endpoint_list::EndpointList;
+use deadline::{Deadline, WatchEnd, SILENCE};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Bytes;
 use hyper::header::HOST;
@@ -31,24 +31,24 @@
 
 /// How a list came to be known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum News {
+pub(crate) enum EndpointUpdate {
     /// An earlier life of this front door had it.
     Cached,
     /// Discovery tells it.
-    Told,
+    Current,
     /// Discovery tells it, but it is older than what was told before, or numbered anew: it takes back no end of a backend.
-    Older,
+    Stale,
 }
 
 /// Whoever goes by the list.
-pub(crate) trait Roster {
+pub(crate) trait EndpointObserver {
     /// Takes in a list of backends or its changes.
-    fn list_changed(&self, members: &Members, news: News);
+    fn endpoints_updated(&self, members: &EndpointList, news: EndpointUpdate);
 }
 
 /// How a watch ended.
 #[derive(Debug, thiserror::Error)]
-enum Ended {
+enum WatchError {
     #[error("{0}")]
     Io(#[from] std::io::Error),
     #[error("{0}")]
@@ -73,21 +73,21 @@
     Backwards { known: u64, told: u64 },
 }
 
-impl Ended {
+impl WatchError {
     /// Whether only the whole list can be of use after this.
     fn wants_whole_list(&self) -> bool {
         match self {
-            Ended::Halved
-            | Ended::Unreadable(_)
-            | Ended::NoObject(_)
-            | Ended::TooLong
-            | Ended::Backwards { .. } => true,
-            Ended::Status(status) => status.is_client_error() && !self.says_overbooked(),
-            Ended::Io(_)
-            | Ended::Http(_)
-            | Ended::Request(_)
-            | Ended::Unanswered
-            | Ended::Silent(_) => false,
+            WatchError::Halved
+            | WatchError::Unreadable(_)
+            | WatchError::NoObject(_)
+            | WatchError::TooLong
+            | WatchError::Backwards { .. } => true,
+            WatchError::Status(status) => status.is_client_error() && !self.says_overbooked(),
+            WatchError::Io(_)
+            | WatchError::Http(_)
+            | WatchError::Request(_)
+            | WatchError::Unanswered
+            | WatchError::Silent(_) => false,
         }
     }
 
@@ -95,44 +95,47 @@
     fn says_overbooked(&self) -> bool {
         matches!(
             self,
-            Ended::Status(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS)
+            WatchError::Status(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS)
         )
     }
 
     /// What this means for the time that is left.
-    fn lapse(&self) -> Lapse {
+    fn lapse(&self) -> WatchEnd {
         match self {
-            Ended::Unanswered => Lapse::Unanswered,
-            Ended::Silent(_) | Ended::Halved => Lapse::Silent,
-            Ended::Status(_) if self.says_overbooked() => Lapse::Refused,
-            Ended::Io(_) | Ended::Http(_) | Ended::Request(_) | Ended::Status(_) => Lapse::Failed,
-            Ended::Unreadable(_)
-            | Ended::NoObject(_)
-            | Ended::TooLong
-            | Ended::Backwards { .. } => Lapse::Closed,
+            WatchError::Unanswered => WatchEnd::Unanswered,
+            WatchError::Silent(_) | WatchError::Halved => WatchEnd::Silent,
+            WatchError::Status(_) if self.says_overbooked() => WatchEnd::Refused,
+            WatchError::Io(_)
+            | WatchError::Http(_)
+            | WatchError::Request(_)
+            | WatchError::Status(_) => WatchEnd::Failed,
+            WatchError::Unreadable(_)
+            | WatchError::NoObject(_)
+            | WatchError::TooLong
+            | WatchError::Backwards { .. } => WatchEnd::Closed,
         }
     }
 }
 
 /// Follows discovery for as long as the front door runs, from the list that it last had. When `agent` tells
 /// another address, the old watch is left at once and resumed there.
-pub(crate) async fn follow(
-    roster: Rc<dyn Roster>,
+pub(crate) async fn watch_endpoints(
+    roster: Rc<dyn EndpointObserver>,
     mut agent: watch::Receiver<SocketAddr>,
-    known: Option<Members>,
+    known: Option<EndpointList>,
     mut backoff: Backoff,
 ) {
     let mut version = None;
     let mut newest = None;
     if let Some(known) = known {
         (version, newest) = (
-            Some(known.seq),
+            Some(known.version),
             Some(Newest {
-                version: known.seq,
+                version: known.version,
                 since: Instant::now(),
             }),
         );
-        roster.list_changed(&known, News::Cached);
+        roster.endpoints_updated(&known, EndpointUpdate::Cached);
     }
     let mut down = false;
     let mut deadline = Deadline::default();
@@ -154,16 +157,19 @@
         };
         // A place that does not know the version, or tells what cannot be read, is asked for the whole list. One
         // that is overbooked knows it well: to ask it for more would keep it so.
-        if ended.as_ref().is_err_and(Ended::wants_whole_list) {
+        if ended.as_ref().is_err_and(WatchError::wants_whole_list) {
             version = None;
         }
         let longest = deadline.ended(
             begun,
-            ended.as_ref().err().map_or(Lapse::Closed, Ended::lapse),
+            ended
+                .as_ref()
+                .err()
+                .map_or(WatchEnd::Closed, WatchError::lapse),
         );
-        let overbooked = ended.as_ref().is_err_and(Ended::says_overbooked);
+        let overbooked = ended.as_ref().is_err_and(WatchError::says_overbooked);
         if version != before && version.is_some() {
-            backoff.answered();
+            backoff.reset();
         }
         let whole_list = before.is_none() && ended.is_ok();
         if whole_list && version.is_some() {
@@ -178,9 +184,9 @@
         }
         down = version == before;
         let pause = if overbooked {
-            backoff.turned_away(longest)
+            backoff.after_rejection(longest)
         } else {
-            backoff.lost()
+            backoff.after_failure()
         };
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
@@ -191,17 +197,17 @@
 
 /// Asks for `path`, with `patience` for the answer to begin, and takes in each object of it until it ends.
 async fn read(
-    roster: &dyn Roster,
+    roster: &dyn EndpointObserver,
     agent: SocketAddr,
     path: &str,
     patience: Duration,
     version: &mut Option<u64>,
     newest: &mut Option<Newest>,
-) -> Result<(), Ended> {
+) -> Result<(), WatchError> {
     let answer_by = Instant::now() + patience;
     let stream = timeout_at(answer_by, TcpStream::connect(agent))
         .await
-        .map_err(|_| Ended::Unanswered)??;
+        .map_err(|_| WatchError::Unanswered)??;
     stream.set_nodelay(true)?;
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
@@ -213,9 +219,9 @@
         .body(Empty::<Bytes>::new())?;
     let answer = timeout_at(answer_by, sender.send_request(request))
         .await
-        .map_err(|_| Ended::Unanswered)??;
+        .map_err(|_| WatchError::Unanswered)??;
     if answer.status() != StatusCode::OK {
-        return Err(Ended::Status(answer.status()));
+        return Err(WatchError::Status(answer.status()));
     }
     let (mut body, mut objects) = (answer.into_body(), Objects::default());
     let mut silent = Instant::now() + SILENCE;
@@ -223,12 +229,12 @@
         let frame = match timeout_at(silent, body.frame()).await {
             Ok(Some(frame)) => frame?,
             Ok(None) if objects.between() => return Ok(()),
-            Ok(None) => return Err(Ended::Halved),
+            Ok(None) => return Err(WatchError::Halved),
             Err(elapsed) => {
                 return Err(if objects.between() {
                     elapsed.into()
                 } else {
-                    Ended::Halved
+                    WatchError::Halved
                 })
             }
         };
@@ -280,17 +286,17 @@
         self.held.is_empty()
     }
 
-    fn push(&mut self, byte: u8) -> Result<Heard, Ended> {
+    fn push(&mut self, byte: u8) -> Result<Heard, WatchError> {
         if self.between() {
             match byte {
                 b'\n' => return Ok(Heard::Beat),
                 _ if byte.is_ascii_whitespace() => return Ok(Heard::Part),
                 b'{' => {}
-                _ => return Err(Ended::NoObject(byte)),
+                _ => return Err(WatchError::NoObject(byte)),
             }
         }
         if self.held.len() >= LONGEST_OBJECT {
-            return Err(Ended::TooLong);
+            return Err(WatchError::TooLong);
         }
         self.held.push(byte);
         match (self.quoted, byte) {
@@ -312,19 +318,26 @@
 
 /// Hands an object to the front door.
 fn take_in(
-    roster: &dyn Roster,
+    roster: &dyn EndpointObserver,
     object: &[u8],
     version: &mut Option<u64>,
     newest: &mut Option<Newest>,
-) -> Result<(), Ended> {
-    let members: Members = serde_json::from_slice(object)?;
-    let told = members.seq;
+) -> Result<(), WatchError> {
+    let members: EndpointList = serde_json::from_slice(object)?;
+    let told = members.version;
     // Changes say what came after a version; from a later one they lead to nowhere.
-    if let Some(known) = version.filter(|known| !members.whole && told < *known) {
-        return Err(Ended::Backwards { known, told });
+    if let Some(known) = version.filter(|known| !members.is_full && told < *known) {
+        return Err(WatchError::Backwards { known, told });
     }
     let older = newest.is_some_and(|newest| told < newest.version && newest.since.elapsed() < LAGS);
-    roster.list_changed(&members, if older { News::Older } else { News::Told });
+    roster.endpoints_updated(
+        &members,
+        if older {
+            EndpointUpdate::Stale
+        } else {
+            EndpointUpdate::Current
+        },
+    );
     if !older {
         *newest = Some(Newest {
             version: told,
--- a/src/net/control/discovery/deadline.rs
+++ b/src/net/control/discovery/deadline.rs
@@ -35,7 +35,7 @@
 
 /// How a call or the watch that it opened ended, as far as time goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Lapse {
+pub(super) enum WatchEnd {
     /// The watch or the list ended, and nothing can have been missed before.
     Closed,
     /// An answer began and fell silent.
@@ -76,16 +76,16 @@
 
     /// A call that began at `begun` has ended. Tells the longest pause that leaves time for an answer after it; nothing is
     /// left where the time is up.
-    pub(super) fn ended(&mut self, begun: Instant, lapse: Lapse) -> Duration {
+    pub(super) fn ended(&mut self, begun: Instant, lapse: WatchEnd) -> Duration {
         let now = Instant::now();
         let due = match lapse {
-            Lapse::Closed => now + IN_FORCE,
-            Lapse::Silent => now + IN_FORCE - SILENCE,
-            Lapse::Unanswered | Lapse::Failed => begun + IN_FORCE,
-            Lapse::Refused => self.due.take().unwrap_or(begun + IN_FORCE),
+            WatchEnd::Closed => now + IN_FORCE,
+            WatchEnd::Silent => now + IN_FORCE - SILENCE,
+            WatchEnd::Unanswered | WatchEnd::Failed => begun + IN_FORCE,
+            WatchEnd::Refused => self.due.take().unwrap_or(begun + IN_FORCE),
         };
-        self.unanswered = lapse == Lapse::Unanswered;
-        if lapse != Lapse::Refused {
+        self.unanswered = lapse == WatchEnd::Unanswered;
+        if lapse != WatchEnd::Refused {
             self.due = Some(due);
         }
         due.saturating_duration_since(now)
--- a/src/net/control/discovery/deadline/tests.rs
+++ b/src/net/control/discovery/deadline/tests.rs
@@ -27,8 +27,8 @@
         {
             let begun = Instant::now();
             after(waited).await;
-            let longest = deadline.ended(begun, Lapse::Refused);
-            let pause = backoff.turned_away(longest);
+            let longest = deadline.ended(begun, WatchEnd::Refused);
+            let pause = backoff.after_rejection(longest);
             after(pause).await;
             let answered = after(deadline.patience()).await;
             assert!(
@@ -47,14 +47,14 @@
     for _ in 0..5 {
         let begun = Instant::now();
         after(deadline.patience()).await;
-        deadline.ended(begun, Lapse::Unanswered);
+        deadline.ended(begun, WatchEnd::Unanswered);
         after(SHORT_PAUSE).await;
         let answered = Instant::now() + deadline.patience();
         assert!(answered - begun < IN_FORCE, "{:?}", answered - begun);
     }
     // A service that is slow is heard out; one that answers has no more time than at first.
     assert_eq!(deadline.patience(), SLOW_ANSWER);
-    deadline.ended(Instant::now(), Lapse::Refused);
+    deadline.ended(Instant::now(), WatchEnd::Refused);
     assert_eq!(deadline.patience(), ANSWER);
 }
 
@@ -64,14 +64,14 @@
     let silent = Instant::now();
     let mut deadline = Deadline::default();
     after(SILENCE).await;
-    deadline.ended(silent, Lapse::Silent);
+    deadline.ended(silent, WatchEnd::Silent);
     let begun = after(SHORT_PAUSE).await;
     assert!(begun + deadline.patience() - silent < IN_FORCE);
-    let longest = deadline.ended(begun, Lapse::Refused);
-    let pause = Backoff::new(790, 5).turned_away(longest);
+    let longest = deadline.ended(begun, WatchEnd::Refused);
+    let pause = Backoff::new(790, 5).after_rejection(longest);
     assert!(begun + pause - silent <= RECKONED - MARGIN, "{pause:?}");
     // What is refused from now on counts from its own beginning: the pauses grow again.
-    assert_eq!(deadline.ended(begun, Lapse::Refused), LONGEST_PAUSE);
+    assert_eq!(deadline.ended(begun, WatchEnd::Refused), LONGEST_PAUSE);
 }
 
 /// Guards the time of the list after a new configuration, which is shorter.
@@ -79,7 +79,7 @@
 async fn a_refused_call_after_a_move_is_made_again_sooner() {
     let mut deadline = Deadline::default();
     deadline.moved();
-    let longest = deadline.ended(Instant::now(), Lapse::Refused);
+    let longest = deadline.ended(Instant::now(), WatchEnd::Refused);
     assert!(
         longest + deadline.patience() < IN_FORCE_ELSEWHERE,
         "{longest:?}"
--- a/src/net/control/endpoint_list.rs
+++ b/src/net/control/endpoint_list.rs
@@ -1,54 +1,59 @@
-//! The list of backends, as discovery words it.
+//! The endpoint list as discovery sends it. The names in JSON are those of the platform's protocol.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// A list of backends, or what changed in it.
+/// A list of backends, whole or only what changed.
 #[derive(Clone, Debug, Deserialize)]
-pub(crate) struct Members {
-    /// Its version.
-    pub seq: u64,
-    /// Whether it is the whole list.
-    pub whole: bool,
-    /// Its entries.
-    pub hosts: Vec<Member>,
+pub(crate) struct EndpointList {
+    /// The version of the list that this state is of.
+    #[serde(rename = "seq")]
+    pub version: u64,
+    /// Whether it names every endpoint; else only those that changed.
+    #[serde(rename = "whole")]
+    pub is_full: bool,
+    /// The endpoints.
+    #[serde(rename = "hosts")]
+    pub endpoints: Vec<Endpoint>,
 }
 
-/// One entry of the list.
+/// One backend of the list.
 #[derive(Clone, Debug, Deserialize)]
-pub(crate) struct Member {
-    /// Its name, the same at every front door.
-    pub host: String,
-    /// Where it listens.
-    pub dial: SocketAddr,
-    /// Its zone.
-    #[serde(default)]
-    pub site: String,
-    /// Its cell.
-    #[serde(default)]
-    pub block: u32,
-    /// Its state.
+pub(crate) struct Endpoint {
+    /// Its name, the same at every gateway.
+    #[serde(rename = "host")]
+    pub name: String,
+    /// The address that it listens on.
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
+    /// Its zone, by name.
+    #[serde(rename = "site", default)]
+    pub zone: String,
+    /// Its cell, by number.
+    #[serde(rename = "block", default)]
+    pub cell: u32,
+    /// Whether it may be sent requests.
     pub health: Health,
-    /// Its size relative to others.
-    #[serde(default = "whole_share")]
-    pub share: f64,
+    /// Its capacity relative to other backends.
+    #[serde(rename = "share", default = "default_weight")]
+    pub weight: f64,
     /// When it last started, in Unix milliseconds; 0 for long ago.
-    #[serde(default)]
-    pub born_ms: f64,
+    #[serde(rename = "born_ms", default)]
+    pub started_at_ms: f64,
 }
 
 /// State of a backend in the list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Health {
-    /// May be sent to.
+    /// May be sent requests.
     Up,
-    /// Finishing its work.
+    /// Finishes the requests that it has.
     Draining,
-    /// Gone.
+    /// No longer part of the service.
     Removed,
 }
 
-fn whole_share() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
--- a/src/net/control/handover.rs
+++ b/src/net/control/handover.rs
@@ -24,11 +24,11 @@
 
 /// What is known of one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Known {
+pub(crate) struct RequestRecord {
     /// When its client stops waiting.
-    pub end: Millis,
+    pub deadline: Millis,
     /// Whether an attempt of it that must not be repeated may have run.
-    pub ran: bool,
+    pub may_have_run: bool,
 }
 
 /// The file, and the requests that it tells of.
@@ -40,9 +40,9 @@
     written: u64,
     clock: Clock,
     /// Of the process before this one.
-    before: HashMap<Rc<str>, Known>,
+    before: HashMap<Rc<str>, RequestRecord>,
     /// Of this one.
-    own: HashMap<Rc<str>, Known>,
+    own: HashMap<Rc<str>, RequestRecord>,
 }
 
 impl Handover {
@@ -54,8 +54,9 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => String::new(),
             Err(error) => return Err(error),
         };
-        let sane = |known: &Known| known.end > now - KEPT && known.end <= now + most;
-        let mut before: HashMap<Rc<str>, Known> = HashMap::new();
+        let sane =
+            |known: &RequestRecord| known.deadline > now - KEPT && known.deadline <= now + most;
+        let mut before: HashMap<Rc<str>, RequestRecord> = HashMap::new();
         // The last lines count: of what is over the bound, the oldest is left out.
         for (id, known) in text
             .lines()
@@ -65,8 +66,8 @@
             .take(2 * MOST)
         {
             let entry = before.entry(id.into()).or_insert(known);
-            entry.ran |= known.ran;
-            entry.end = entry.end.min(known.end);
+            entry.may_have_run |= known.may_have_run;
+            entry.deadline = entry.deadline.min(known.deadline);
         }
         let mut handover = Handover {
             path,
@@ -82,23 +83,35 @@
     }
 
     /// What the process before this one left of a request.
-    pub(crate) fn before(&self, id: &str) -> Option<Known> {
+    pub(crate) fn previous_record(&self, id: &str) -> Option<RequestRecord> {
         self.before.get(id).copied()
     }
 
     /// A request has been taken.
-    pub(crate) fn taken(&mut self, id: &Rc<str>, end: Millis) {
-        self.note(id, Known { end, ran: false });
+    pub(crate) fn record_accepted(&mut self, id: &Rc<str>, end: Millis) {
+        self.note(
+            id,
+            RequestRecord {
+                deadline: end,
+                may_have_run: false,
+            },
+        );
     }
 
     /// An attempt of a request that must not be repeated goes out: from here on it may have run.
-    pub(crate) fn sent(&mut self, id: &Rc<str>, end: Millis) {
-        if self.own.get(id).is_none_or(|known| !known.ran) {
-            self.note(id, Known { end, ran: true });
+    pub(crate) fn record_sent(&mut self, id: &Rc<str>, end: Millis) {
+        if self.own.get(id).is_none_or(|known| !known.may_have_run) {
+            self.note(
+                id,
+                RequestRecord {
+                    deadline: end,
+                    may_have_run: true,
+                },
+            );
         }
     }
 
-    fn note(&mut self, id: &Rc<str>, known: Known) {
+    fn note(&mut self, id: &Rc<str>, known: RequestRecord) {
         let (now, whole) = (self.clock.now(), self.file.is_some());
         self.own.insert(id.clone(), known);
         if self.own.len() > MOST && !whole {
@@ -130,15 +143,15 @@
 
     /// Drops what no longer matters, and of more than fits all that may be run again.
     fn forget(&mut self, now: Millis) {
-        self.before.retain(|_, known| known.end > now - KEPT);
-        self.own.retain(|_, known| known.end > now - KEPT);
+        self.before.retain(|_, known| known.deadline > now - KEPT);
+        self.own.retain(|_, known| known.deadline > now - KEPT);
         if self.own.len() > MOST {
             // Of the rest nothing is promised.
-            self.own.retain(|_, known| known.ran);
+            self.own.retain(|_, known| known.may_have_run);
         }
     }
 
-    fn append(&mut self, id: &str, known: Known) -> io::Result<()> {
+    fn append(&mut self, id: &str, known: RequestRecord) -> io::Result<()> {
         let line = line(id, known);
         self.written += line.len() as u64;
         match &mut self.file {
@@ -163,15 +176,15 @@
     }
 }
 
-fn line(id: &str, known: Known) -> String {
+fn line(id: &str, known: RequestRecord) -> String {
     format!(
         "1 {:.0} {} {id}\n",
-        known.end,
-        if known.ran { "ran" } else { "taken" }
+        known.deadline,
+        if known.may_have_run { "ran" } else { "taken" }
     )
 }
 
-fn read(line: &str) -> Option<(&str, Known)> {
+fn read(line: &str) -> Option<(&str, RequestRecord)> {
     let mut words = line.split(' ');
     let (version, end, state, id) = (words.next()?, words.next()?, words.next()?, words.next()?);
     let ran = match state {
@@ -181,7 +194,13 @@
     };
     let end: f64 = end.parse().ok().filter(|end: &f64| end.is_finite())?;
     let sound = version == "1" && !id.is_empty() && words.next().is_none();
-    sound.then_some((id, Known { end, ran }))
+    sound.then_some((
+        id,
+        RequestRecord {
+            deadline: end,
+            may_have_run: ran,
+        },
+    ))
 }
 
 #[cfg(test)]
--- a/src/net/control/handover/tests.rs
+++ b/src/net/control/handover/tests.rs
@@ -21,13 +21,17 @@
     let handover = Handover::open(path.clone(), clock, 8000.0).expect("a handover");
     let known: Vec<_> = "abcdefgh"
         .chars()
-        .map(|id| handover.before(&id.to_string()).map(|k| k.ran))
+        .map(|id| {
+            handover
+                .previous_record(&id.to_string())
+                .map(|k| k.may_have_run)
+        })
         .collect();
     assert_eq!(
         known,
         [Some(true), Some(false), None, None, None, None, None, None]
     );
-    assert!((handover.before("a").expect("known").end - near).abs() <= 1.0);
+    assert!((handover.previous_record("a").expect("known").deadline - near).abs() <= 1.0);
     std::fs::remove_file(path).expect("the file");
 }
 
@@ -37,14 +41,18 @@
     let (path, clock) = (path("size"), Clock::new());
     let end = clock.now() + 3000.0;
     let mut handover = Handover::open(path.clone(), clock, 8000.0).expect("a handover");
-    handover.sent(&"unsafe".into(), end);
+    handover.record_sent(&"unsafe".into(), end);
     for i in 0..3 * MOST {
-        handover.taken(&format!("safe-{i}").into(), end);
+        handover.record_accepted(&format!("safe-{i}").into(), end);
     }
     assert!(handover.own.len() <= MOST + 1);
     let length = std::fs::metadata(&path).expect("the file").len();
     assert!(length <= COMPACT + 64, "{length} bytes");
     let next = Handover::open(path.clone(), clock, 8000.0).expect("a handover");
-    assert_eq!(next.before("unsafe").map(|known| known.ran), Some(true));
+    assert_eq!(
+        next.previous_record("unsafe")
+            .map(|known| known.may_have_run),
+        Some(true)
+    );
     std::fs::remove_file(path).expect("the file");
 }
--- a/src/net/downstream/connections.rs
+++ b/src/net/downstream/connections.rs
@@ -1,9 +1,9 @@
 //! Clients: the listener, how long a connection may take, and the one final answer of each request.
 
-use crate::net::downstream::request::{read_body, read_head, Bad};
-use crate::net::messages::{Answer, Incoming, Presence, BUFFER};
-use crate::net::runtime::capacity::{client_budget, NO_DESCRIPTOR};
-use crate::net::runtime::context::Site;
+use crate::net::downstream::request::{read_body, read_head, RequestError};
+use crate::net::messages::{Answer, ClientConnection, IncomingRequest, CONNECTION_BUFFER_BYTES};
+use crate::net::runtime::capacity::{client_connection_limit, ACCEPT_RETRY_DELAY};
+use crate::net::runtime::context::RuntimeContext;
 use cometspool::{Millis, RequestId};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming as IncomingBody};
@@ -61,19 +61,19 @@
 const AHEAD_READS: usize = 64;
 
 /// Whoever decides on requests.
-pub(crate) trait Desk {
+pub(crate) trait RequestHandler {
     /// Whether there is a list to serve from.
-    fn ready(&self) -> bool;
+    fn is_ready(&self) -> bool;
     /// Takes a request in; `None` if one with its id has come before.
-    fn arrive(&self, incoming: Incoming) -> Option<(RequestId, oneshot::Receiver<Answer>)>;
+    fn submit(&self, incoming: IncomingRequest) -> Option<(RequestId, oneshot::Receiver<Answer>)>;
     /// Notes that a client has gone away; nothing happens if its request has been answered.
-    fn client_gone(&self, id: RequestId);
+    fn client_disconnected(&self, id: RequestId);
     /// A planned stop, with all answered by `end`.
-    fn stopping(&self, end: Millis);
+    fn begin_shutdown(&self, end: Millis);
     /// What arrives from now on is refused: a planned stop has come too far for it.
-    fn turn_away(&self);
+    fn reject_new_requests(&self);
     /// Requests that have no final answer yet.
-    fn unanswered(&self) -> usize;
+    fn pending_requests(&self) -> usize;
 }
 
 /// How far a planned stop has come.
@@ -87,9 +87,9 @@
 }
 
 /// The clients' side of a front door.
-pub(crate) struct Clients {
-    desk: Rc<dyn Desk>,
-    site: Rc<Site>,
+pub(crate) struct DownstreamConnections {
+    desk: Rc<dyn RequestHandler>,
+    site: Rc<RuntimeContext>,
     most: usize,
     /// The open connections, at most `most`.
     peers: RefCell<HashMap<u64, Rc<Peer>>>,
@@ -100,13 +100,17 @@
     phase: watch::Sender<Phase>,
 }
 
-impl Clients {
+impl DownstreamConnections {
     /// The clients' side of `desk` within `sockets` descriptors for all.
-    pub(crate) fn new(desk: Rc<dyn Desk>, site: Rc<Site>, sockets: usize) -> Rc<Clients> {
-        Rc::new(Clients {
+    pub(crate) fn new(
+        desk: Rc<dyn RequestHandler>,
+        site: Rc<RuntimeContext>,
+        sockets: usize,
+    ) -> Rc<DownstreamConnections> {
+        Rc::new(DownstreamConnections {
             desk,
             site,
-            most: client_budget(sockets),
+            most: client_connection_limit(sockets),
             peers: RefCell::default(),
             accepted: Cell::new(0),
             closed: Notify::new(),
@@ -128,7 +132,7 @@
                         .insert(self.accepted.get(), peer.clone());
                     tokio::task::spawn_local(self.clone().serve(self.accepted.get(), peer));
                 }
-                Err(_) => tokio::time::sleep(NO_DESCRIPTOR).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
@@ -162,24 +166,24 @@
     }
 
     /// Closes what has had its time, for as long as the front door runs.
-    pub(crate) async fn sweep(self: Rc<Self>) {
+    pub(crate) async fn close_expired_connections(self: Rc<Self>) {
         loop {
             let due = self.site.clock.now() + SWEEP.as_secs_f64() * 1000.0;
-            self.site.lag.expect(due);
+            self.site.stall_monitor.expect(due);
             tokio::time::sleep(SWEEP).await;
             let now = self.site.clock.now();
-            self.site.lag.ran(due, now);
+            self.site.stall_monitor.timer_fired(due, now);
             if let Some(worst) = self
                 .site
-                .lag
-                .take_worst()
+                .stall_monitor
+                .take_longest_stall()
                 .filter(|worst| *worst >= TOLD_LAG)
             {
                 eprintln!("held up for {worst:.0} ms: what came meanwhile has that much less time");
             }
             for peer in self.peers.borrow().values() {
                 // Bytes behind a request hide its client's end from whoever reads only when they are due.
-                let gone = (peer.owed.get() && peer.left()).then_some(Leave::Now);
+                let gone = (peer.owed.get() && peer.is_disconnected()).then_some(Leave::Now);
                 if let Some(how) = gone.or_else(|| peer.overdue(now)) {
                     peer.leave(how);
                 }
@@ -202,7 +206,7 @@
             async move { Ok::<_, Infallible>(clients.answer(request, &peer).await) }
         });
         let connection = hyper::server::conn::http1::Builder::new()
-            .max_buf_size(BUFFER)
+            .max_buf_size(CONNECTION_BUFFER_BYTES)
             .serve_connection(io, service);
         let mut connection = std::pin::pin!(connection);
         let mut phase = self.phase.subscribe();
@@ -224,24 +228,24 @@
     }
 
     /// The planned stop: goes on accepting, answers what has come, and returns when all is answered.
-    pub(crate) async fn stop(&self) {
-        let longest = Duration::try_from_secs_f64(self.site.longest() / 1000.0)
+    pub(crate) async fn shut_down(&self) {
+        let longest = Duration::try_from_secs_f64(self.site.longest_deadline() / 1000.0)
             .unwrap_or_default()
             .min(COUNTED);
         let end = tokio::time::Instant::now() + longest + LAST_CALL;
         self.desk
-            .stopping(self.site.clock.now() + (longest + LAST_CALL).as_secs_f64() * 1000.0);
+            .begin_shutdown(self.site.clock.now() + (longest + LAST_CALL).as_secs_f64() * 1000.0);
         self.phase.send_replace(Phase::Closing);
         tokio::time::sleep(LINGER).await;
         self.phase.send_replace(Phase::Sweeping);
         // By now nobody is sent here any more; what comes all the same is served elsewhere, or by a successor.
-        self.desk.turn_away();
+        self.desk.reject_new_requests();
         while !self.peers.borrow().is_empty() {
             let closed = tokio::time::timeout_at(end, self.closed.notified()).await;
             if closed.is_err() {
                 eprintln!(
                     "stopped with {} requests unanswered",
-                    self.desk.unanswered()
+                    self.desk.pending_requests()
                 );
                 return;
             }
@@ -279,7 +283,7 @@
 
     fn health(&self) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::default());
-        if !self.desk.ready() {
+        if !self.desk.is_ready() {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         }
         response
@@ -289,7 +293,7 @@
         &self,
         request: Request<IncomingBody>,
         peer: &Rc<Peer>,
-    ) -> Result<Response<Full<Bytes>>, Bad> {
+    ) -> Result<Response<Full<Bytes>>, RequestError> {
         // Of a request that came in one read with the one before it, only that read's time is known.
         let first = peer.first.get().unwrap_or(peer.last.get());
         let (head, body) = request.into_parts();
@@ -298,15 +302,15 @@
         let end = self
             .site
             .clock
-            .instant(budget.end().min(peer.begun() + READ_TIME));
-        incoming.order.body = read_body(body, &head.method, end).await?;
-        incoming.at = peer.last.get();
+            .instant_at(budget.end().min(peer.begun() + READ_TIME));
+        incoming.upstream_request.body = read_body(body, &head.method, end).await?;
+        incoming.received_at = peer.last.get();
         peer.whole();
         peer.write_by.set(budget.end() + LATE_ANSWER);
-        if peer.left() {
-            return Err(Bad::Left);
+        if peer.is_disconnected() {
+            return Err(RequestError::Left);
         }
-        let (id, answer) = self.desk.arrive(incoming).ok_or(Bad::Twice)?;
+        let (id, answer) = self.desk.submit(incoming).ok_or(RequestError::Twice)?;
         let mut waiting = Waiting {
             desk: &*self.desk,
             id: Some(id),
@@ -319,7 +323,7 @@
 
 /// Counts a connection of a client while it is open.
 struct Open<'a> {
-    clients: &'a Clients,
+    clients: &'a DownstreamConnections,
     number: u64,
 }
 
@@ -332,14 +336,14 @@
 
 /// Tells the driver when a client goes away before its answer.
 struct Waiting<'a> {
-    desk: &'a dyn Desk,
+    desk: &'a dyn RequestHandler,
     id: Option<RequestId>,
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.id {
-            self.desk.client_gone(id);
+            self.desk.client_disconnected(id);
         }
     }
 }
@@ -483,11 +487,11 @@
     }
 }
 
-impl Presence for Peer {
+impl ClientConnection for Peer {
     /// The system is asked, since the runtime learns only between two tasks of what has come: where the end and the means to
     /// send are there at once, the end is seen first. Bytes behind a request would hide it, so they are read ahead, and what is
     /// more than a client may have there is dropped.
-    fn left(&self) -> bool {
+    fn is_disconnected(&self) -> bool {
         let socket = self.socket.borrow();
         let Some(stream) = socket.as_ref() else {
             return true;
@@ -498,7 +502,7 @@
                 Ok(0) => return true,
                 Ok(count) => {
                     let mut ahead = self.ahead.borrow_mut();
-                    let held = count.min(BUFFER - ahead.len());
+                    let held = count.min(CONNECTION_BUFFER_BYTES - ahead.len());
                     ahead.extend(&chunk[..held]);
                     self.overrun.set(self.overrun.get() || held < count);
                 }
@@ -512,7 +516,7 @@
 /// A client's socket that notes when bytes come.
 struct Watched {
     peer: Rc<Peer>,
-    site: Rc<Site>,
+    site: Rc<RuntimeContext>,
     /// Runs while the client takes no more bytes.
     stalled: Option<Pin<Box<Sleep>>>,
 }
@@ -545,7 +549,7 @@
         );
         let stalled = self
             .stalled
-            .get_or_insert_with(|| Box::pin(tokio::time::sleep_until(clock.instant(by))));
+            .get_or_insert_with(|| Box::pin(tokio::time::sleep_until(clock.instant_at(by))));
         ready!(stalled.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
@@ -566,7 +570,8 @@
             false => self.with(|stream| stream.poll_read(cx, buf)),
         };
         if buf.filled().len() > before {
-            self.peer.heard(self.site.lag.came(self.site.clock.now()));
+            self.peer
+                .heard(self.site.stall_monitor.arrival_time(self.site.clock.now()));
         }
         read
     }
@@ -616,7 +621,7 @@
 fn response(answer: Answer) -> Response<Full<Bytes>> {
     let (status, body, wait) = match answer {
         Answer::Served(body) => (StatusCode::OK, body, None),
-        Answer::Refused(wait) => (StatusCode::TOO_MANY_REQUESTS, Bytes::new(), wait),
+        Answer::Rejected(wait) => (StatusCode::TOO_MANY_REQUESTS, Bytes::new(), wait),
         Answer::Failed => (StatusCode::BAD_GATEWAY, Bytes::new(), None),
     };
     let mut response = Response::new(Full::new(body));
--- a/src/net/downstream/request.rs
+++ b/src/net/downstream/request.rs
@@ -2,10 +2,11 @@
 //! what goes on to a backend is what a client of this service would have written, or it is answered 400.
 
 use crate::net::messages::{
-    Incoming, Order, Presence, IDEMPOTENCY_KEY, LONGEST_BODY, REQUEST_ID, REQUEST_TIMEOUT,
+    ClientConnection, IncomingRequest, UpstreamRequest, IDEMPOTENCY_KEY, MAX_BODY_BYTES,
+    REQUEST_ID, REQUEST_TIMEOUT,
 };
 use crate::net::runtime::budget::Budget;
-use crate::net::runtime::context::Site;
+use crate::net::runtime::context::RuntimeContext;
 use cometspool::settings::normalize_name;
 use cometspool::{ClassId, CustomerId, Idempotency, Millis, PlanId, Settings};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -27,7 +28,7 @@
 
 /// Why a request is turned down unread by the decisions.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum Bad {
+pub(crate) enum RequestError {
     /// A header is missing, repeated or not what it should be.
     #[error("{0} is missing, repeated or cannot be read")]
     Header(HeaderName),
@@ -63,14 +64,14 @@
     Twice,
 }
 
-impl Bad {
+impl RequestError {
     /// What the client is answered.
     pub(crate) fn status(&self) -> StatusCode {
         match self {
-            Bad::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            Bad::Unmeasured => StatusCode::LENGTH_REQUIRED,
-            Bad::Slow | Bad::Left => StatusCode::REQUEST_TIMEOUT,
-            Bad::Twice => StatusCode::CONFLICT,
+            RequestError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            RequestError::Unmeasured => StatusCode::LENGTH_REQUIRED,
+            RequestError::Slow | RequestError::Left => StatusCode::REQUEST_TIMEOUT,
+            RequestError::Twice => StatusCode::CONFLICT,
             _ => StatusCode::BAD_REQUEST,
         }
     }
@@ -78,16 +79,16 @@
 
 /// Reads the head of a request of `client`'s whose first byte came at `first`.
 pub(crate) fn read_head(
-    site: &Site,
+    site: &RuntimeContext,
     head: &Parts,
     first: Millis,
-    client: Rc<dyn Presence>,
-) -> Result<Incoming, Bad> {
+    client: Rc<dyn ClientConnection>,
+) -> Result<IncomingRequest, RequestError> {
     let headers = &head.headers;
     // Where both framings are given, the library goes by the chunks and drops the length without a word; what one
     // hop takes for the body another takes for the next request. Clients of this service tell the length.
     if headers.contains_key(TRANSFER_ENCODING) {
-        return Err(Bad::Unmeasured);
+        return Err(RequestError::Unmeasured);
     }
     let id = name(headers, &REQUEST_ID)?;
     let class = class(site, head)?;
@@ -97,30 +98,30 @@
         .plans
         .iter()
         .position(|name| *name == plan_name)
-        .ok_or(Bad::Plan)?;
+        .ok_or(RequestError::Plan)?;
     let most = site.settings.classes[class].deadline;
-    let budget = Budget::told(text(headers, &REQUEST_TIMEOUT)?, first, most);
-    let budget = budget.ok_or(Bad::Header(REQUEST_TIMEOUT))?;
-    let terms =
-        Terms::read(text(headers, &API_TERMS)?, &site.settings).ok_or(Bad::Header(API_TERMS))?;
-    let path = head.uri.path_and_query().ok_or(Bad::Path)?;
+    let budget = Budget::from_header(text(headers, &REQUEST_TIMEOUT)?, first, most);
+    let budget = budget.ok_or(RequestError::Header(REQUEST_TIMEOUT))?;
+    let terms = Terms::read(text(headers, &API_TERMS)?, &site.settings)
+        .ok_or(RequestError::Header(API_TERMS))?;
+    let path = head.uri.path_and_query().ok_or(RequestError::Path)?;
     if !path.as_str().bytes().all(|byte| byte.is_ascii_graphic()) {
-        return Err(Bad::Path);
+        return Err(RequestError::Path);
     }
     text(headers, &HOST)?;
     if headers.contains_key(IDEMPOTENCY_KEY) {
         name(headers, &IDEMPOTENCY_KEY)?;
     }
-    Ok(Incoming {
-        at: first,
+    Ok(IncomingRequest {
+        received_at: first,
         budget,
-        customer: customer(headers).ok_or(Bad::Header(COOKIE))?,
+        customer: customer(headers).ok_or(RequestError::Header(COOKIE))?,
         plan: PlanId(plan),
         class: ClassId(class),
         units: terms.units,
-        spread: terms.spread,
-        again: again(headers),
-        order: Order {
+        gateway_count: terms.spread,
+        is_retry: again(headers),
+        upstream_request: UpstreamRequest {
             client,
             id: id.into(),
             id_value: headers[REQUEST_ID].clone(),
@@ -138,7 +139,7 @@
 }
 
 /// The class, which header, path and method must agree on.
-fn class(site: &Site, head: &Parts) -> Result<usize, Bad> {
+fn class(site: &RuntimeContext, head: &Parts) -> Result<usize, RequestError> {
     let name = text(&head.headers, &REQUEST_CLASS)?;
     let plain_name = normalize_name(name);
     let class = site
@@ -146,14 +147,14 @@
         .classes
         .iter()
         .position(|known| *known == plain_name)
-        .ok_or(Bad::Class)?;
+        .ok_or(RequestError::Class)?;
     let rest = head
         .uri
         .path()
         .strip_prefix('/')
         .and_then(|path| path.strip_prefix(name));
     if !rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/')) {
-        return Err(Bad::Class);
+        return Err(RequestError::Class);
     }
     let keyed = head.headers.contains_key(IDEMPOTENCY_KEY);
     let agrees = match site.settings.classes[class].idempotency {
@@ -164,7 +165,7 @@
     if agrees {
         Ok(class)
     } else {
-        Err(Bad::Method)
+        Err(RequestError::Method)
     }
 }
 
@@ -209,22 +210,22 @@
 }
 
 /// The value of a header that stands there once and is plain ASCII.
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, Bad> {
+fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, RequestError> {
     let mut values = headers.get_all(name).iter();
     let value = values.next().and_then(|value| value.to_str().ok());
     match (value, values.next()) {
         (Some(value), None) => Ok(value.trim()),
-        _ => Err(Bad::Header(name.clone())),
+        _ => Err(RequestError::Header(name.clone())),
     }
 }
 
 /// A header that names something: neither empty nor long, and no spaces.
-fn name<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, Bad> {
+fn name<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, RequestError> {
     let value = text(headers, name)?;
     let good = (1..=LONGEST_NAME).contains(&value.len())
         && value.bytes().all(|byte| byte.is_ascii_graphic());
     good.then_some(value)
-        .ok_or_else(|| Bad::Header(name.clone()))
+        .ok_or_else(|| RequestError::Header(name.clone()))
 }
 
 /// Whether the client marks a further try. What cannot be read is no mark: it says nothing about the request.
@@ -264,20 +265,20 @@
     body: IncomingBody,
     method: &Method,
     end: tokio::time::Instant,
-) -> Result<Bytes, Bad> {
+) -> Result<Bytes, RequestError> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
     if method == Method::GET {
-        return Err(Bad::Method);
+        return Err(RequestError::Method);
     }
-    if body.size_hint().lower() > LONGEST_BODY as u64 {
-        return Err(Bad::TooLong);
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+        return Err(RequestError::TooLong);
     }
-    let read = tokio::time::timeout_at(end, Limited::new(body, LONGEST_BODY).collect()).await;
-    match read.map_err(|_| Bad::Slow)? {
+    let read = tokio::time::timeout_at(end, Limited::new(body, MAX_BODY_BYTES).collect()).await;
+    match read.map_err(|_| RequestError::Slow)? {
         Ok(body) => Ok(body.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err(Bad::TooLong),
-        Err(_) => Err(Bad::Body),
+        Err(error) if error.is::<LengthLimitError>() => Err(RequestError::TooLong),
+        Err(_) => Err(RequestError::Body),
     }
 }
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -1,22 +1,22 @@
 //! The driver: hands events to the decision module and carries out what comes back.
 //!
 //! It owns the gateway, the tables of requests and attempts, the alarms, and the maps between names on the
-//! wire and the module's numbers. [`Door::post`] is the only place that calls the module; events that arise
+//! wire and the module's numbers. [`Driver::post`] is the only place that calls the policy; events that arise
 //! while actions are carried out wait in a queue, so the module is never re-entered.
 
 use crate::net::control::config::Config;
-use crate::net::control::discovery::{News, Roster};
-use crate::net::control::endpoint_list::{Health, Member, Members};
+use crate::net::control::discovery::{EndpointObserver, EndpointUpdate};
+use crate::net::control::endpoint_list::{Endpoint, EndpointList, Health};
 use crate::net::control::handover::Handover;
-use crate::net::downstream::connections::Desk;
-use crate::net::messages::{Answer, Ended, Incoming, Order};
-use crate::net::runtime::budget::{Allowance, Budget, Woken};
+use crate::net::downstream::connections::RequestHandler;
+use crate::net::messages::{Answer, AttemptResult, IncomingRequest, UpstreamRequest};
+use crate::net::runtime::budget::{AttemptDeadline, Budget, WakeRecorder};
 use crate::net::runtime::capacity;
 use crate::net::runtime::clock::Clock;
-use crate::net::runtime::context::Site;
-use crate::net::upstream::attempt::{self, Transport};
-use crate::net::upstream::pool_driver::{Line, Pools};
-use crate::net::upstream::response::Reading;
+use crate::net::runtime::context::RuntimeContext;
+use crate::net::upstream::attempt::{self, UpstreamTransport};
+use crate::net::upstream::pool_driver::{AttemptHandle, UpstreamConnections};
+use crate::net::upstream::response::ResponseReader;
 use cometspool::settings;
 use cometspool::*;
 use fnv::FnvHasher;
@@ -85,7 +85,7 @@
 
 /// A request that has no final answer yet, or an attempt of which is still out.
 struct Entry {
-    order: Rc<Order>,
+    order: Rc<UpstreamRequest>,
     budget: Budget,
     /// Present until the one final answer has been handed over.
     answer: Option<oneshot::Sender<Answer>>,
@@ -109,18 +109,18 @@
 /// Carries out one attempt: the sockets, or what a test puts in their place.
 type Carrier = dyn Fn(
     BackendId,
-    Rc<Order>,
-    Allowance,
+    Rc<UpstreamRequest>,
+    AttemptDeadline,
     DeliveryMode,
-    Line,
-) -> Pin<Box<dyn Future<Output = Ended>>>;
+    AttemptHandle,
+) -> Pin<Box<dyn Future<Output = AttemptResult>>>;
 
 /// An attempt that is out.
 struct Attempt {
     number: u32,
     backend: BackendId,
     sent: Millis,
-    line: Line,
+    line: AttemptHandle,
 }
 
 /// The module's bounds on the time of an attempt.
@@ -162,12 +162,12 @@
 }
 
 /// A front door's driver.
-pub(super) struct Door {
+pub(super) struct Driver {
     /// What it stands on.
-    pub site: Rc<Site>,
+    pub context: Rc<RuntimeContext>,
     /// Itself, for what it sets going.
-    own: Weak<Door>,
-    pools: Rc<Pools>,
+    own: Weak<Driver>,
+    connections: Rc<UpstreamConnections>,
     carrier: Box<Carrier>,
     state: RefCell<State>,
     queue: RefCell<VecDeque<(Millis, Event)>>,
@@ -187,54 +187,58 @@
     }
 }
 
-impl Door {
+impl Driver {
     /// A front door with an empty list of backends.
-    pub(super) fn new(config: &Config, woken: Woken) -> Result<Rc<Door>, String> {
-        let told = &config.told;
+    pub(super) fn new(config: &Config, woken: WakeRecorder) -> Result<Rc<Driver>, String> {
+        let told = &config.parsed;
         let (clock, doors) = (Clock::skewed(config.clock), told.settings.gateways);
-        let room = capacity::budget(config.sockets(), config.limits.memory_mb << 20);
-        let pools = Rc::new(Pools::new(
+        let room = capacity::upstream_connection_limit(
+            config.descriptor_budget(),
+            config.limits.memory_mb << 20,
+        );
+        let pools = Rc::new(UpstreamConnections::new(
             told.connections,
             room,
             doors,
             config.seed,
             clock,
         ));
-        let reading = Rc::new(Reading::new(told, config.limits.memory_mb << 20));
-        let transport = Transport {
-            pools: pools.clone(),
-            reading,
+        let reading = Rc::new(ResponseReader::new(told, config.limits.memory_mb << 20));
+        let transport = UpstreamTransport {
+            connections: pools.clone(),
+            response_reader: reading,
             clock,
         };
-        let carrier = move |backend, order: Rc<Order>, part, delivery, line: Line| {
-            let transport = transport.clone();
-            let attempt = async move {
-                attempt::attempt(&transport, backend, &order, part, delivery, &line).await
+        let carrier =
+            move |backend, order: Rc<UpstreamRequest>, part, delivery, line: AttemptHandle| {
+                let transport = transport.clone();
+                let attempt = async move {
+                    attempt::attempt(&transport, backend, &order, part, delivery, &line).await
+                };
+                Box::pin(attempt) as Pin<Box<dyn Future<Output = AttemptResult>>>
             };
-            Box::pin(attempt) as Pin<Box<dyn Future<Output = Ended>>>
-        };
-        Door::with(config, woken, clock, pools, Box::new(carrier))
+        Driver::with(config, woken, clock, pools, Box::new(carrier))
     }
 
     fn with(
         config: &Config,
-        woken: Woken,
+        woken: WakeRecorder,
         clock: Clock,
-        pools: Rc<Pools>,
+        connections: Rc<UpstreamConnections>,
         carrier: Box<Carrier>,
-    ) -> Result<Rc<Door>, String> {
-        let told = &config.told;
-        let site = Rc::new(Site::new(told, woken, clock));
-        let longest = site.longest();
+    ) -> Result<Rc<Driver>, String> {
+        let told = &config.parsed;
+        let site = Rc::new(RuntimeContext::new(told, woken, clock));
+        let longest = site.longest_deadline();
         let open = |path: &std::path::PathBuf| {
             Handover::open(path.clone(), clock, longest)
                 .map_err(|error| format!("handover: {}: {error}", path.display()))
         };
         let handover = config.handover.as_ref().map(open).transpose()?;
-        Ok(Rc::new_cyclic(|own| Door {
-            site,
+        Ok(Rc::new_cyclic(|own| Driver {
+            context: site,
             own: own.clone(),
-            pools,
+            connections,
             carrier,
             state: RefCell::new(State {
                 gateway: PolicyEngine::new(told.settings.clone(), config.seed),
@@ -306,14 +310,18 @@
                 request,
                 retry_after,
                 ..
-            } => self.answer(request, Answer::Refused(retry_after)),
+            } => self.answer(request, Answer::Rejected(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
             Action::CancelAttempt { request, attempt } => {
-                self.settle(request, attempt, Ended::of(Outcome::Cancelled));
+                self.settle(
+                    request,
+                    attempt,
+                    AttemptResult::without_response(Outcome::Cancelled),
+                );
             }
             Action::SetTimer { at, timer } => self.set_timer(at, Due::Alarm(timer)),
-            Action::CloseIdleConnections(backend) => self.pools.close_idle(backend),
-            Action::Preconnect { backend, within } => self.pools.ahead(backend, within),
+            Action::CloseIdleConnections(backend) => self.connections.close_idle(backend),
+            Action::Preconnect { backend, within } => self.connections.preconnect(backend, within),
             Action::Log(text) => eprintln!("{text}"),
             // Changes of the list come unasked, and probes are not permitted.
             Action::Subscribe | Action::FetchList | Action::CheckHealth(_) => {}
@@ -347,13 +355,17 @@
                 .get(&id)
                 .filter(|entry| entry.answer.is_none());
             let out = entry.into_iter().flat_map(|entry| &entry.out);
-            out.filter(|attempt| !attempt.line.whole())
+            out.filter(|attempt| !attempt.line.is_fully_written())
                 .map(|attempt| attempt.number)
                 .collect()
         };
-        unsent
-            .into_iter()
-            .for_each(|number| self.settle(id, number, Ended::of(Outcome::Cancelled)));
+        unsent.into_iter().for_each(|number| {
+            self.settle(
+                id,
+                number,
+                AttemptResult::without_response(Outcome::Cancelled),
+            );
+        });
         self.state.borrow_mut().forget_if_over(id);
     }
 
@@ -366,7 +378,7 @@
         limits: AttemptLimits,
         delivery: DeliveryMode,
     ) {
-        let now = self.site.clock.now();
+        let now = self.context.clock.now();
         let mut held = self.state.borrow_mut();
         let state = &mut *held;
         let Some(entry) = state.requests.get_mut(&id) else {
@@ -374,19 +386,19 @@
         };
         let number = entry.attempts;
         entry.attempts += 1;
-        let copies = if self.site.settings.hedging { 2 } else { 1 };
+        let copies = if self.context.settings.hedging { 2 } else { 1 };
         let fits = entry.answer.is_some()
             && entry.out.len() < copies
-            && number < self.site.settings.max_attempts;
+            && number < self.context.settings.max_attempts;
         // A copy belongs at another backend than the first: what ends there tells which of the two it was.
         let fits = fits && entry.out.iter().all(|attempt| attempt.backend != backend);
         let part = entry
             .budget
-            .attempt(now, limits.limit)
+            .attempt_deadline(now, limits.limit)
             .map(|part| part.begin_before(limits.begin_before));
         let Some(part) = part.filter(|_| fits) else {
             drop(held);
-            let ended = Ended::of(Outcome::NotSent);
+            let ended = AttemptResult::without_response(Outcome::NotSent);
             self.post(
                 now,
                 Event::AttemptCompleted(settled(id, number, backend, 0.0, &ended, false)),
@@ -394,9 +406,9 @@
             return;
         };
         if let Some(handover) = state.handover.as_mut().filter(|_| !entry.safe) {
-            handover.sent(&entry.order.id, entry.budget.end());
+            handover.record_sent(&entry.order.id, entry.budget.end());
         }
-        let line = Line::default();
+        let line = AttemptHandle::default();
         let carried = (self.carrier)(backend, entry.order.clone(), part, delivery, line.clone());
         let own = self.own.clone();
         let task = tokio::task::spawn_local(async move {
@@ -405,7 +417,7 @@
                 door.settle(id, number, ended);
             }
         });
-        line.tie(task.abort_handle());
+        line.set_task(task.abort_handle());
         entry.out.push(Attempt {
             number,
             backend,
@@ -413,12 +425,12 @@
             line,
         });
         drop(held);
-        self.set_timer(part.until(), Due::TimeOut(id, number));
+        self.set_timer(part.end(), Due::TimeOut(id, number));
     }
 
     /// Settles an attempt, once: whatever ends it later finds it gone.
-    fn settle(&self, id: RequestId, number: u32, mut ended: Ended) {
-        let now = self.site.clock.now();
+    fn settle(&self, id: RequestId, number: u32, mut ended: AttemptResult) {
+        let now = self.context.clock.now();
         let event = {
             let mut state = self.state.borrow_mut();
             let Some(entry) = state.requests.get_mut(&id) else {
@@ -429,16 +441,18 @@
             };
             if matches!(ended.outcome, Outcome::Cancelled | Outcome::Timeout) {
                 // What has not been written whole when its connection is closed cannot run.
-                if ended.outcome == Outcome::Timeout && !attempt.line.whole() {
+                if ended.outcome == Outcome::Timeout && !attempt.line.is_fully_written() {
                     ended.outcome = Outcome::ConnectFailed;
                 }
-                attempt.line.give_up();
+                attempt.line.abandon();
             }
             if let Some(sender) = entry.answer.take_if(|_| ended.outcome == Outcome::Ok) {
                 let _ = sender.send(Answer::Served(ended.body.clone()));
             }
             // No further attempt for a client that has left.
-            entry.answer.take_if(|_| entry.order.client.left());
+            entry
+                .answer
+                .take_if(|_| entry.order.client.is_disconnected());
             let closed = entry.answer.is_none();
             settled(
                 id,
@@ -470,9 +484,9 @@
     }
 
     /// Fires what comes due, for as long as the front door runs.
-    pub(super) async fn keep_time(self: Rc<Self>) {
+    pub(super) async fn run_timers(self: Rc<Self>) {
         loop {
-            let now = self.site.clock.now();
+            let now = self.context.clock.now();
             let next = {
                 let mut state = self.state.borrow_mut();
                 state.drop_dead_timers();
@@ -486,11 +500,11 @@
             };
             match next {
                 Some(Ok(timer)) => {
-                    self.site.lag.ran(timer.at, now);
+                    self.context.stall_monitor.timer_fired(timer.at, now);
                     self.fire(now, timer.due);
                 }
                 Some(Err(at)) => tokio::select! {
-                    () = tokio::time::sleep_until(self.site.clock.instant(at)) => {}
+                    () = tokio::time::sleep_until(self.context.clock.instant_at(at)) => {}
                     () = self.earlier.notified() => {}
                 },
                 None => self.earlier.notified().await,
@@ -501,7 +515,11 @@
     fn fire(&self, now: Millis, due: Due) {
         match due {
             Due::Alarm(alarm) => self.post(now, Event::TimerFired(alarm)),
-            Due::TimeOut(id, number) => self.settle(id, number, Ended::of(Outcome::Timeout)),
+            Due::TimeOut(id, number) => self.settle(
+                id,
+                number,
+                AttemptResult::without_response(Outcome::Timeout),
+            ),
             Due::Deadline(id) => {
                 // The module answers before this; a request that it holds must not stay without an answer.
                 let waited = self
@@ -520,60 +538,68 @@
 
     // ---- The list of backends -----------------------------------------------------------------------
 
-    fn entry(&self, state: &mut State, member: &Member) -> BackendEntry {
-        let id = state.backend(&member.host);
+    fn entry(&self, state: &mut State, member: &Endpoint) -> BackendEntry {
+        let id = state.backend(&member.name);
         let availability = match member.health {
             Health::Up => Availability::Ready,
             Health::Draining => Availability::Draining,
             Health::Removed => Availability::Removed,
         };
         match member.health {
-            Health::Up => self.pools.open(id, member.dial, member.born_ms),
-            Health::Draining => self.pools.drain(id),
+            Health::Up => self
+                .connections
+                .add_endpoint(id, member.address, member.started_at_ms),
+            Health::Draining => self.connections.drain_endpoint(id),
             Health::Removed => {
-                self.pools.remove(id);
-                state.backends.remove(&member.host);
+                self.connections.remove_endpoint(id);
+                state.backends.remove(&member.name);
                 state.unborn.remove(&id);
             }
         }
-        let site = settings::normalize_name(&member.site);
-        let zone = self.site.names.zones.iter().position(|zone| *zone == site);
+        let site = settings::normalize_name(&member.zone);
+        let zone = self
+            .context
+            .names
+            .zones
+            .iter()
+            .position(|zone| *zone == site);
         BackendEntry {
             id,
             zone: ZoneId(zone.map_or(u32::MAX, |zone| zone as u32)),
-            cell: CellId(member.block),
+            cell: CellId(member.cell),
             availability,
-            started_at: (member.born_ms > 0.0)
-                .then(|| state.born(id, member.born_ms, self.site.clock.now())),
-            weight: member.share,
+            started_at: (member.started_at_ms > 0.0)
+                .then(|| state.born(id, member.started_at_ms, self.context.clock.now())),
+            weight: member.weight,
         }
     }
 
     /// Guards against an address that another backend has by now: of two that are listed at one, the one that was born
     /// later is there, or else the one told last. The other is taken for gone, though the list may say so only later.
-    fn displaced(&self, state: &mut State, member: &Member) -> Option<BackendEntry> {
+    fn displaced(&self, state: &mut State, member: &Endpoint) -> Option<BackendEntry> {
         if member.health != Health::Up {
             return None;
         }
         let holder = Holder {
-            host: member.host.clone(),
-            born_ms: member.born_ms,
+            host: member.name.clone(),
+            born_ms: member.started_at_ms,
         };
-        let before = state.addresses.insert(member.dial, holder.clone())?;
-        let listed = before.host != member.host && state.backends.contains_key(&before.host);
-        let still = listed && self.pools.at(state.backends[&before.host]) == Some(member.dial);
-        let gone = match (still, before.born_ms > member.born_ms) {
+        let before = state.addresses.insert(member.address, holder.clone())?;
+        let listed = before.host != member.name && state.backends.contains_key(&before.host);
+        let still = listed
+            && self.connections.address_of(state.backends[&before.host]) == Some(member.address);
+        let gone = match (still, before.born_ms > member.started_at_ms) {
             (false, _) => return None,
             (true, false) => &before.host,
             (true, true) => {
-                state.addresses.insert(member.dial, before);
-                &member.host
+                state.addresses.insert(member.address, before);
+                &member.name
             }
         };
         let gone = gone.clone();
         eprintln!("backend {gone} is taken for gone: another has its address");
-        let removed = Member {
-            host: gone,
+        let removed = Endpoint {
+            name: gone,
             health: Health::Removed,
             ..member.clone()
         };
@@ -581,52 +607,53 @@
     }
 
     /// Paces dials for a fleet of so many front doors: never for fewer than the settings tell, as cold backends hang on it.
-    pub(super) fn fleet_of(&self, doors: u32) {
-        self.pools.fleet_of(doors.max(self.site.settings.gateways));
+    pub(super) fn set_dial_fleet_size(&self, doors: u32) {
+        self.connections
+            .set_fleet_size(doors.max(self.context.settings.gateways));
     }
 
     /// Tells the module how many front doors seem present, for its trials of ejected backends.
-    pub(super) fn present(&self, doors: u32) {
-        self.post(self.site.clock.now(), Event::FleetSizeChanged(doors));
+    pub(super) fn report_fleet_size(&self, doors: u32) {
+        self.post(self.context.clock.now(), Event::FleetSizeChanged(doors));
     }
 
     /// Disposes of idle connections before backends do, for as long as the front door runs.
-    pub(super) async fn tidy(self: Rc<Self>) {
-        self.pools.tidy().await;
+    pub(super) async fn evict_idle_connections(self: Rc<Self>) {
+        self.connections.evict_expired().await;
     }
 }
 
-impl Desk for Door {
-    fn ready(&self) -> bool {
+impl RequestHandler for Driver {
+    fn is_ready(&self) -> bool {
         !self.state.borrow().backends.is_empty()
     }
 
-    fn arrive(&self, incoming: Incoming) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
+    fn submit(&self, incoming: IncomingRequest) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
         let (sender, receiver) = oneshot::channel();
-        let now = self.site.clock.now();
+        let now = self.context.clock.now();
         let (id, budget) = {
             let mut state = self.state.borrow_mut();
             state.forget_ids(now);
-            let name = incoming.order.id.clone();
+            let name = incoming.upstream_request.id.clone();
             let before = state
                 .handover
                 .as_ref()
-                .and_then(|handover| handover.before(&name));
-            if before.is_some_and(|before| before.ran) || !state.ids.insert(name.clone()) {
+                .and_then(|handover| handover.previous_record(&name));
+            if before.is_some_and(|before| before.may_have_run) || !state.ids.insert(name.clone()) {
                 return None;
             }
             let id = state.new_request();
-            let ends = [state.stop, before.map(|before| before.end)];
+            let ends = [state.stop, before.map(|before| before.deadline)];
             let budget = ends
                 .into_iter()
                 .flatten()
-                .fold(incoming.budget, |budget, end| budget.until(end));
+                .fold(incoming.budget, |budget, end| budget.capped_at(end));
             if let Some(handover) = &mut state.handover {
-                handover.taken(&name, budget.end());
+                handover.record_accepted(&name, budget.end());
             }
-            let safe =
-                self.site.settings.classes[incoming.class.0].idempotency == Idempotency::Idempotent;
-            let (order, answer) = (Rc::new(incoming.order), Some(sender));
+            let safe = self.context.settings.classes[incoming.class.0].idempotency
+                == Idempotency::Idempotent;
+            let (order, answer) = (Rc::new(incoming.upstream_request), Some(sender));
             state.requests.insert(
                 id,
                 Entry {
@@ -648,11 +675,11 @@
             class: incoming.class,
             units: incoming.units,
             deadline: budget.end(),
-            gateway_count: incoming.spread,
-            is_retry: incoming.again,
-            queued_for: (now - incoming.at).max(0.0),
+            gateway_count: incoming.gateway_count,
+            is_retry: incoming.is_retry,
+            queued_for: (now - incoming.received_at).max(0.0),
         };
-        if incoming.budget.over(now) {
+        if incoming.budget.is_expired(now) {
             // It waited unread until nobody waited for it: there is nothing to decide.
             self.answer(id, Answer::Failed);
         } else {
@@ -661,7 +688,7 @@
         Some((id, receiver))
     }
 
-    fn client_gone(&self, id: RequestId) {
+    fn client_disconnected(&self, id: RequestId) {
         let waited = {
             let mut state = self.state.borrow_mut();
             state
@@ -670,12 +697,12 @@
                 .is_some_and(|entry| entry.answer.take().is_some())
         };
         if waited {
-            self.post(self.site.clock.now(), Event::ClientDisconnected(id));
+            self.post(self.context.clock.now(), Event::ClientDisconnected(id));
             self.wind_up(id);
         }
     }
 
-    fn stopping(&self, end: Millis) {
+    fn begin_shutdown(&self, end: Millis) {
         let end = end - LAST_WRITES;
         let cut: Vec<RequestId> = {
             let mut state = self.state.borrow_mut();
@@ -685,7 +712,7 @@
                 .iter_mut()
                 .filter(|(_, entry)| entry.budget.end() > end);
             late.map(|(id, entry)| {
-                entry.budget = entry.budget.until(end);
+                entry.budget = entry.budget.capped_at(end);
                 *id
             })
             .collect()
@@ -694,15 +721,15 @@
             .for_each(|id| self.set_timer(end, Due::Deadline(id)));
     }
 
-    fn turn_away(&self) {
+    fn reject_new_requests(&self) {
         let stop = self.state.borrow().stop;
         self.post(
-            self.site.clock.now(),
+            self.context.clock.now(),
             Event::ShutdownStarted(stop.unwrap_or_default()),
         );
     }
 
-    fn unanswered(&self) -> usize {
+    fn pending_requests(&self) -> usize {
         self.state
             .borrow()
             .requests
@@ -712,10 +739,10 @@
     }
 }
 
-impl Roster for Door {
-    fn list_changed(&self, members: &Members, news: News) {
-        let kind = match (news, members.whole) {
-            (News::Cached, _) => ListKind::Cached,
+impl EndpointObserver for Driver {
+    fn endpoints_updated(&self, members: &EndpointList, news: EndpointUpdate) {
+        let kind = match (news, members.is_full) {
+            (EndpointUpdate::Cached, _) => ListKind::Cached,
             (_, true) => ListKind::Full,
             (_, false) => ListKind::Changes,
         };
@@ -724,7 +751,8 @@
             let kept = state.keep_ends(members, news);
             let members = kept.as_ref().unwrap_or(members);
             if kind != ListKind::Changes {
-                let listed: HashSet<&str> = members.hosts.iter().map(|m| m.host.as_str()).collect();
+                let listed: HashSet<&str> =
+                    members.endpoints.iter().map(|m| m.name.as_str()).collect();
                 let State {
                     backends,
                     unborn,
@@ -736,21 +764,21 @@
                     .filter(|(host, _)| !listed.contains(host.as_str()))
                 {
                     // Who is no longer listed is gone, though nobody says so; who is not yet listed is not.
-                    if news != News::Older {
-                        ends.insert(host.clone(), self.pools.born(*id));
+                    if news != EndpointUpdate::Stale {
+                        ends.insert(host.clone(), self.connections.started_at(*id));
                     }
-                    self.pools.remove(*id);
+                    self.connections.remove_endpoint(*id);
                 }
                 backends.retain(|host, _| listed.contains(host.as_str()));
                 unborn.retain(|id, _| backends.values().any(|known| known == id));
             }
             let mut entries: Vec<BackendEntry> = members
-                .hosts
+                .endpoints
                 .iter()
                 .map(|member| self.entry(&mut state, member))
                 .collect();
             let displaced = members
-                .hosts
+                .endpoints
                 .iter()
                 .filter_map(|member| self.displaced(&mut state, member));
             let displaced: Vec<BackendEntry> = displaced.collect();
@@ -764,7 +792,7 @@
             entries
         };
         self.post(
-            self.site.clock.now(),
+            self.context.clock.now(),
             Event::EndpointsChanged(kind, entries),
         );
     }
@@ -834,21 +862,22 @@
 
     /// Guards against going back on what has been told: a list that is older than another does not bring back a process that
     /// was told to drain or to be gone. What such a list should have said is returned, if it has to say something else.
-    fn keep_ends(&mut self, members: &Members, news: News) -> Option<Members> {
-        let before = |ends: &HashMap<String, Millis>, member: &Member| {
-            news == News::Older
+    fn keep_ends(&mut self, members: &EndpointList, news: EndpointUpdate) -> Option<EndpointList> {
+        let before = |ends: &HashMap<String, Millis>, member: &Endpoint| {
+            news == EndpointUpdate::Stale
                 && ends
-                    .get(&member.host)
-                    .is_some_and(|born| *born >= member.born_ms)
+                    .get(&member.name)
+                    .is_some_and(|born| *born >= member.started_at_ms)
         };
-        let mut kept: Option<Members> = None;
-        for (place, member) in members.hosts.iter().enumerate() {
+        let mut kept: Option<EndpointList> = None;
+        for (place, member) in members.endpoints.iter().enumerate() {
             if member.health != Health::Up {
-                self.ends.insert(member.host.clone(), member.born_ms);
+                self.ends.insert(member.name.clone(), member.started_at_ms);
             } else if before(&self.ends, member) {
-                kept.get_or_insert_with(|| members.clone()).hosts[place].health = Health::Draining;
+                kept.get_or_insert_with(|| members.clone()).endpoints[place].health =
+                    Health::Draining;
             } else {
-                self.ends.remove(&member.host);
+                self.ends.remove(&member.name);
             }
         }
         if self.ends.len() > ENDS_KEPT {
@@ -895,7 +924,7 @@
     attempt: u32,
     backend: BackendId,
     elapsed: Millis,
-    ended: &Ended,
+    ended: &AttemptResult,
     closed: bool,
 ) -> AttemptCompleted {
     AttemptCompleted {
@@ -905,10 +934,10 @@
         outcome: ended.outcome,
         elapsed,
         request_closed: closed,
-        quota_usage: ended.used,
-        actual_units: ended.charge,
-        load_report: ended.report,
-        broken_connections: ended.broken,
+        quota_usage: ended.quota_usage,
+        actual_units: ended.actual_units,
+        load_report: ended.load_report,
+        broken_connections: ended.broken_connections,
     }
 }
 
--- a/src/net/driver/schedules.rs
+++ b/src/net/driver/schedules.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::net::control::config::Limits;
-use crate::net::messages::Presence;
+use crate::net::messages::ClientConnection;
 use crate::net::runtime::budget::Budget;
 use cometspool::settings::Names;
 use cometspool::settings::{ConnectionSettings, ParsedSettings};
@@ -32,8 +32,8 @@
 #[derive(Debug, Default)]
 struct Patron(Cell<bool>);
 
-impl Presence for Patron {
-    fn left(&self) -> bool {
+impl ClientConnection for Patron {
+    fn is_disconnected(&self) -> bool {
         self.0.get()
     }
 }
@@ -43,7 +43,7 @@
 struct Seen {
     id: Rc<str>,
     backend: BackendId,
-    part: Allowance,
+    part: AttemptDeadline,
     begun: Millis,
     ended: Option<Millis>,
     /// Whether its end proves that it did not run.
@@ -97,14 +97,14 @@
     world: Rc<RefCell<World>>,
     clock: Clock,
     place: usize,
-    line: Line,
+    line: AttemptHandle,
 }
 
 impl Drop for Noted {
     fn drop(&mut self) {
         let seen = &mut self.world.borrow_mut().seen[self.place];
         seen.ended = Some(self.clock.now());
-        seen.never_ran |= !self.line.whole();
+        seen.never_ran |= !self.line.is_fully_written();
     }
 }
 
@@ -142,7 +142,7 @@
 }
 
 /// A driver over the stand-in, with a list of backends.
-fn door(settings: Settings, seed: u64, backends: u32, world: &Rc<RefCell<World>>) -> Rc<Door> {
+fn door(settings: Settings, seed: u64, backends: u32, world: &Rc<RefCell<World>>) -> Rc<Driver> {
     let links = ConnectionSettings::default();
     let told = ParsedSettings {
         settings,
@@ -161,14 +161,18 @@
         discovery: address,
         seed,
         limits,
-        known: None,
+        cached_endpoints: None,
         handover: None,
         fleet: None,
         clock: crate::net::runtime::clock::Skew::default(),
-        told,
+        parsed: told,
     };
     let (clock, seen) = (Clock::new(), world.clone());
-    let carrier = move |backend, order: Rc<Order>, part: Allowance, _, line: Line| {
+    let carrier = move |backend,
+                        order: Rc<UpstreamRequest>,
+                        part: AttemptDeadline,
+                        _,
+                        line: AttemptHandle| {
         let (fate, begun) = (seen.borrow_mut().fate(), clock.now());
         let place = seen.borrow().seen.len();
         let id = order.id.clone();
@@ -188,50 +192,56 @@
         };
         Box::pin(async move {
             if fate.whole {
-                noted.line.pretend_whole();
+                noted.line.pretend_fully_written();
             }
             tokio::time::sleep(Duration::from_secs_f64(fate.after / 1000.0)).await;
             let proven = matches!(fate.outcome, Outcome::Rejected | Outcome::ConnectFailed);
             noted.world.borrow_mut().seen[noted.place].never_ran |= proven;
-            Ended::of(fate.outcome)
-        }) as Pin<Box<dyn Future<Output = Ended>>>
+            AttemptResult::without_response(fate.outcome)
+        }) as Pin<Box<dyn Future<Output = AttemptResult>>>
     };
-    let pools = Rc::new(Pools::new(links, 8, 1, seed, clock));
-    let door =
-        Door::with(&config, Woken::new(), clock, pools, Box::new(carrier)).expect("a front door");
-    let host = |i: u32| Member {
-        host: format!("s-{i}"),
-        dial: SocketAddr::from(([127, 0, 0, 1], 1 + i as u16)),
-        site: String::new(),
-        block: 0,
+    let pools = Rc::new(UpstreamConnections::new(links, 8, 1, seed, clock));
+    let door = Driver::with(
+        &config,
+        WakeRecorder::new(),
+        clock,
+        pools,
+        Box::new(carrier),
+    )
+    .expect("a front door");
+    let host = |i: u32| Endpoint {
+        name: format!("s-{i}"),
+        address: SocketAddr::from(([127, 0, 0, 1], 1 + i as u16)),
+        zone: String::new(),
+        cell: 0,
         health: Health::Up,
-        share: 1.0,
-        born_ms: 0.0,
+        weight: 1.0,
+        started_at_ms: 0.0,
     };
-    door.list_changed(
-        &Members {
-            seq: 1,
-            whole: true,
-            hosts: (0..backends).map(host).collect(),
+    door.endpoints_updated(
+        &EndpointList {
+            version: 1,
+            is_full: true,
+            endpoints: (0..backends).map(host).collect(),
         },
-        News::Told,
+        EndpointUpdate::Current,
     );
-    tokio::task::spawn_local(door.clone().keep_time());
+    tokio::task::spawn_local(door.clone().run_timers());
     door
 }
 
-fn incoming(door: &Door, name: &str, class: usize, seconds: f64) -> Incoming {
-    let (now, value) = (door.site.clock.now(), HeaderValue::from_static("x"));
-    Incoming {
-        at: now,
-        budget: Budget::told(&seconds.to_string(), now, LONGEST).expect("a time"),
+fn incoming(door: &Driver, name: &str, class: usize, seconds: f64) -> IncomingRequest {
+    let (now, value) = (door.context.clock.now(), HeaderValue::from_static("x"));
+    IncomingRequest {
+        received_at: now,
+        budget: Budget::from_header(&seconds.to_string(), now, LONGEST).expect("a time"),
         customer: CustomerId(1),
         plan: PlanId(0),
         class: ClassId(class),
         units: 1.0,
-        spread: 1.0,
-        again: false,
-        order: Order {
+        gateway_count: 1.0,
+        is_retry: false,
+        upstream_request: UpstreamRequest {
             client: Rc::new(Patron::default()),
             id: name.into(),
             id_value: value.clone(),
@@ -246,7 +256,7 @@
 }
 
 /// What the front door still holds: requests, timers that would do something, links, and its own clones in tasks.
-fn held(door: &Rc<Door>) -> (usize, usize, usize) {
+fn held(door: &Rc<Driver>) -> (usize, usize, usize) {
     let mut state = door.state.borrow_mut();
     state.drop_dead_timers();
     let live = state
@@ -290,12 +300,12 @@
     for i in 0..120u32 {
         pass(f64::from(rng.next_u32() % 60)).await;
         if stop == Some(i) {
-            let end = door.site.clock.now() + LONGEST + 550.0;
-            door.stopping(end);
+            let end = door.context.clock.now() + LONGEST + 550.0;
+            door.begin_shutdown(end);
             stopped = Some(end);
         }
         if stop.is_some_and(|stop| i == stop + 20) {
-            door.turn_away();
+            door.reject_new_requests();
         }
         let seconds = f64::from(1 + rng.next_u32() % 3500) / 1000.0;
         let leaves = (rng.next_u32() % 6 == 0).then(|| f64::from(rng.next_u32() % 1500));
@@ -304,8 +314,8 @@
         let end = stopped.map_or(incoming.budget.end(), |stop| {
             incoming.budget.end().min(stop)
         });
-        let end = end.max(incoming.at);
-        let (id, answer) = door.arrive(incoming).expect("an id of its own");
+        let end = end.max(incoming.received_at);
+        let (id, answer) = door.submit(incoming).expect("an id of its own");
         told.borrow_mut().push(Client {
             end,
             answered: None,
@@ -324,11 +334,11 @@
                 // The sender is kept until it is used: nothing else ends the wait.
                 Some(answer) => {
                     let served = matches!(answer.expect("an answer"), Answer::Served(_));
-                    told.borrow_mut()[place].answered = Some((door.site.clock.now(), served));
+                    told.borrow_mut()[place].answered = Some((door.context.clock.now(), served));
                 }
                 None => {
                     told.borrow_mut()[place].answered = Some((f64::NEG_INFINITY, false));
-                    door.client_gone(id);
+                    door.client_disconnected(id);
                 }
             }
         });
@@ -346,9 +356,9 @@
     for seen in &world.seen {
         let ended = seen.ended.expect("an end of each attempt");
         assert!(
-            ended <= seen.part.until() + GRAIN,
+            ended <= seen.part.end() + GRAIN,
             "{:.3} ms beyond its part",
-            ended - seen.part.until()
+            ended - seen.part.end()
         );
         // Whatever else is out of this request at the time: another backend, and only where a copy is permitted.
         let beside = world
@@ -449,15 +459,15 @@
             let door = door(settings(true), 1, 2, &world);
             for i in 0..20 {
                 let (_, answer) = door
-                    .arrive(incoming(&door, &format!("u-{i}"), 0, 3.0))
+                    .submit(incoming(&door, &format!("u-{i}"), 0, 3.0))
                     .expect("taken");
                 assert!(matches!(answer.await, Ok(Answer::Served(_))));
                 pass(100.0).await;
             }
-            let begun = door.site.clock.now();
-            let (_, answer) = door.arrive(incoming(&door, "it", 0, 3.0)).expect("taken");
+            let begun = door.context.clock.now();
+            let (_, answer) = door.submit(incoming(&door, "it", 0, 3.0)).expect("taken");
             assert!(matches!(answer.await, Ok(Answer::Served(_))), "{outcome:?}");
-            let took = door.site.clock.now() - begun;
+            let took = door.context.clock.now() - begun;
             assert!(
                 (took - served_at).abs() < 40.0,
                 "{outcome:?}: served after {took}"
@@ -469,8 +479,8 @@
             };
             assert_ne!(first.backend, copy.backend);
             assert_eq!(
-                copy.part.until(),
-                first.part.until(),
+                copy.part.end(),
+                first.part.end(),
                 "the copy has a time of its own"
             );
             // The one that was not served ended with the answer, not with the time.
@@ -490,15 +500,15 @@
         play(async {
             let door = door(settings(copies), 1, 2, &world);
             let (_, answer) = door
-                .arrive(incoming(&door, "it", class, 3.0))
+                .submit(incoming(&door, "it", class, 3.0))
                 .expect("taken");
             let answer = answer.await.expect("an answer");
-            assert!(!matches!(answer, Answer::Refused(_)) || class == 0);
+            assert!(!matches!(answer, Answer::Rejected(_)) || class == 0);
             let world = world.borrow();
             let longest = world
                 .seen
                 .iter()
-                .filter(|seen| seen.begun < seen.part.until())
+                .filter(|seen| seen.begun < seen.part.end())
                 .count();
             assert!(world.seen.len() == 1 || class == 0, "sent {longest} times");
             let together = world
@@ -518,26 +528,26 @@
     play(async {
         let door = door(settings(false), 1, 2, &world);
         let mut late = incoming(&door, "late", 2, 3.0);
-        late.budget = Budget::told("1", late.at - 500.0, LONGEST).expect("a time");
-        late.at -= 500.0;
+        late.budget = Budget::from_header("1", late.received_at - 500.0, LONGEST).expect("a time");
+        late.received_at -= 500.0;
         let end = late.budget.end();
-        let (_, answer) = door.arrive(late).expect("taken");
+        let (_, answer) = door.submit(late).expect("taken");
         assert!(matches!(answer.await, Ok(Answer::Failed)));
-        assert!(door.site.clock.now() <= end + GRAIN);
+        assert!(door.context.clock.now() <= end + GRAIN);
         assert!(world
             .borrow()
             .seen
             .iter()
-            .all(|seen| seen.part.until() <= end));
+            .all(|seen| seen.part.end() <= end));
         let sent = world.borrow().seen.len();
         let mut dead = incoming(&door, "dead", 2, 3.0);
-        dead.budget = Budget::told("1", dead.at - 1500.0, LONGEST).expect("a time");
-        let begun = door.site.clock.now();
-        let (_, answer) = door.arrive(dead).expect("taken");
+        dead.budget = Budget::from_header("1", dead.received_at - 1500.0, LONGEST).expect("a time");
+        let begun = door.context.clock.now();
+        let (_, answer) = door.submit(dead).expect("taken");
         assert!(matches!(answer.await, Ok(Answer::Failed)));
         assert_eq!(
             (
-                door.site.clock.now(),
+                door.context.clock.now(),
                 world.borrow().seen.len(),
                 held(&door).0
             ),
@@ -554,24 +564,24 @@
     play(async {
         let door = door(settings(false), 1, 3, &world);
         let (_, taken) = door
-            .arrive(incoming(&door, "taken", 2, 3.0))
+            .submit(incoming(&door, "taken", 2, 3.0))
             .expect("taken");
-        let end = door.site.clock.now() + 700.0;
-        door.stopping(end);
+        let end = door.context.clock.now() + 700.0;
+        door.begin_shutdown(end);
         let (_, early) = door
-            .arrive(incoming(&door, "early", 2, 3.0))
+            .submit(incoming(&door, "early", 2, 3.0))
             .expect("taken");
         pass(100.0).await;
-        door.turn_away();
-        let (_, late) = door.arrive(incoming(&door, "late", 0, 3.0)).expect("taken");
+        door.reject_new_requests();
+        let (_, late) = door.submit(incoming(&door, "late", 0, 3.0)).expect("taken");
         match late.await {
-            Ok(Answer::Refused(Some(wait))) => assert!(wait > 0.0 && wait <= 600.0, "{wait}"),
+            Ok(Answer::Rejected(Some(wait))) => assert!(wait > 0.0 && wait <= 600.0, "{wait}"),
             other => panic!("{other:?}"),
         }
         assert_eq!(world.borrow().seen.len(), 2, "what came late was sent on");
         for answer in [taken, early] {
             assert!(matches!(answer.await, Ok(Answer::Failed)));
-            assert!(door.site.clock.now() <= end - LAST_WRITES + GRAIN);
+            assert!(door.context.clock.now() <= end - LAST_WRITES + GRAIN);
         }
         pass(10.0).await;
         assert!(world.borrow().seen.iter().all(|seen| seen.ended.is_some()));
@@ -590,21 +600,21 @@
         assert!((clock.now() - before - begun.elapsed().as_secs_f64() * 1000.0).abs() < 1e-3);
         let world = scripted(&[]);
         let door = door(settings(false), 1, 1, &world);
-        let ahead = door.site.clock.now() + 3_600_000.0;
-        let member = |born_ms| Member {
-            host: "s-9".into(),
-            dial: "127.0.0.1:1".parse().expect("an address"),
-            site: String::new(),
-            block: 0,
+        let ahead = door.context.clock.now() + 3_600_000.0;
+        let member = |born_ms| Endpoint {
+            name: "s-9".into(),
+            address: "127.0.0.1:1".parse().expect("an address"),
+            zone: String::new(),
+            cell: 0,
             health: Health::Up,
-            share: 1.0,
-            born_ms,
+            weight: 1.0,
+            started_at_ms: born_ms,
         };
         let first = door
             .entry(&mut door.state.borrow_mut(), &member(ahead))
             .started_at
             .expect("a start");
-        assert!(first <= door.site.clock.now());
+        assert!(first <= door.context.clock.now());
         pass(5000.0).await;
         let again = door
             .entry(&mut door.state.borrow_mut(), &member(ahead))
@@ -615,21 +625,21 @@
             .started_at
             .expect("a start");
         assert!(
-            later > first && later <= door.site.clock.now(),
+            later > first && later <= door.context.clock.now(),
             "a new start is a new one"
         );
     });
 }
 
-fn up(host: &str, port: u16, born_ms: Millis) -> Member {
-    Member {
-        host: host.into(),
-        dial: SocketAddr::from(([127, 0, 0, 1], port)),
-        site: String::new(),
-        block: 0,
+fn up(host: &str, port: u16, born_ms: Millis) -> Endpoint {
+    Endpoint {
+        name: host.into(),
+        address: SocketAddr::from(([127, 0, 0, 1], port)),
+        zone: String::new(),
+        cell: 0,
         health: Health::Up,
-        share: 1.0,
-        born_ms,
+        weight: 1.0,
+        started_at_ms: born_ms,
     }
 }
 
@@ -643,25 +653,25 @@
             let world = scripted(&[]);
             play(async {
                 let door = door(settings(false), 1, 0, &world);
-                let hosts: Vec<Member> = order.into_iter().cloned().collect();
+                let hosts: Vec<Endpoint> = order.into_iter().cloned().collect();
                 let lists = if at_once {
                     vec![hosts]
                 } else {
                     hosts.into_iter().map(|host| vec![host]).collect()
                 };
                 for (hosts, seq) in lists.into_iter().zip(2..) {
-                    door.list_changed(
-                        &Members {
-                            seq,
-                            whole: false,
-                            hosts,
+                    door.endpoints_updated(
+                        &EndpointList {
+                            version: seq,
+                            is_full: false,
+                            endpoints: hosts,
                         },
-                        News::Told,
+                        EndpointUpdate::Current,
                     );
                 }
                 for i in 0..6 {
                     let (_, answer) = door
-                        .arrive(incoming(&door, &format!("r-{i}"), 0, 3.0))
+                        .submit(incoming(&door, &format!("r-{i}"), 0, 3.0))
                         .expect("taken");
                     assert!(matches!(answer.await, Ok(Answer::Served(_))));
                 }
@@ -673,24 +683,24 @@
                     .collect();
                 assert_eq!(to, HashSet::from([number_of("s-new")]));
                 // One that has moved away leaves the address to whoever comes.
-                door.list_changed(
-                    &Members {
-                        seq: 9,
-                        whole: false,
-                        hosts: vec![up("s-new", 10, 3000.0)],
+                door.endpoints_updated(
+                    &EndpointList {
+                        version: 9,
+                        is_full: false,
+                        endpoints: vec![up("s-new", 10, 3000.0)],
                     },
-                    News::Told,
+                    EndpointUpdate::Current,
                 );
-                door.list_changed(
-                    &Members {
-                        seq: 10,
-                        whole: false,
-                        hosts: vec![up("s-late", 9, 2500.0)],
+                door.endpoints_updated(
+                    &EndpointList {
+                        version: 10,
+                        is_full: false,
+                        endpoints: vec![up("s-late", 9, 2500.0)],
                     },
-                    News::Told,
+                    EndpointUpdate::Current,
                 );
-                assert!(door.pools.takes_new(BackendId(number_of("s-new"))));
-                assert!(door.pools.takes_new(BackendId(number_of("s-late"))));
+                assert!(door.connections.takes_new(BackendId(number_of("s-new"))));
+                assert!(door.connections.takes_new(BackendId(number_of("s-late"))));
             });
         }
     }
--- a/src/net/fleet/membership.rs
+++ b/src/net/fleet/membership.rs
@@ -89,7 +89,7 @@
             let next = self.membership.borrow().next();
             let due = async {
                 match next {
-                    Some(at) => tokio::time::sleep_until(self.clock.instant(at)).await,
+                    Some(at) => tokio::time::sleep_until(self.clock.instant_at(at)).await,
                     None => std::future::pending().await,
                 }
             };
--- a/src/net/fleet/transport/listener.rs
+++ b/src/net/fleet/transport/listener.rs
@@ -3,7 +3,7 @@
 use super::handshake::split;
 use super::Transport;
 use crate::net::fleet::frame::ConnectionError;
-use crate::net::runtime::capacity::NO_DESCRIPTOR;
+use crate::net::runtime::capacity::ACCEPT_RETRY_DELAY;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -23,7 +23,7 @@
                     });
                 }
                 Ok(_) => self.counters.borrow_mut().crowded += 1,
-                Err(_) => sleep(NO_DESCRIPTOR).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 
 /// Longest body of a request, and of an answer that is taken in without asking for room.
-pub(super) const LONGEST_BODY: usize = 64 * 1024;
+pub(super) const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Bytes that a connection buffers at most; a longer head is answered 431.
-pub(super) const BUFFER: usize = 32 * 1024;
+pub(super) const CONNECTION_BUFFER_BYTES: usize = 32 * 1024;
 
 /// The id of a request.
 pub(super) const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
@@ -23,9 +23,9 @@
 
 /// A client's request, read whole and found well formed.
 #[derive(Debug)]
-pub(super) struct Incoming {
+pub(super) struct IncomingRequest {
     /// When its last byte came.
-    pub at: Millis,
+    pub received_at: Millis,
     /// Its time.
     pub budget: Budget,
     /// Its owner.
@@ -37,24 +37,24 @@
     /// Units that it takes.
     pub units: f64,
     /// Front doors in its owner's set.
-    pub spread: f64,
+    pub gateway_count: f64,
     /// Whether the client marks it as a further try.
-    pub again: bool,
+    pub is_retry: bool,
     /// What goes on to a backend.
-    pub order: Order,
+    pub upstream_request: UpstreamRequest,
 }
 
 /// Whoever waits for an answer.
-pub(super) trait Presence: std::fmt::Debug {
+pub(super) trait ClientConnection: std::fmt::Debug {
     /// Whether it has left, as far as the system knows by now: what is sent on after that works for nobody.
-    fn left(&self) -> bool;
+    fn is_disconnected(&self) -> bool;
 }
 
 /// What goes on to a backend, the same with every attempt.
 #[derive(Clone, Debug)]
-pub(super) struct Order {
+pub(super) struct UpstreamRequest {
     /// Who asked.
-    pub client: Rc<dyn Presence>,
+    pub client: Rc<dyn ClientConnection>,
     /// The id on the wire.
     pub id: Rc<str>,
     /// The id as it came.
@@ -73,7 +73,7 @@
     pub body: Bytes,
 }
 
-impl Order {
+impl UpstreamRequest {
     /// The request as it is written to a backend that is told what time is left.
     pub(super) fn request(&self, told: &str) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
@@ -97,31 +97,31 @@
 
 /// How an attempt ended and what its answer told.
 #[derive(Clone, Debug)]
-pub(super) struct Ended {
+pub(super) struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
     /// The whole body of a good answer.
     pub body: Bytes,
     /// The customer's use, as a part of its rate.
-    pub used: Option<f64>,
+    pub quota_usage: Option<f64>,
     /// The true units.
-    pub charge: Option<f64>,
+    pub actual_units: Option<f64>,
     /// The backend's load.
-    pub report: LoadReport,
+    pub load_report: LoadReport,
     /// Connections that had come up and broke under it.
-    pub broken: u32,
+    pub broken_connections: u32,
 }
 
-impl Ended {
+impl AttemptResult {
     /// An end without an answer.
-    pub(super) fn of(outcome: Outcome) -> Ended {
-        Ended {
+    pub(super) fn without_response(outcome: Outcome) -> AttemptResult {
+        AttemptResult {
             outcome,
             body: Bytes::new(),
-            used: None,
-            charge: None,
-            report: LoadReport::default(),
-            broken: 0,
+            quota_usage: None,
+            actual_units: None,
+            load_report: LoadReport::default(),
+            broken_connections: 0,
         }
     }
 }
@@ -132,7 +132,7 @@
     /// A backend's answer.
     Served(Bytes),
     /// Trying again is harmless; when, if advised.
-    Refused(Option<Millis>),
+    Rejected(Option<Millis>),
     /// Nothing promised.
     Failed,
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -15,36 +15,36 @@
 
 use control::backoff::Backoff;
 use control::config::Config;
-use downstream::connections::{Clients, Desk};
-use driver::Door;
+use downstream::connections::{DownstreamConnections, RequestHandler};
+use driver::Driver;
 use fleet::Fleet;
-use runtime::budget::Woken;
+use runtime::budget::WakeRecorder;
 use std::net::SocketAddr;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
 
 /// Why a front door did not start, and the exit code that tells it.
 #[derive(Debug)]
-pub(crate) struct Stopped {
+pub(crate) struct StartError {
     /// The exit code.
     pub code: u8,
     /// One plain line.
     pub why: String,
 }
 
-impl From<String> for Stopped {
-    fn from(why: String) -> Stopped {
-        Stopped { code: 1, why }
+impl From<String> for StartError {
+    fn from(why: String) -> StartError {
+        StartError { code: 1, why }
     }
 }
 
 /// Serves until a SIGTERM has been carried out.
-pub(crate) async fn run(woken: Woken) -> Result<(), Stopped> {
+pub(crate) async fn run(woken: WakeRecorder) -> Result<(), StartError> {
     let no_signals = |error| format!("no signals: {error}");
     // Before anything else: until they are caught, both end the process.
-    let mut reload = signal(SignalKind::hangup()).map_err(no_signals)?;
-    let mut stop = signal(SignalKind::terminate()).map_err(no_signals)?;
-    let config = Config::from_env().map_err(|error| Stopped {
+    let mut hangup = signal(SignalKind::hangup()).map_err(no_signals)?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(no_signals)?;
+    let config = Config::from_env().map_err(|error| StartError {
         code: error.code(),
         why: error.to_string(),
     })?;
@@ -55,42 +55,42 @@
     let bound = listener
         .local_addr()
         .map_err(|error| format!("cannot listen on {listen}: {error}"))?;
-    let door = Door::new(&config, woken)?;
-    tokio::task::spawn_local(door.clone().keep_time());
-    tokio::task::spawn_local(door.clone().tidy());
-    let sockets = config.sockets();
+    let door = Driver::new(&config, woken)?;
+    tokio::task::spawn_local(door.clone().run_timers());
+    tokio::task::spawn_local(door.clone().evict_idle_connections());
+    let sockets = config.descriptor_budget();
     let agent = watch::Sender::new(config.discovery);
-    let backoff = Backoff::new(door.site.settings.gateways, config.seed);
-    let callers = backoff.gateways();
-    tokio::task::spawn_local(control::discovery::follow(
+    let backoff = Backoff::new(door.context.settings.gateways, config.seed);
+    let callers = backoff.fleet_size();
+    tokio::task::spawn_local(control::discovery::watch_endpoints(
         door.clone(),
         agent.subscribe(),
-        config.known,
+        config.cached_endpoints,
         backoff,
     ));
-    let clients = Clients::new(door.clone(), door.site.clone(), sockets);
+    let clients = DownstreamConnections::new(door.clone(), door.context.clone(), sockets);
     tokio::task::spawn_local(clients.clone().accept(listener));
-    tokio::task::spawn_local(clients.clone().sweep());
+    tokio::task::spawn_local(clients.clone().close_expired_connections());
     let fleet = match config.fleet {
         Some(section) => {
             let (desk, most) = (
                 door.clone(),
-                runtime::capacity::client_budget(sockets).max(1),
+                runtime::capacity::client_connection_limit(sockets).max(1),
             );
-            let load = move || (desk.unanswered() * 1000 / most).min(1000) as u16;
+            let load = move || (desk.pending_requests() * 1000 / most).min(1000) as u16;
             let (pace, paced) = (section.pace, door.clone());
             let sized = move |doors: u32| {
                 if pace.dials {
-                    paced.fleet_of(doors);
+                    paced.set_dial_fleet_size(doors);
                 }
                 if pace.trials {
-                    paced.present(doors);
+                    paced.report_fleet_size(doors);
                 }
                 if pace.discovery {
                     callers.set(doors);
                 }
             };
-            let (clock, told) = (door.site.clock, door.site.settings.gateways);
+            let (clock, told) = (door.context.clock, door.context.settings.gateways);
             Some(
                 Fleet::start(
                     section,
@@ -108,22 +108,22 @@
     eprintln!("{}: serving on {bound}", config.name);
     loop {
         tokio::select! {
-            _ = stop.recv() => break,
-            _ = reload.recv() => take_up(&config.name, &agent),
+            _ = terminate.recv() => break,
+            _ = hangup.recv() => reload(&config.name, &agent),
         }
     }
     eprintln!("{}: stopping", config.name);
     if let Some(fleet) = &fleet {
         fleet.leave();
     }
-    clients.stop().await;
+    clients.shut_down().await;
     Ok(())
 }
 
 /// Re-reads the configuration after SIGHUP. Only where discovery answers can change while the program runs; what
 /// cannot be used is told, and the old goes on.
-fn take_up(name: &str, agent: &watch::Sender<SocketAddr>) {
-    match Config::told_discovery() {
+fn reload(name: &str, agent: &watch::Sender<SocketAddr>) {
+    match Config::reread_discovery_address() {
         Ok(address) => {
             eprintln!("{name}: discovery is at {address}");
             // Also where it is the same: the watch is opened anew.
--- a/src/net/runtime/budget.rs
+++ b/src/net/runtime/budget.rs
@@ -22,7 +22,7 @@
 impl Budget {
     /// The budget of a request whose first byte came at `began`, by the seconds that its client told; `None` if what was
     /// told is no time: not a number, nothing or less, or absurdly more than the `most` that its class allows.
-    pub(crate) fn told(seconds: &str, began: Millis, most: Millis) -> Option<Budget> {
+    pub(crate) fn from_header(seconds: &str, began: Millis, most: Millis) -> Option<Budget> {
         let told = 1000.0 * seconds.parse::<f64>().ok()?;
         let sane = told > 0.0 && told <= ABSURD * most;
         (sane && began.is_finite()).then(|| Budget {
@@ -36,27 +36,31 @@
     }
 
     /// What is left of it; never less than nothing.
-    pub(crate) fn left(&self, now: Millis) -> Millis {
+    pub(crate) fn remaining(&self, now: Millis) -> Millis {
         (self.end - now).max(0.0)
     }
 
     /// Whether nothing is left of it.
-    pub(crate) fn over(&self, now: Millis) -> bool {
-        self.left(now) <= 0.0
+    pub(crate) fn is_expired(&self, now: Millis) -> bool {
+        self.remaining(now) <= 0.0
     }
 
     /// The same budget, ending at `end` at the latest: with a planned stop, or with what a predecessor had granted.
-    pub(crate) fn until(&self, end: Millis) -> Budget {
+    pub(crate) fn capped_at(&self, end: Millis) -> Budget {
         Budget {
             end: self.end.min(end),
         }
     }
 
     /// The part of it that an attempt begun now may take, `limit` at most; `None` if there is nothing left to take.
-    pub(crate) fn attempt(&self, now: Millis, limit: Option<Millis>) -> Option<Allowance> {
+    pub(crate) fn attempt_deadline(
+        &self,
+        now: Millis,
+        limit: Option<Millis>,
+    ) -> Option<AttemptDeadline> {
         let until = self.end.min(now + limit.unwrap_or(f64::INFINITY));
-        (until > now).then_some(Allowance {
-            until,
+        (until > now).then_some(AttemptDeadline {
+            end: until,
             begin_before: f64::INFINITY,
         })
     }
@@ -64,21 +68,21 @@
 
 /// The part of a budget that one attempt may take.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Allowance {
-    until: Millis,
+pub(crate) struct AttemptDeadline {
+    end: Millis,
     begin_before: Millis,
 }
 
-impl Allowance {
+impl AttemptDeadline {
     /// When the attempt is given up.
-    pub(crate) fn until(&self) -> Millis {
-        self.until
+    pub(crate) fn end(&self) -> Millis {
+        self.end
     }
 
     /// The same part for an attempt that may reach its backend only before `time`, if there is one: from then on the
     /// backends may have forgotten the key of an earlier attempt, and this one would run a second time.
-    pub(crate) fn begin_before(self, time: Option<Millis>) -> Allowance {
-        Allowance {
+    pub(crate) fn begin_before(self, time: Option<Millis>) -> AttemptDeadline {
+        AttemptDeadline {
             begin_before: time.unwrap_or(f64::INFINITY),
             ..self
         }
@@ -91,13 +95,13 @@
 
     /// How long a wait for a connection may last that by itself might last `most`.
     pub(crate) fn wait(&self, now: Millis, most: Millis) -> Millis {
-        (self.begin_before.min(self.until) - now).clamp(0.0, most.max(0.0))
+        (self.begin_before.min(self.end) - now).clamp(0.0, most.max(0.0))
     }
 
     /// What a backend is told that it has, in seconds: what is left, less the way its answer takes. One that ends its
     /// work just in time for a clock of its own would be late here. At least a millisecond: nothing would be misread.
-    pub(crate) fn told(&self, now: Millis, way_back: Millis) -> String {
-        let left = self.until - now - way_back.max(0.0);
+    pub(crate) fn header_value(&self, now: Millis, way_back: Millis) -> String {
+        let left = self.end - now - way_back.max(0.0);
         // Cut, not rounded: nobody is told more than there is.
         format!("{:.3}", (left.max(1.0).floor()) / 1000.0)
     }
@@ -115,27 +119,27 @@
 /// after one came after the waking before it. Written by the runtime's own hook; a note taken before a sleep would not do,
 /// as a pause may lie between that and the look.
 #[derive(Clone, Debug)]
-pub(crate) struct Woken {
+pub(crate) struct WakeRecorder {
     start: Instant,
     noted: Arc<[AtomicU64; 3]>,
 }
 
-impl Woken {
+impl WakeRecorder {
     /// A loop that has not slept yet.
-    pub(crate) fn new() -> Woken {
-        Woken {
+    pub(crate) fn new() -> WakeRecorder {
+        WakeRecorder {
             start: Instant::now(),
             noted: Arc::default(),
         }
     }
 
     /// The instant from which it counts.
-    pub(crate) fn start(&self) -> Instant {
+    pub(crate) fn started_at(&self) -> Instant {
         self.start
     }
 
     /// The loop wakes now.
-    pub(crate) fn note(&self) {
+    pub(crate) fn record_wake(&self) {
         self.woke(u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX));
     }
 
@@ -157,7 +161,7 @@
 
 /// A time for which the loop was held up.
 #[derive(Clone, Copy, Debug)]
-struct HeldUp {
+struct Stall {
     /// When it last had nothing left to read.
     since: Millis,
     /// When that was found out, and how often the loop had slept by then.
@@ -172,22 +176,22 @@
 /// What shows it is something that runs late. That is charged until the loop has slept once more: a signal that ends a
 /// pause may end the sleep too, and the bytes are seen by the next one.
 #[derive(Debug)]
-pub(crate) struct Lag {
-    woken: Woken,
+pub(crate) struct StallMonitor {
+    woken: WakeRecorder,
     /// Where the loop's start stands on the front door's clock.
     zero: Millis,
     /// When something last ran, and when the next thing should at the latest.
     alive: Cell<Millis>,
     next: Cell<Millis>,
-    held_up: Cell<Option<HeldUp>>,
+    held_up: Cell<Option<Stall>>,
     worst: Cell<Millis>,
 }
 
-impl Lag {
+impl StallMonitor {
     /// Of a loop that wakes as `woken` tells; its start stands at `zero` on the front door's clock.
-    pub(crate) fn new(woken: Woken, zero: Millis) -> Lag {
+    pub(crate) fn new(woken: WakeRecorder, zero: Millis) -> StallMonitor {
         let (held_up, worst) = (Cell::new(None), Cell::new(0.0));
-        Lag {
+        StallMonitor {
             woken,
             zero,
             alive: Cell::new(zero),
@@ -203,7 +207,7 @@
     }
 
     /// Something that was due at `at` runs now.
-    pub(crate) fn ran(&self, at: Millis, now: Millis) {
+    pub(crate) fn timer_fired(&self, at: Millis, now: Millis) {
         self.look(now);
         if now - at > TOLERANCE {
             self.late(now);
@@ -217,7 +221,7 @@
     }
 
     /// When bytes may have come that are read now.
-    pub(crate) fn came(&self, now: Millis) -> Millis {
+    pub(crate) fn arrival_time(&self, now: Millis) -> Millis {
         self.look(now);
         self.still(now)
             .map_or(now, |held_up| held_up.since.min(now))
@@ -238,7 +242,7 @@
             .max(self.zero + self.woken.before())
             .min(now);
         let since = self.still(now).map_or(quiet, |held_up| held_up.since);
-        self.held_up.set(Some(HeldUp {
+        self.held_up.set(Some(Stall {
             since,
             found: now,
             times: self.woken.times(),
@@ -247,13 +251,13 @@
     }
 
     /// The time held up, while what waited through it may still be read.
-    fn still(&self, now: Millis) -> Option<HeldUp> {
+    fn still(&self, now: Millis) -> Option<Stall> {
         let held_up = self.held_up.get()?;
         (self.woken.times() <= held_up.times + 1 && now >= held_up.found).then_some(held_up)
     }
 
     /// The longest time for which the loop was held up since this was last asked, if it ever was.
-    pub(crate) fn take_worst(&self) -> Option<Millis> {
+    pub(crate) fn take_longest_stall(&self) -> Option<Millis> {
         Some(self.worst.replace(0.0)).filter(|worst| *worst > 0.0)
     }
 }
--- a/src/net/runtime/capacity.rs
+++ b/src/net/runtime/capacity.rs
@@ -1,10 +1,10 @@
 //! How a front door's descriptors and memory are shared out between its two sides.
 
-use crate::net::messages::BUFFER;
+use crate::net::messages::CONNECTION_BUFFER_BYTES;
 use std::time::Duration;
 
 /// Pause when the system has no descriptor for a new connection.
-pub(crate) const NO_DESCRIPTOR: Duration = Duration::from_millis(10);
+pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Descriptors kept for discovery, listening and the runtime.
 const SPARE_SOCKETS: usize = 24;
@@ -18,13 +18,13 @@
 }
 
 /// Connections to backends that there is room for, in descriptors and in `memory` bytes; a few at least.
-pub(crate) fn budget(sockets: usize, memory: usize) -> usize {
-    let within = memory / MEMORY_PART / (2 * BUFFER);
+pub(crate) fn upstream_connection_limit(sockets: usize, memory: usize) -> usize {
+    let within = memory / MEMORY_PART / (2 * CONNECTION_BUFFER_BYTES);
     descriptors(sockets).min(within.max(16))
 }
 
 /// Connections of clients that there is room for, besides: also of such that ask nothing.
-pub(crate) fn client_budget(sockets: usize) -> usize {
+pub(crate) fn client_connection_limit(sockets: usize) -> usize {
     sockets.saturating_sub(SPARE_SOCKETS) - descriptors(sockets)
 }
 
--- a/src/net/runtime/clock.rs
+++ b/src/net/runtime/clock.rs
@@ -36,7 +36,7 @@
 
 impl Skew {
     /// Whether a clock can run so.
-    pub(crate) fn sound(&self) -> bool {
+    pub(crate) fn is_valid(&self) -> bool {
         (0.1..=10.0).contains(&self.rate) && self.ahead_ms.is_finite()
     }
 }
@@ -66,13 +66,13 @@
     }
 
     /// A time of the runtime's on this clock.
-    pub(crate) fn of(&self, instant: std::time::Instant) -> Millis {
+    pub(crate) fn millis_at(&self, instant: std::time::Instant) -> Millis {
         let before = self.start.into_std().saturating_duration_since(instant);
         self.unix - before.as_secs_f64() * self.second
     }
 
     /// A time of this clock as the runtime counts it.
-    pub(crate) fn instant(&self, at: Millis) -> Instant {
+    pub(crate) fn instant_at(&self, at: Millis) -> Instant {
         let after = Duration::try_from_secs_f64((at - self.unix) / self.second).unwrap_or_default();
         self.start + after
     }
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -1,11 +1,11 @@
 //! Attempts: what goes on to a backend, what comes back, and what the end of an attempt means.
 
-use crate::net::messages::{Ended, Order};
-use crate::net::runtime::budget::Allowance;
+use crate::net::messages::{AttemptResult, UpstreamRequest};
+use crate::net::runtime::budget::AttemptDeadline;
 use crate::net::runtime::clock::Clock;
-use crate::net::upstream::pool_driver::{Line, NoConnection, Out, Pools};
-use crate::net::upstream::response::{read, Reading};
-use crate::net::upstream::send_permit::Permit;
+use crate::net::upstream::pool_driver::{AttemptHandle, NoConnection, Out, UpstreamConnections};
+use crate::net::upstream::response::{read, ResponseReader};
+use crate::net::upstream::send_permit::SendPermit;
 use cometspool::{BackendId, DeliveryMode, Outcome};
 use hyper::body::Incoming;
 use hyper::Response;
@@ -13,11 +13,11 @@
 
 /// What carries attempts to the backends.
 #[derive(Clone)]
-pub(crate) struct Transport {
+pub(crate) struct UpstreamTransport {
     /// Connections to them.
-    pub pools: Rc<Pools>,
+    pub connections: Rc<UpstreamConnections>,
     /// How their answers are read.
-    pub reading: Rc<Reading>,
+    pub response_reader: Rc<ResponseReader>,
     /// The clock.
     pub clock: Clock,
 }
@@ -25,7 +25,7 @@
 /// How a request on one connection ended.
 enum Exchange {
     /// With a whole answer.
-    Answered(Ended),
+    Answered(AttemptResult),
     /// Before it was written whole, as its permit had ended.
     NotPermitted,
     /// The connection broke before it was written whole.
@@ -37,74 +37,81 @@
 /// Carries out one attempt within its part of the request's time and tells how it ended. Whoever set the part ends it: it is
 /// dropped when the part is over.
 pub(crate) async fn attempt(
-    transport: &Transport,
+    transport: &UpstreamTransport,
     backend: BackendId,
-    order: &Order,
-    part: Allowance,
+    order: &UpstreamRequest,
+    part: AttemptDeadline,
     delivery: DeliveryMode,
-    line: &Line,
-) -> Ended {
-    let permit = Permit::new(order.client.clone(), part, transport.clock);
+    line: &AttemptHandle,
+) -> AttemptResult {
+    let permit = SendPermit::new(order.client.clone(), part, transport.clock);
     let mut broken = 0;
     loop {
         let connection = match transport.connect(backend, part, delivery, &permit).await {
             Ok(connection) => connection,
             // Refused: that says more than what broke before.
-            Err(Outcome::ConnectFailed) => return Ended::of(Outcome::ConnectFailed),
+            Err(Outcome::ConnectFailed) => {
+                return AttemptResult::without_response(Outcome::ConnectFailed)
+            }
             Err(outcome) => {
-                return Ended {
-                    broken,
-                    ..Ended::of(outcome)
+                return AttemptResult {
+                    broken_connections: broken,
+                    ..AttemptResult::without_response(outcome)
                 }
             }
         };
-        line.hold(&connection.wire);
+        line.set_connection(&connection.wire);
         let kept = connection.kept.is_some();
         match transport
             .exchange(backend, connection, order, part, delivery, &permit)
             .await
         {
-            Exchange::Answered(ended) => return Ended { broken, ..ended },
+            Exchange::Answered(ended) => {
+                return AttemptResult {
+                    broken_connections: broken,
+                    ..ended
+                }
+            }
             Exchange::NotPermitted => {
-                return Ended {
-                    broken,
-                    ..Ended::of(Outcome::NotSent)
+                return AttemptResult {
+                    broken_connections: broken,
+                    ..AttemptResult::without_response(Outcome::NotSent)
                 }
             }
             // A connection from the pool that broke before the request was whole tells little of the backend, and
             // nothing ran: the next one stands in. Each turn takes one out of the pool, so this ends.
             Exchange::BrokenUnsent if kept => broken += 1,
             Exchange::BrokenUnsent => {
-                return Ended {
-                    broken: broken + 1,
-                    ..Ended::of(Outcome::ConnectFailed)
+                return AttemptResult {
+                    broken_connections: broken + 1,
+                    ..AttemptResult::without_response(Outcome::ConnectFailed)
                 };
             }
             Exchange::BrokenSent => {
-                return Ended {
-                    broken: broken + 1,
-                    ..Ended::of(Outcome::Reset)
+                return AttemptResult {
+                    broken_connections: broken + 1,
+                    ..AttemptResult::without_response(Outcome::Reset)
                 }
             }
         }
     }
 }
 
-impl Transport {
+impl UpstreamTransport {
     /// A connection on which the attempt may begin, or how the attempt ends without one.
     async fn connect(
         &self,
         backend: BackendId,
-        part: Allowance,
+        part: AttemptDeadline,
         delivery: DeliveryMode,
-        permit: &Permit,
+        permit: &SendPermit,
     ) -> Result<Out, Outcome> {
-        let pools = &self.pools;
+        let pools = &self.connections;
         let limit = part.wait(self.clock.now(), pools.dial_timeout());
         let taken = pools.take(backend, delivery, limit).await;
         // The wait for a connection may have outlasted its client's patience, or the time in which the attempt may begin: that
         // is no fault of the backend, and the connection serves another.
-        if !permit.holds() {
+        if !permit.is_valid() {
             if let Ok(connection) = taken {
                 pools.put_back_unused(connection);
             }
@@ -128,10 +135,10 @@
         &self,
         backend: BackendId,
         mut connection: Out,
-        order: &Order,
-        part: Allowance,
+        order: &UpstreamRequest,
+        part: AttemptDeadline,
         delivery: DeliveryMode,
-        permit: &Permit,
+        permit: &SendPermit,
     ) -> Exchange {
         connection.wire.begin(
             order.body.len(),
@@ -140,20 +147,20 @@
         );
         let sent = self.send(&mut connection, order, part).await;
         let unsent = sent.is_none() && !connection.wire.whole();
-        if unsent && !permit.holds() {
+        if unsent && !permit.is_valid() {
             return Exchange::NotPermitted;
         }
         if let Some(idle) = connection.kept {
-            self.pools.learn(idle, sent.is_none());
+            self.connections.learn(idle, sent.is_none());
         }
         let received = match sent {
-            Some(answer) => read(&self.reading, answer).await,
+            Some(answer) => read(&self.response_reader, answer).await,
             None => None,
         };
         let whole = connection.wire.whole();
         // What is answered before it was written whole was answered unseen, and its connection is of no more use.
         let Some(received) =
-            received.filter(|received| whole || received.ended.outcome == Outcome::Rejected)
+            received.filter(|received| whole || received.result.outcome == Outcome::Rejected)
         else {
             return if whole {
                 Exchange::BrokenSent
@@ -162,24 +169,24 @@
             };
         };
         // A new connection's first request turned away tells of a table that is full.
-        if received.ended.outcome == Outcome::Rejected && connection.kept.is_none() {
-            self.pools.crowded(backend);
+        if received.result.outcome == Outcome::Rejected && connection.kept.is_none() {
+            self.connections.crowded(backend);
         }
         if whole && received.delimited {
-            self.pools.put_back(connection);
+            self.connections.put_back(connection);
         }
-        Exchange::Answered(received.ended)
+        Exchange::Answered(received.result)
     }
 
     /// Sends the request; nothing if the connection breaks before the head of an answer.
     async fn send(
         &self,
         connection: &mut Out,
-        order: &Order,
-        part: Allowance,
+        order: &UpstreamRequest,
+        part: AttemptDeadline,
     ) -> Option<Response<Incoming>> {
         connection.sender.ready().await.ok()?;
-        let told = part.told(self.clock.now(), self.pools.way_back());
+        let told = part.header_value(self.clock.now(), self.connections.way_back());
         connection
             .sender
             .send_request(order.request(&told))
--- a/src/net/upstream/attempt/tests.rs
+++ b/src/net/upstream/attempt/tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `backends.rs`.
 
 use super::*;
-use crate::net::messages::Presence;
+use crate::net::messages::ClientConnection;
 use crate::net::runtime::budget::Budget;
 use cometspool::settings::{self, ConnectionSettings};
 use hyper::body::Bytes;
@@ -17,24 +17,24 @@
 const SCENE: Duration = Duration::from_secs(20);
 
 /// Time that no attempt of these scenes uses up.
-fn long() -> Allowance {
+fn long() -> AttemptDeadline {
     let now = Clock::new().now();
-    Budget::told("20", now, 20_000.0)
-        .and_then(|budget| budget.attempt(now, None))
+    Budget::from_header("20", now, 20_000.0)
+        .and_then(|budget| budget.attempt_deadline(now, None))
         .expect("time")
 }
 
-fn transport() -> Transport {
+fn transport() -> UpstreamTransport {
     let links = ConnectionSettings {
         dial_timeout: 20_000.0,
         idle_timeout: 600_000.0,
         ..ConnectionSettings::default()
     };
     let told = settings::parse("extra.max_units=8").expect("settings");
-    let (clock, reading) = (Clock::new(), Rc::new(Reading::new(&told, 0)));
-    Transport {
-        pools: Rc::new(Pools::new(links, 8, 1, 1, clock)),
-        reading,
+    let (clock, reading) = (Clock::new(), Rc::new(ResponseReader::new(&told, 0)));
+    UpstreamTransport {
+        connections: Rc::new(UpstreamConnections::new(links, 8, 1, 1, clock)),
+        response_reader: reading,
         clock,
     }
 }
@@ -42,8 +42,8 @@
 #[derive(Debug)]
 struct Stays;
 
-impl Presence for Stays {
-    fn left(&self) -> bool {
+impl ClientConnection for Stays {
+    fn is_disconnected(&self) -> bool {
         false
     }
 }
@@ -52,19 +52,19 @@
 #[derive(Debug, Default)]
 struct LeavesBetween(Cell<bool>);
 
-impl Presence for LeavesBetween {
-    fn left(&self) -> bool {
+impl ClientConnection for LeavesBetween {
+    fn is_disconnected(&self) -> bool {
         self.0.replace(true)
     }
 }
 
-fn order() -> Order {
+fn order() -> UpstreamRequest {
     order_of(Rc::new(Stays))
 }
 
-fn order_of(client: Rc<dyn Presence>) -> Order {
+fn order_of(client: Rc<dyn ClientConnection>) -> UpstreamRequest {
     let value = HeaderValue::from_static("id-1");
-    Order {
+    UpstreamRequest {
         client,
         id: "id-1".into(),
         id_value: value.clone(),
@@ -112,7 +112,7 @@
             reset(fresh);
         });
         let (transport, order, id) = (transport(), order(), BackendId(1));
-        transport.pools.open(id, address, 0.0);
+        transport.connections.add_endpoint(id, address, 0.0);
         let mut ends = Vec::new();
         for _ in 0..3 {
             ends.push(
@@ -122,7 +122,7 @@
                     &order,
                     long(),
                     DeliveryMode::Once,
-                    &Line::default(),
+                    &AttemptHandle::default(),
                 )
                 .await,
             );
@@ -134,7 +134,7 @@
     });
     let told: Vec<_> = ends
         .iter()
-        .map(|end| (end.outcome, end.body.as_ref(), end.broken))
+        .map(|end| (end.outcome, end.body.as_ref(), end.broken_connections))
         .collect();
     assert_eq!(
         told,
@@ -170,18 +170,19 @@
             serve(&mut new, "on a kept one").await;
             drop(old);
         });
-        let (transport, order, id, line) = (transport(), order(), BackendId(1), Line::default());
-        transport.pools.open(id, address, 0.0);
+        let (transport, order, id, line) =
+            (transport(), order(), BackendId(1), AttemptHandle::default());
+        transport.connections.add_endpoint(id, address, 0.0);
         let send = |delivery| attempt(&transport, id, &order, long(), delivery, &line);
         for _ in 0..3 {
             assert_eq!(send(DeliveryMode::Normal).await.outcome, Outcome::Ok);
-            transport.pools.age(old);
+            transport.connections.age(old);
             assert_eq!(send(DeliveryMode::Normal).await.outcome, Outcome::Reset);
         }
         assert_eq!(send(DeliveryMode::Normal).await.body, "first");
-        transport.pools.age(old);
+        transport.connections.age(old);
         assert_eq!(send(DeliveryMode::Once).await.body, "on a new one");
-        transport.pools.age(old);
+        transport.connections.age(old);
         assert_eq!(send(DeliveryMode::Normal).await.body, "on a kept one");
         backend
             .await
@@ -200,11 +201,13 @@
         let listener = socket.listen(1).expect("a listener");
         let address = listener.local_addr().expect("an address");
         let transport = transport();
-        transport.pools.open(BackendId(1), address, 0.0);
-        let begin = |transport: &Transport| {
+        transport
+            .connections
+            .add_endpoint(BackendId(1), address, 0.0);
+        let begin = |transport: &UpstreamTransport| {
             let transport = transport.clone();
             tokio::task::spawn_local(async move {
-                let (id, line) = (BackendId(1), Line::default());
+                let (id, line) = (BackendId(1), AttemptHandle::default());
                 attempt(
                     &transport,
                     id,
@@ -244,12 +247,12 @@
             .await
             .expect("a port");
         let transport = transport();
-        transport.pools.open(
+        transport.connections.add_endpoint(
             BackendId(1),
             listener.local_addr().expect("an address"),
             0.0,
         );
-        let (order, line) = (order(), Line::default());
+        let (order, line) = (order(), AttemptHandle::default());
         let send = || {
             attempt(
                 &transport,
@@ -267,7 +270,7 @@
         }
         let (mut stream, _) = listener.accept().await.expect("the dial");
         // Told as up to the pool, too.
-        while transport.pools.idle(BackendId(1)) == 0 {
+        while transport.connections.idle(BackendId(1)) == 0 {
             tokio::task::yield_now().await;
         }
         let (ended, ()) = tokio::join!(send(), serve(&mut stream, "kept"));
@@ -286,7 +289,7 @@
             tokio::net::TcpListener::from_std(place).expect("a listener")
         });
         let addresses = [0, 1].map(|i: usize| places[i].local_addr().expect("an address"));
-        let (transport, order, line) = (transport(), order(), Line::default());
+        let (transport, order, line) = (transport(), order(), AttemptHandle::default());
         let send = || {
             attempt(
                 &transport,
@@ -299,7 +302,9 @@
         };
         let mut before: Option<TcpStream> = None;
         for (place, born) in [(0, 0.0), (0, 5.0), (1, 5.0)] {
-            transport.pools.open(BackendId(1), addresses[place], born);
+            transport
+                .connections
+                .add_endpoint(BackendId(1), addresses[place], born);
             let answer = async {
                 let (mut stream, _) = places[place].accept().await.expect("a new connection");
                 serve(&mut stream, "here").await;
@@ -325,8 +330,8 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port");
-        let (transport, order, line) = (transport(), order(), Line::default());
-        transport.pools.open(
+        let (transport, order, line) = (transport(), order(), AttemptHandle::default());
+        transport.connections.add_endpoint(
             BackendId(1),
             listener.local_addr().expect("an address"),
             0.0,
@@ -345,7 +350,7 @@
             let sent = attempt(&transport, BackendId(1), &order, long(), delivery, &line);
             let (ended, ()) = tokio::join!(sent, answer);
             assert_eq!(
-                (ended.outcome, ended.broken),
+                (ended.outcome, ended.broken_connections),
                 (Outcome::Ok, 0),
                 "{delivery:?}"
             );
@@ -361,13 +366,13 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port");
-        let (transport, order, line) = (transport(), order(), Line::default());
-        transport.pools.open(
+        let (transport, order, line) = (transport(), order(), AttemptHandle::default());
+        transport.connections.add_endpoint(
             BackendId(1),
             listener.local_addr().expect("an address"),
             0.0,
         );
-        let before = transport.pools.most(BackendId(1));
+        let before = transport.connections.most(BackendId(1));
         let answer = async {
             let (mut stream, _) = listener.accept().await.expect("a new connection");
             receive(&mut stream, b"hello").await;
@@ -385,9 +390,9 @@
         let (ended, ()) = tokio::join!(sent, answer);
         assert_eq!(ended.outcome, Outcome::Rejected);
         assert!(
-            before > 10 && transport.pools.most(BackendId(1)) == 1,
+            before > 10 && transport.connections.most(BackendId(1)) == 1,
             "{before}, {}",
-            transport.pools.most(BackendId(1))
+            transport.connections.most(BackendId(1))
         );
     });
 }
@@ -429,8 +434,8 @@
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
                 .await
                 .expect("a port");
-            let (transport, line) = (transport(), Line::default());
-            transport.pools.open(
+            let (transport, line) = (transport(), AttemptHandle::default());
+            transport.connections.add_endpoint(
                 BackendId(1),
                 listener.local_addr().expect("an address"),
                 0.0,
@@ -447,7 +452,7 @@
                 backend
             );
             assert_eq!(
-                (ended.outcome, ended.broken),
+                (ended.outcome, ended.broken_connections),
                 (Outcome::NotSent, 0),
                 "{delivery:?}"
             );
@@ -467,8 +472,8 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port");
-        let (transport, order, line) = (transport(), order(), Line::default());
-        transport.pools.open(
+        let (transport, order, line) = (transport(), order(), AttemptHandle::default());
+        transport.connections.add_endpoint(
             BackendId(1),
             listener.local_addr().expect("an address"),
             0.0,
@@ -491,7 +496,10 @@
         let (first, mut stream) = tokio::join!(send(long()), backend);
         assert_eq!(first.body, "first");
         let late = send(long().begin_before(Some(transport.clock.now()))).await;
-        assert_eq!((late.outcome, late.broken), (Outcome::NotSent, 0));
+        assert_eq!(
+            (late.outcome, late.broken_connections),
+            (Outcome::NotSent, 0)
+        );
         let (next, ()) = tokio::join!(send(long()), serve(&mut stream, "next"));
         assert_eq!(next.body, "next");
     });
--- a/src/net/upstream/pool_driver.rs
+++ b/src/net/upstream/pool_driver.rs
@@ -1,11 +1,11 @@
 //! Connections to backends: pools, how far kept ones are trusted, and how much of a request has been written.
 
-use crate::net::messages::BUFFER;
+use crate::net::messages::CONNECTION_BUFFER_BYTES;
 use crate::net::runtime::clock::Clock;
 use crate::net::upstream::connection_pool::{
     self, Bounds, DialId, Effect, LinkId, Taken, Ticket, Why,
 };
-use crate::net::upstream::send_permit::Permit;
+use crate::net::upstream::send_permit::SendPermit;
 use cometspool::settings;
 use cometspool::{BackendId, DeliveryMode, Millis};
 use http_body_util::Full;
@@ -95,7 +95,7 @@
     cautious: Cell<bool>,
     proof: RefCell<Option<Pin<Box<Sleep>>>>,
     /// What the request that is being written has to meet.
-    permit: RefCell<Option<Permit>>,
+    permit: RefCell<Option<SendPermit>>,
 }
 
 impl Wire {
@@ -115,7 +115,7 @@
     }
 
     /// A request with a body of this length is about to be written, for as long as `permit` holds.
-    pub(crate) fn begin(&self, body: usize, cautious: bool, permit: Permit) {
+    pub(crate) fn begin(&self, body: usize, cautious: bool, permit: SendPermit) {
         *self.written.borrow_mut() = Written::begin(body);
         self.cautious.set(cautious);
         self.proof.borrow_mut().take();
@@ -145,7 +145,12 @@
                 return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
             }
         }
-        let permitted = !begun || self.permit.borrow().as_ref().is_none_or(Permit::holds);
+        let permitted = !begun
+            || self
+                .permit
+                .borrow()
+                .as_ref()
+                .is_none_or(SendPermit::is_valid);
         Poll::Ready(if permitted {
             Ok(bytes.len())
         } else {
@@ -242,39 +247,39 @@
 
 /// The hold that the driver has on an attempt that is out.
 #[derive(Clone, Default)]
-pub(crate) struct Line {
+pub(crate) struct AttemptHandle {
     wire: Rc<RefCell<Option<Rc<Wire>>>>,
     task: Rc<RefCell<Option<AbortHandle>>>,
 }
 
-impl Line {
+impl AttemptHandle {
     /// Names the connection that carries the attempt.
-    pub(crate) fn hold(&self, wire: &Rc<Wire>) {
+    pub(crate) fn set_connection(&self, wire: &Rc<Wire>) {
         *self.wire.borrow_mut() = Some(wire.clone());
     }
 
     /// Names the task that carries the attempt.
-    pub(crate) fn tie(&self, task: AbortHandle) {
+    pub(crate) fn set_task(&self, task: AbortHandle) {
         *self.task.borrow_mut() = Some(task);
     }
 
     /// Whether the request has been written whole: before that, it cannot have run.
-    pub(crate) fn whole(&self) -> bool {
+    pub(crate) fn is_fully_written(&self) -> bool {
         self.wire.borrow().as_ref().is_some_and(|wire| wire.whole())
     }
 
     /// As though the request had been written whole, for a stand-in that writes nothing.
     #[cfg(test)]
-    pub(crate) fn pretend_whole(&self) {
+    pub(crate) fn pretend_fully_written(&self) {
         let written = Written {
             head_done: true,
             ..Written::default()
         };
-        self.hold(&Rc::new(Wire::new(None, written)));
+        self.set_connection(&Rc::new(Wire::new(None, written)));
     }
 
     /// Gives the attempt up: its connection is closed before this returns.
-    pub(crate) fn give_up(&self) {
+    pub(crate) fn abandon(&self) {
         if let Some(wire) = self.wire.borrow_mut().take() {
             wire.close();
         }
@@ -309,11 +314,11 @@
 }
 
 /// The connections to all backends.
-pub(crate) struct Pools {
+pub(crate) struct UpstreamConnections {
     shared: Rc<Shared>,
 }
 
-impl Pools {
+impl UpstreamConnections {
     /// No backends yet, and at most `budget` connections, for one of `doors` front doors.
     pub(crate) fn new(
         told: settings::ConnectionSettings,
@@ -321,7 +326,7 @@
         doors: u32,
         seed: u64,
         clock: Clock,
-    ) -> Pools {
+    ) -> UpstreamConnections {
         let bounds = Bounds {
             budget,
             idle_close: told.idle_timeout,
@@ -340,18 +345,18 @@
             numbers: Cell::new(0),
             round_trip: Cell::default(),
         };
-        Pools {
+        UpstreamConnections {
             shared: Rc::new(shared),
         }
     }
 
     /// Paces dials for a fleet of so many front doors from now on.
-    pub(crate) fn fleet_of(&self, doors: u32) {
+    pub(crate) fn set_fleet_size(&self, doors: u32) {
         self.shared.core.borrow_mut().fleet_of(doors);
     }
 
     /// A backend that may be sent to.
-    pub(crate) fn open(&self, id: BackendId, dial: SocketAddr, born_ms: f64) {
+    pub(crate) fn add_endpoint(&self, id: BackendId, dial: SocketAddr, born_ms: f64) {
         let mut places = self.shared.places.borrow_mut();
         let place = places.entry(id).or_insert(Place {
             dial,
@@ -373,7 +378,7 @@
     }
 
     /// A backend that wants nothing new.
-    pub(crate) fn drain(&self, id: BackendId) {
+    pub(crate) fn drain_endpoint(&self, id: BackendId) {
         if let Some(place) = self.shared.places.borrow_mut().get_mut(&id) {
             place.ready = false;
         }
@@ -382,7 +387,7 @@
     }
 
     /// A backend that is gone.
-    pub(crate) fn remove(&self, id: BackendId) {
+    pub(crate) fn remove_endpoint(&self, id: BackendId) {
         self.shared.places.borrow_mut().remove(&id);
         self.shared
             .with_core(|core, _, effects| core.forget(id, effects));
@@ -400,12 +405,12 @@
     }
 
     /// Where a backend is that may be sent to.
-    pub(crate) fn at(&self, id: BackendId) -> Option<SocketAddr> {
+    pub(crate) fn address_of(&self, id: BackendId) -> Option<SocketAddr> {
         self.shared.place(id)
     }
 
     /// When a backend says that it was born, as it was told last; 0 for long ago.
-    pub(crate) fn born(&self, id: BackendId) -> f64 {
+    pub(crate) fn started_at(&self, id: BackendId) -> f64 {
         self.shared
             .places
             .borrow()
@@ -414,7 +419,7 @@
     }
 
     /// Demand will use a backend: it gets a connection ahead of that, within `spread`.
-    pub(crate) fn ahead(&self, id: BackendId, spread: Millis) {
+    pub(crate) fn preconnect(&self, id: BackendId, spread: Millis) {
         if self.takes_new(id) {
             self.shared
                 .with_core(|core, now, effects| core.ahead(now, id, spread, effects));
@@ -539,7 +544,7 @@
     }
 
     /// Disposes of idle connections well before the backends do.
-    pub(crate) async fn tidy(&self) {
+    pub(crate) async fn evict_expired(&self) {
         loop {
             tokio::time::sleep(TIDY).await;
             self.shared.with_core(super::connection_pool::Links::tidy);
@@ -585,7 +590,7 @@
                 Effect::Fail(who, why) => self.give(who, Err(why)),
                 Effect::Close(link) => drop(self.kept.borrow_mut().remove(&link)),
                 Effect::Wake(id, at) => {
-                    let (shared, at) = (self.clone(), self.clock.instant(at));
+                    let (shared, at) = (self.clone(), self.clock.instant_at(at));
                     tokio::task::spawn_local(async move {
                         tokio::time::sleep_until(at).await;
                         shared.with_core(|core, now, effects| core.wake(now, id, effects));
@@ -672,7 +677,10 @@
         stream.set_nodelay(true)?;
         let wire = Rc::new(Wire::new(Some(stream), Written::default()));
         let io = TokioIo::new(WireIo(wire.clone()));
-        let hands = Builder::new().max_buf_size(BUFFER).handshake(io).await;
+        let hands = Builder::new()
+            .max_buf_size(CONNECTION_BUFFER_BYTES)
+            .handshake(io)
+            .await;
         let (sender, connection) = hands.map_err(|_| NoConnection::Theirs)?;
         let closing = wire.clone();
         let task = tokio::task::spawn_local(async move {
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -3,7 +3,7 @@
 //! An answer that tells its length, or comes in chunks, is whole with its last byte. One without either ends with its
 //! connection (RFC 9112, 6.3): it is whole where that is closed in order, and cut where it is reset.
 
-use crate::net::messages::{Ended, LONGEST_BODY};
+use crate::net::messages::{AttemptResult, MAX_BODY_BYTES};
 use cometspool::settings::{self, Metric, ParsedSettings};
 use cometspool::{LoadReport, Outcome};
 use http_body_util::BodyExt;
@@ -83,15 +83,15 @@
 }
 
 /// An answer that came whole.
-pub(crate) struct Received {
+pub(crate) struct ReceivedResponse {
     /// What it proves and tells.
-    pub ended: Ended,
+    pub result: AttemptResult,
     /// Whether its end shows in itself, so that its connection may carry another request.
     pub delimited: bool,
 }
 
 /// How answers are read.
-pub(crate) struct Reading {
+pub(crate) struct ResponseReader {
     /// Names of their values.
     pub names: Vec<String>,
     /// What the values are.
@@ -101,10 +101,10 @@
     budget: MemoryBudget,
 }
 
-impl Reading {
+impl ResponseReader {
     /// Reads as the settings tell, within `memory` bytes for all.
-    pub(crate) fn new(told: &ParsedSettings, memory: usize) -> Reading {
-        Reading {
+    pub(crate) fn new(told: &ParsedSettings, memory: usize) -> ResponseReader {
+        ResponseReader {
             names: told.names.metrics.clone(),
             metrics: told.report_metrics.clone(),
             max_units: told.settings.max_units,
@@ -129,7 +129,10 @@
 
 /// Reads a whole answer; `None` if its connection breaks before the end, or if it is longer than there is memory for. After
 /// 101 the connection speaks something else: that is no answer.
-pub(crate) async fn read(reading: &Reading, answer: Response<Incoming>) -> Option<Received> {
+pub(crate) async fn read(
+    reading: &ResponseReader,
+    answer: Response<Incoming>,
+) -> Option<ReceivedResponse> {
     let (head, body) = answer.into_parts();
     if head.status.is_informational() {
         return None;
@@ -138,28 +141,31 @@
         head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
     let body = read_body(&reading.budget, body).await?;
     let outcome = outcome(head.status, &head.headers);
-    let ended = Ended {
+    let ended = AttemptResult {
         outcome,
         body: if outcome == Outcome::Ok {
             body
         } else {
             Bytes::new()
         },
-        used: number(&head.headers, &API_USAGE, MOST_USAGE).map(|percent| percent / 100.0),
-        charge: number(&head.headers, &API_CHARGE, reading.max_units),
-        report: text(&head.headers, &SERVER_LOAD)
+        quota_usage: number(&head.headers, &API_USAGE, MOST_USAGE).map(|percent| percent / 100.0),
+        actual_units: number(&head.headers, &API_CHARGE, reading.max_units),
+        load_report: text(&head.headers, &SERVER_LOAD)
             .map(|text| reading.report(text))
             .unwrap_or_default(),
-        broken: 0,
+        broken_connections: 0,
     };
-    Some(Received { ended, delimited })
+    Some(ReceivedResponse {
+        result: ended,
+        delimited,
+    })
 }
 
 /// Reads a body to its end, within the bounds on one answer and on all.
 async fn read_body(budget: &MemoryBudget, body: Incoming) -> Option<Bytes> {
     match body.size_hint().exact() {
         Some(length) if length > LONGEST_ANSWER as u64 => None,
-        Some(length) if length <= LONGEST_BODY as u64 => {
+        Some(length) if length <= MAX_BODY_BYTES as u64 => {
             Some(body.collect().await.ok()?.to_bytes())
         }
         length => read_long_body(budget, body, length).await,
@@ -183,7 +189,7 @@
             continue;
         };
         let grown = held.len() + data.len();
-        let needed = if grown > LONGEST_BODY {
+        let needed = if grown > MAX_BODY_BYTES {
             grown.next_power_of_two()
         } else {
             0
--- a/src/net/upstream/response/tests.rs
+++ b/src/net/upstream/response/tests.rs
@@ -7,7 +7,7 @@
 fn a_load_report_is_read_by_its_names() {
     let names = vec!["depth".to_owned(), "load_share".to_owned()];
     let metrics = vec![Metric::Queue, Metric::Utilisation];
-    let reading = Reading {
+    let reading = ResponseReader {
         names,
         metrics,
         max_units: 8.0,
