--- a/crates/fleet-simulation/src/main.rs
+++ b/crates/fleet-simulation/src/main.rs
@@ -1,7 +1,7 @@
 //! The experiments, a subcommand each: `cometspool-fleet-simulation chain [seeds]`.
 //!
-//! Each prints a line for every seed and, below, the mean and the spread. Built with the feature `base` it plays the
-//! same days with a state of the module from before the subsystems; `experiments/compare` does both.
+//! Each prints a line for every seed and, below, the mean and the spread. `experiments/compare` runs the same scenario
+//! with the policy of an earlier commit beside it.
 
 #![forbid(unsafe_code)]
 
@@ -11,8 +11,6 @@
 use cometspool_fleet_simulation::*;
 use std::process::ExitCode;
 
-const NEW: bool = cfg!(not(feature = "base"));
-
 fn main() -> ExitCode {
     let mut words = std::env::args().skip(1);
     let (name, seeds) = (words.next().unwrap_or_default(), words.next());
@@ -46,7 +44,6 @@
 
 /// Prints a row for each seed, then mean, least and most of each column.
 fn table(columns: &[&str], seeds: u64, row: impl Fn(u64) -> Vec<f64>) {
-    println!("{}", if NEW { "state: new" } else { "state: base" });
     println!(
         "{:>6} {}",
         "seed",
@@ -217,8 +214,8 @@
         backends,
         zones: 1,
         rate: 50.0,
-        tells_less: NEW,
-        charges_lag: NEW,
+        tells_less: true,
+        charges_lag: true,
         patience: 0.5,
         pauses: Vec::new(),
         way: (1.0, 1.0),
@@ -360,8 +357,8 @@
         backends,
         zones: 2,
         rate: 7.0,
-        tells_less: NEW,
-        charges_lag: NEW,
+        tells_less: true,
+        charges_lag: true,
         patience: 0.5,
         pauses: Vec::new(),
         way: (0.2, 2.0),
--- a/crates/fleet-simulation/src/pooling.rs
+++ b/crates/fleet-simulation/src/pooling.rs
@@ -1,8 +1,7 @@
-//! The links between front doors and backends: the pools' core as it serves, and what was there before it.
+//! The links between front doors and backends: the pools' core as it serves.
 
 use cometspool::Millis;
 
-#[cfg(not(feature = "base"))]
 #[path = "../../../src/net/upstream/connection_pool.rs"]
 #[allow(dead_code, unreachable_pub, missing_docs)]
 mod links;
@@ -41,112 +40,9 @@
 /// Idle time after which a backend closes a link.
 const IDLE_CLOSE: Millis = 30_000.0;
 
-/// What was there before: an idle link, or a dial for oneself.
-#[cfg(feature = "base")]
-pub(crate) struct Pool {
-    idle: std::collections::BTreeMap<usize, Vec<(u64, Millis)>>,
-    waiting: std::collections::BTreeSet<usize>,
-    open: usize,
-}
-
-#[cfg(feature = "base")]
-impl Pool {
-    pub fn new(_doors: u32, _seed: u64) -> Pool {
-        Pool {
-            idle: Default::default(),
-            waiting: Default::default(),
-            open: 0,
-        }
-    }
-
-    pub fn take(
-        &mut self,
-        now: Millis,
-        to: usize,
-        call: usize,
-        _once: bool,
-        acts: &mut Vec<Act>,
-    ) -> Got {
-        let idle = self.idle.entry(to).or_default();
-        if let Some(place) = idle
-            .iter()
-            .rposition(|(_, since)| now - since < 0.6 * IDLE_CLOSE)
-        {
-            return Got::Kept(idle.remove(place).0);
-        }
-        if self.open >= BUDGET {
-            let Some(oldest) = self.idle.values_mut().find(|idle| !idle.is_empty()) else {
-                return Got::NoRoom;
-            };
-            acts.push(Act::Close(oldest.remove(0).0));
-            self.open -= 1;
-        }
-        self.open += 1;
-        self.waiting.insert(call);
-        acts.push(Act::Dial(to, Some(call)));
-        Got::Waits
-    }
-
-    pub fn dialled(
-        &mut self,
-        _: Millis,
-        _to: usize,
-        call: Option<usize>,
-        how: Dialled,
-        acts: &mut Vec<Act>,
-    ) {
-        let waits = call.filter(|call| self.waiting.remove(call));
-        match (how, waits) {
-            (Dialled::Up(link), Some(call)) => acts.push(Act::Give(call, link)),
-            (Dialled::Up(link), None) => {
-                self.open -= 1;
-                acts.push(Act::Close(link));
-            }
-            (Dialled::Refused, waits) => {
-                self.open -= 1;
-                acts.extend(waits.map(|call| Act::Fail(call, false)));
-            }
-        }
-    }
-
-    pub fn left(&mut self, _: Millis, _to: usize, call: usize) {
-        self.waiting.remove(&call);
-    }
-
-    pub fn freed(&mut self, now: Millis, to: usize, link: u64, _: &mut Vec<Act>) {
-        self.idle.entry(to).or_default().push((link, now));
-    }
-
-    pub fn lost(&mut self, _: Millis, _to: usize, _: &mut Vec<Act>) {
-        self.open -= 1;
-    }
-
-    pub fn gone(&mut self, to: usize, acts: &mut Vec<Act>) {
-        for (link, _) in self.idle.remove(&to).unwrap_or_default() {
-            self.open -= 1;
-            acts.push(Act::Close(link));
-        }
-    }
-
-    pub fn tidy(&mut self, now: Millis, acts: &mut Vec<Act>) {
-        for idle in self.idle.values_mut() {
-            let old = idle
-                .iter()
-                .take_while(|(_, since)| now - since >= 0.6 * IDLE_CLOSE)
-                .count();
-            self.open -= old;
-            acts.extend(idle.drain(..old).map(|(link, _)| Act::Close(link)));
-        }
-    }
-
-    pub fn wake(&mut self, _: Millis, _to: usize, _: &mut Vec<Act>) {}
-}
-
 /// The pools' core as it serves.
-#[cfg(not(feature = "base"))]
 pub(crate) struct Pool(links::Links<usize>);
 
-#[cfg(not(feature = "base"))]
 impl Pool {
     pub(crate) fn new(doors: u32, seed: u64) -> Pool {
         let (handshake_price, connection_price) = (0.02, 0.0);
@@ -245,10 +141,3 @@
         self.with(acts, |links, fx| links.wake(now, to, fx));
     }
 }
-
-#[cfg(feature = "base")]
-impl Pool {
-    pub fn silent(&mut self, to: usize, acts: &mut Vec<Act>) {
-        self.gone(to, acts);
-    }
-}
--- a/crates/fleet-simulation/src/quotas.rs
+++ b/crates/fleet-simulation/src/quotas.rs
@@ -142,11 +142,11 @@
         ledger.sent[1] / (ledger.sent[0] + ledger.sent[1]),
         ledger.price / ledger.offered,
         ledger.with_room as f64 / tries,
-        why("Box"),
-        why("Chance"),
-        why("Slice"),
+        why("PenaltyBox"),
+        why("LoadShedding"),
+        why("TokenBucket"),
         why("Ceiling"),
-        why("Room"),
+        why("NoCapacity"),
         ledger.ceiling_left,
     ]
 }
--- a/crates/fleet-simulation/src/world/clients.rs
+++ b/crates/fleet-simulation/src/world/clients.rs
@@ -198,9 +198,7 @@
             units: 1.0,
             deadline: granted,
             gateway_count: whose.map_or(1.0, |customer| customer.doors.len() as f64),
-            #[cfg(not(feature = "base"))]
             is_retry: false,
-            #[cfg(not(feature = "base"))]
             queued_for: if self.spec.charges_lag { waited } else { 0.0 },
         };
         self.notify_door(door, Event::RequestArrived(request));
--- a/crates/fleet-simulation/src/world/doors.rs
+++ b/crates/fleet-simulation/src/world/doors.rs
@@ -49,7 +49,6 @@
                     timeout: limit,
                     ..
                 } => self.send(door, request.0, backend, limit),
-                #[cfg(not(feature = "base"))]
                 Action::Reject {
                     request,
                     retry_after,
@@ -57,13 +56,6 @@
                 } => {
                     self.refused(request.0, retry_after, format!("{why:?}"));
                 }
-                #[cfg(feature = "base")]
-                Action::Refuse {
-                    request,
-                    retry_after,
-                } => {
-                    self.refused(request.0, retry_after, String::new());
-                }
                 Action::Fail(request) => self.finish(request.0, End::Failed),
                 Action::CancelAttempt { request, attempt } => {
                     let out = &self.requests[request.0 as usize].out;
@@ -85,7 +77,6 @@
                     let backend = self.by_id[&backend];
                     self.pool(door, |pool, _, acts| pool.silent(backend, acts));
                 }
-                #[cfg(not(feature = "base"))]
                 Action::Preconnect { backend, within } if self.spec.table.is_some() => {
                     let backend = self.by_id[&backend];
                     self.pool(door, |pool, now, acts| {
