--- a/crates/fleet-simulation/src/lib.rs
+++ b/crates/fleet-simulation/src/lib.rs
@@ -1,4 +1,4 @@
-//! A seeded simulation of a fleet: many front doors, each with the decision module as it serves, over backends that are
+//! A seeded simulation of a fleet: many gateways, each with the decision module as it serves, over backends that are
 //! models. Time is simulated; one seed gives one run, on any machine.
 //!
 //! What is real here is the module ([`cometspool::PolicyEngine`]) and whatever cores the experiments bring; what is modelled is stated
@@ -6,14 +6,14 @@
 
 #![forbid(unsafe_code)]
 
-mod chance;
-pub mod crowd;
+pub mod client_population;
 mod pooling;
+mod random;
 mod scenario;
-mod tally;
-mod world;
+mod simulation;
+mod statistics;
 
-pub use chance::Chance;
-pub use scenario::{BackendSpec, ClassSpec, Fault, Ill, Spec};
-pub use tally::{ColdWork, Tally};
-pub use world::{play, World};
+pub use random::RandomSource;
+pub use scenario::{BackendFault, BackendSpec, ClassSpec, FleetFault, Scenario};
+pub use simulation::{run, Simulation};
+pub use statistics::{ColdWork, RunStatistics};
--- a/crates/fleet-simulation/src/quotas.rs
+++ b/crates/fleet-simulation/src/quotas.rs
@@ -1,12 +1,12 @@
-//! The experiment on quotas: customers as the operators describe them, through three hundred front doors, on calm days and
+//! The experiment on quotas: customers as the operators describe them, through three hundred gateways, on calm days and
 //! on hard ones. Every try is held against its customer's true store.
 
 use cometspool::*;
-use cometspool_fleet_simulation::crowd::{CrowdSpec, Meter};
+use cometspool_fleet_simulation::client_population::{ClientPopulationSpec, Meter};
 use cometspool_fleet_simulation::*;
 
 /// What is played.
-pub(crate) const SCENES: [&str; 9] = [
+pub(crate) const SCENARIOS: [&str; 9] = [
     "calm", "silent", "late", "absurd", "moving", "rolling", "killed", "flood", "few",
 ];
 
@@ -14,15 +14,15 @@
 pub(crate) const COLUMNS: [&str; 11] = [
     "net worth",
     "served within",
-    "beyond, of sent",
-    "price",
-    "refused, room",
-    "box",
-    "chance",
-    "slice",
+    "over quota, sent",
+    "over-quota cost",
+    "rejected, room",
+    "penalty box",
+    "load shedding",
+    "token bucket",
     "ceiling",
-    "no room",
-    "ceiling left",
+    "no capacity",
+    "ceiling margin",
 ];
 
 /// The plans of the service: many small customers, such as earn beyond their quota too, and few great ones with a ceiling.
@@ -59,94 +59,95 @@
     ]
 }
 
-/// 300 front doors (three in `few`) at half of what their backends can do within the quotas. The meter falls silent, tells
-/// its figures 5 s late or nonsense; customers move all of their traffic from door to door; front doors are restarted a
+/// 300 gateways (three in `few`) at half of what their backends can do within the quotas. The meter falls silent, tells
+/// its figures 5 s late or nonsense; customers move all of their traffic from gateway to gateway; gateways are restarted a
 /// tenth at a time or seven in ten at once, under a flood; one customer asks for a quarter of all traffic on top.
-fn day(scene: &str, seed: u64) -> Spec {
-    let doors: u32 = if scene == "few" { 3 } else { 300 };
+fn scenario(scene: &str, seed: u64) -> Scenario {
+    let gateways: u32 = if scene == "few" { 3 } else { 300 };
     let backends = if scene == "few" { 12 } else { 140 };
     let rate = 0.5 * backends as f64 * 4000.0 / 208.0;
     let flood = |plan| Some((plan, 0.25, 8_000.0, 20_000.0));
-    let crowd = CrowdSpec {
-        rate,
-        shares: vec![0.4, 0.3, 0.3],
-        spread: (0.66, 1.0),
-        skew: if scene == "moving" {
+    let clients = ClientPopulationSpec {
+        units_per_second: rate,
+        plan_shares: vec![0.4, 0.3, 0.3],
+        gateway_fraction: (0.66, 1.0),
+        weight_exponent: if scene == "moving" {
             (6.0, 6.0)
         } else {
             (0.3, 1.5)
         },
-        shift: if scene == "moving" {
+        weight_lifetime: if scene == "moving" {
             (3_000.0, 6_000.0)
         } else {
             (9_400.0, 22_000.0)
         },
-        kinds: (0.16, 0.08, 0.18),
+        usage_shares: (0.16, 0.08, 0.18),
         flood: if matches!(scene, "flood" | "few" | "killed") {
             flood(2)
         } else {
             None
         },
-        late: if scene == "late" {
+        meter_delay: if scene == "late" {
             (5_000.0, 6_400.0)
         } else {
             (420.0, 1_400.0)
         },
         meter: match scene {
             "silent" => Meter::Silent,
-            "absurd" => Meter::Absurd,
-            _ => Meter::True,
+            "absurd" => Meter::Nonsense,
+            _ => Meter::Accurate,
         },
-        again: (2, 300.0),
+        retries: (2, 300.0),
     };
-    let restart = |from: f64, step: f64, doors: u32| {
-        (0..doors).map(move |door| {
+    let restart = |from: f64, step: f64, gateways: u32| {
+        (0..gateways).map(move |gateway| {
             (
-                from + step * f64::from(door / 30),
-                Fault::Restart(door as usize),
+                from + step * f64::from(gateway / 30),
+                FleetFault::RestartGateway(gateway as usize),
             )
         })
     };
     let faults = match scene {
-        "rolling" => restart(6_000.0, 1_500.0, doors).collect(),
-        "killed" => restart(12_000.0, 0.0, doors * 7 / 10).collect(),
+        "rolling" => restart(6_000.0, 1_500.0, gateways).collect(),
+        "killed" => restart(12_000.0, 0.0, gateways * 7 / 10).collect(),
         _ => Vec::new(),
     };
     let settings = Settings {
         plans: plans(),
         meter_period: 500.0,
-        ..super::settings(doors)
+        ..super::settings(gateways)
     };
     let base = super::pools(seed);
     let backends = vec![BackendSpec::default(); backends];
-    Spec {
+    Scenario {
         settings,
         backends,
         zones: 1,
-        length: 26_000.0,
-        table: None,
+        duration: 26_000.0,
+        max_connections_per_backend: None,
         faults,
-        crowd: Some(crowd),
+        clients: Some(clients),
         ..base
     }
 }
 
 /// Plays a day.
 pub(crate) fn row(scene: &str, seed: u64) -> Vec<f64> {
-    let ledger = play(day(scene, seed)).ledger;
-    let tries = ledger.tries as f64;
-    let why = |name: &str| ledger.why.get(name).copied().unwrap_or(0) as f64 / tries;
+    let ledger = run(scenario(scene, seed)).quota_account;
+    let tries = ledger.attempts as f64;
+    let why =
+        |name: &str| ledger.rejections_by_reason.get(name).copied().unwrap_or(0) as f64 / tries;
     vec![
-        ledger.net(),
+        ledger.net_worth(),
         ledger.served / ledger.offered,
-        ledger.sent[1] / (ledger.sent[0] + ledger.sent[1]),
-        ledger.price / ledger.offered,
-        ledger.with_room as f64 / tries,
+        ledger.units_sent[1] / (ledger.units_sent[0] + ledger.units_sent[1]),
+        ledger.over_quota_cost / ledger.offered,
+        ledger.rejected_within_quota as f64 / tries,
         why("PenaltyBox"),
         why("LoadShedding"),
         why("TokenBucket"),
         why("Ceiling"),
         why("NoCapacity"),
-        ledger.ceiling_left,
+        ledger.min_ceiling_margin,
     ]
 }
--- a/crates/fleet-simulation/src/world/attempts.rs
+++ b/crates/fleet-simulation/src/simulation/attempts.rs
@@ -1,81 +1,96 @@
-//! Attempts of front doors at backends, and the calls that backends make below them.
+//! Attempts of gateways at backends, and the calls that backends make below them.
 
 use super::clients::End;
-use super::schedule::SimEvent;
-use super::World;
-use crate::scenario::Ill;
+use super::event_queue::SimEvent;
+use super::Simulation;
+use crate::scenario::BackendFault;
 use cometspool::{AttemptCompleted, BackendId, Event, LoadReport, Millis, Outcome, RequestId};
 
-/// An attempt of a front door, or a call of one backend to another.
+/// An attempt of a gateway, or a call of one backend to another.
 pub(super) struct Call {
     /// The request that it serves.
     pub(super) request: u32,
-    /// The front door's number of it, or the call of another backend that it is part of.
+    /// The gateway's number of it, or the call of another backend that it is part of.
     pub(super) from: Result<(usize, u32), usize>,
     pub(super) backend: usize,
     pub(super) sent: Millis,
     /// What the backend was told that it has, as a time.
-    pub(super) until: Millis,
+    pub(super) deadline: Millis,
     pub(super) work: f64,
     /// Work done for it, and below it.
     pub(super) done: f64,
     pub(super) settled: bool,
     pub(super) working: bool,
     pub(super) reached: bool,
-    /// Where it stands: without links, waiting for one, or on one.
-    pub(super) link: Option<u64>,
-    pub(super) waits: bool,
+    /// Where it stands: without connections, waiting for one, or on one.
+    pub(super) connection: Option<u64>,
+    pub(super) waits_for_connection: bool,
 }
 
-impl World {
-    pub(super) fn send(&mut self, door: usize, request: u32, to: BackendId, limit: Option<Millis>) {
+impl Simulation {
+    pub(super) fn send(
+        &mut self,
+        gateway: usize,
+        request: u32,
+        to: BackendId,
+        limit: Option<Millis>,
+    ) {
         let asked = &mut self.requests[request as usize];
-        let number = asked.sends;
-        asked.sends += 1;
-        // Its client's own time, or what a front door that stood still takes for it, ends it; the latter when it is told.
+        let number = asked.sent_attempts;
+        asked.sent_attempts += 1;
+        // Its client's own time, or what a gateway that stood still takes for it, ends it; the latter when it is told.
         let limit = limit.unwrap_or(asked.deadline - self.now);
         let work = asked.work;
         let backend = self.by_id[&to];
         let call = self.calls.len();
-        self.requests[request as usize].out.push(call);
+        self.requests[request as usize].in_flight.push(call);
         let (worth, customer, now) = (
             self.worth(request),
             self.requests[request as usize].customer,
             self.now,
         );
-        if let Some(crowd) = &mut self.crowd {
+        if let Some(clients) = &mut self.clients {
             if number == 0 {
-                self.requests[request as usize].inside = crowd.sent_on(customer, now, worth);
+                self.requests[request as usize].within_quota =
+                    clients.record_forwarded(customer, now, worth);
             }
-            crowd.all[customer].out += 1;
+            clients.customers[customer].attempts_in_flight += 1;
         }
-        let delay = self.one_way_delay(self.doors[door].zone, self.backends[backend].spec.zone);
-        let until = self.now + limit - if self.spec.tells_less { delay } else { 0.0 };
-        self.tally.sends += 1;
+        let delay = self.one_way_delay(
+            self.gateways[gateway].zone,
+            self.backends[backend].spec.zone,
+        );
+        let until = self.now + limit
+            - if self.scenario.deducts_network_delay {
+                delay
+            } else {
+                0.0
+            };
+        self.statistics.attempts += 1;
         if number == 0 {
-            self.tally.firsts += 1;
-            let impaired = self.is_impaired(door, backend);
+            self.statistics.first_attempts += 1;
+            let impaired = self.is_impaired(gateway, backend);
             let _ = self.current_second();
-            let entry = self.tally.to_ill.last_mut().expect("a second");
+            let entry = self.statistics.to_faulty.last_mut().expect("a second");
             *entry = (entry.0 + 1, entry.1 + u64::from(impaired));
         }
-        if self.doors[door].zone != self.backends[backend].spec.zone {
-            self.tally.crossings += 1;
+        if self.gateways[gateway].zone != self.backends[backend].spec.zone {
+            self.statistics.cross_zone_attempts += 1;
         }
-        self.call(request, Ok((door, number)), backend, until, work);
+        self.call(request, Ok((gateway, number)), backend, until, work);
         let second = (self.now / 1000.0) as usize;
-        let sent = &mut self.tally.sent_to[backend];
+        let sent = &mut self.statistics.attempts_by_backend[backend];
         sent.resize(sent.len().max(second + 1), 0);
         sent[second] += 1;
-        self.schedule(self.now + limit, SimEvent::TimeOut(call));
-        if self.spec.table.is_some() {
-            self.take_link(call);
+        self.schedule(self.now + limit, SimEvent::AttemptTimeout(call));
+        if self.scenario.max_connections_per_backend.is_some() {
+            self.check_out_connection(call);
         } else {
             self.transmit(call);
         }
     }
 
-    /// Notes a call, of a front door or of a backend, to a backend.
+    /// Notes a call, of a gateway or of a backend, to a backend.
     pub(super) fn call(
         &mut self,
         request: u32,
@@ -90,49 +105,55 @@
             from,
             backend,
             sent: self.now,
-            until,
+            deadline: until,
             work,
             done: 0.0,
             settled: false,
             working: false,
             reached: false,
-            link: None,
-            waits: false,
+            connection: None,
+            waits_for_connection: false,
         });
     }
 
-    /// An attempt goes out, on its link if these are modelled.
+    /// An attempt goes out, on its connection if these are modelled.
     pub(super) fn transmit(&mut self, call: usize) {
-        let (Ok((door, _)), backend) = (self.calls[call].from, self.calls[call].backend) else {
+        let (Ok((gateway, _)), backend) = (self.calls[call].from, self.calls[call].backend) else {
             return;
         };
-        let delay = self.one_way_delay(self.doors[door].zone, self.backends[backend].spec.zone);
-        if !self.reaches(self.doors[door].zone, self.backends[backend].spec.zone) {
+        let delay = self.one_way_delay(
+            self.gateways[gateway].zone,
+            self.backends[backend].spec.zone,
+        );
+        if !self.reaches(
+            self.gateways[gateway].zone,
+            self.backends[backend].spec.zone,
+        ) {
             return;
         }
-        match self.backends[backend].spec.ill {
-            Ill::Dead => self.schedule(
+        match self.backends[backend].spec.fault {
+            BackendFault::Crashed => self.schedule(
                 self.now + 2.0 * delay,
-                SimEvent::Back(call, Outcome::ConnectFailed),
+                SimEvent::AttemptEnded(call, Outcome::ConnectFailed),
             ),
-            Ill::Silent => {}
-            _ => self.schedule(self.now + delay, SimEvent::Begin(call)),
+            BackendFault::Silent => {}
+            _ => self.schedule(self.now + delay, SimEvent::RequestAtBackend(call)),
         }
     }
 
-    /// An attempt of a front door ends for it, or a call for the backend that made it.
+    /// An attempt of a gateway ends for it, or a call for the backend that made it.
     pub(super) fn settle(&mut self, call: usize, outcome: Outcome) {
         if std::mem::replace(&mut self.calls[call].settled, true) {
             return;
         }
         self.abandon(call, outcome);
-        self.leave_link(call, outcome);
+        self.return_connection(call, outcome);
         let (request, backend, sent) = (
             self.calls[call].request,
             self.calls[call].backend,
             self.calls[call].sent,
         );
-        let (door, number) = match self.calls[call].from {
+        let (gateway, number) = match self.calls[call].from {
             Ok(from) => from,
             Err(above) => {
                 // The backend above answers with what it got, and has its core back.
@@ -150,16 +171,18 @@
         let customer = asked.customer;
         let told = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
         let (now, mut use_of_quota) = (self.now, None);
-        if let Some(crowd) = &mut self.crowd {
-            crowd.all[customer].out -= 1;
+        if let Some(clients) = &mut self.clients {
+            clients.customers[customer].attempts_in_flight -= 1;
             use_of_quota = if told {
-                crowd.use_told(customer, now, &mut self.chance)
+                clients.reported_usage(customer, now, &mut self.random)
             } else {
                 None
             };
         }
-        asked.out.retain(|out| *out != call);
-        asked.first_ok.get_or_insert(outcome == Outcome::Ok);
+        asked.in_flight.retain(|out| *out != call);
+        asked
+            .first_attempt_succeeded
+            .get_or_insert(outcome == Outcome::Ok);
         if outcome == Outcome::Ok {
             self.finish(request, End::Served);
         }
@@ -176,7 +199,7 @@
             load_report: LoadReport::default(),
             broken_connections: 0,
         };
-        self.notify_door(door, Event::AttemptCompleted(settled));
+        self.notify_gateway(gateway, Event::AttemptCompleted(settled));
     }
 
     /// Whoever gave an attempt up closes its connection: what still waits for a core is dropped.
--- a/crates/fleet-simulation/src/world/backends.rs
+++ b/crates/fleet-simulation/src/simulation/backends.rs
@@ -1,9 +1,9 @@
 //! The backends: their queues, their cores, and how warm they are.
 
-use super::schedule::SimEvent;
-use super::World;
-use crate::scenario::{BackendSpec, Ill};
-use crate::tally::ColdWork;
+use super::event_queue::SimEvent;
+use super::Simulation;
+use crate::scenario::{BackendFault, BackendSpec};
+use crate::statistics::ColdWork;
 use cometspool::{Availability, BackendEntry, BackendId, CellId, Outcome, ZoneId};
 use std::collections::VecDeque;
 
@@ -17,37 +17,37 @@
     pub(super) waiting: VecDeque<usize>,
     working: usize,
     /// Work that came in, by tenth of a second, for the load that a cold one is put under.
-    came: VecDeque<(u64, f64)>,
-    pub(super) links: usize,
-    /// Front doors that have been told of its last start.
-    pub(super) told: Vec<bool>,
+    work_by_tenth: VecDeque<(u64, f64)>,
+    pub(super) open_connections: usize,
+    /// gateways that have been told of its last start.
+    pub(super) knows_start: Vec<bool>,
 }
 
-impl World {
+impl Simulation {
     pub(super) fn add_backend(&mut self, spec: BackendSpec) -> usize {
         // Ids are strewn as those of hashed names are; two alike would be one backend.
-        let mut id = BackendId(self.chance.word());
+        let mut id = BackendId(self.random.next_u32());
         while self.by_id.contains_key(&id) {
-            id = BackendId(self.chance.word());
+            id = BackendId(self.random.next_u32());
         }
         self.by_id.insert(id, self.backends.len());
-        self.tally.peaks.push(0);
-        self.tally.sent_to.push(Vec::new());
-        self.tally.cold_work.push(Vec::new());
-        self.tally
-            .lives
-            .push((spec.started.unwrap_or(f64::NEG_INFINITY), f64::INFINITY));
+        self.statistics.peak_connections.push(0);
+        self.statistics.attempts_by_backend.push(Vec::new());
+        self.statistics.cold_work.push(Vec::new());
+        self.statistics
+            .incarnations
+            .push((spec.started_at.unwrap_or(f64::NEG_INFINITY), f64::INFINITY));
         let (waiting, came) = (VecDeque::new(), VecDeque::new());
         // Only whoever is told of a new id sends to it.
-        let told = vec![true; self.doors.len()];
+        let told = vec![true; self.gateways.len()];
         self.backends.push(Backend {
             spec,
             id,
             waiting,
             working: 0,
-            came,
-            links: 0,
-            told,
+            work_by_tenth: came,
+            open_connections: 0,
+            knows_start: told,
         });
         self.backends.len() - 1
     }
@@ -59,22 +59,22 @@
             zone: ZoneId(node.spec.zone),
             cell: CellId(node.spec.zone),
             availability,
-            started_at: node.spec.started,
+            started_at: node.spec.started_at,
             weight: 1.0,
         }
     }
 
-    pub(super) fn is_impaired(&self, door: usize, backend: usize) -> bool {
+    pub(super) fn is_impaired(&self, gateway: usize, backend: usize) -> bool {
         let spec = &self.backends[backend].spec;
         // An error now and then is no illness.
-        let well =
-            matches!(spec.ill, Ill::No) || matches!(spec.ill, Ill::Errors(part) if part < 0.1);
-        !well || !self.reaches(self.doors[door].zone, spec.zone)
+        let well = matches!(spec.fault, BackendFault::None)
+            || matches!(spec.fault, BackendFault::Errors(part) if part < 0.1);
+        !well || !self.reaches(self.gateways[gateway].zone, spec.zone)
     }
 
-    fn warmth(&self, node: usize) -> f64 {
-        let (from, time) = self.spec.cold;
-        match self.backends[node].spec.started {
+    fn slow_start_fraction(&self, node: usize) -> f64 {
+        let (from, time) = self.scenario.slow_start;
+        match self.backends[node].spec.started_at {
             None => 1.0,
             Some(at) => from + (1.0 - from) * ((self.now - at) / time).clamp(0.0, 1.0),
         }
@@ -82,19 +82,19 @@
 
     pub(super) fn begin(&mut self, call: usize) {
         let node = self.calls[call].backend;
-        if matches!(self.backends[node].spec.ill, Ill::Silent) {
+        if matches!(self.backends[node].spec.fault, BackendFault::Silent) {
             return;
         }
         self.calls[call].reached = true;
-        let from = self.calls[call].from.ok().map(|(door, _)| door);
+        let from = self.calls[call].from.ok().map(|(gateway, _)| gateway);
         self.record_load(node, from, self.calls[call].work);
-        if let Ill::Errors(part) = self.backends[node].spec.ill {
-            if self.chance.even() < part {
+        if let BackendFault::Errors(part) = self.backends[node].spec.fault {
+            if self.random.uniform() < part {
                 self.answer(call, Outcome::Error);
                 return;
             }
         }
-        if self.backends[node].waiting.len() >= self.backends[node].spec.room {
+        if self.backends[node].waiting.len() >= self.backends[node].spec.queue_capacity {
             self.answer(call, Outcome::Rejected);
             return;
         }
@@ -102,13 +102,13 @@
         self.start_work(node);
     }
 
-    /// Notes the load that a backend is put under, by a front door or another backend, against what it can do.
+    /// Notes the load that a backend is put under, by a gateway or another backend, against what it can do.
     pub(super) fn record_load(&mut self, node: usize, from: Option<usize>, work: f64) {
-        let told = from.is_none_or(|door| self.backends[node].told[door]);
-        let (tenth, warmth) = ((self.now / 100.0) as u64, self.warmth(node));
+        let told = from.is_none_or(|gateway| self.backends[node].knows_start[gateway]);
+        let (tenth, warmth) = ((self.now / 100.0) as u64, self.slow_start_fraction(node));
         let spec = &self.backends[node].spec;
         let able = warmth * spec.cores as f64 * spec.speed * 100.0 * LOAD_TENTHS as f64;
-        let came = &mut self.backends[node].came;
+        let came = &mut self.backends[node].work_by_tenth;
         match came.back_mut() {
             Some((last, sum)) if *last == tenth => *sum += work,
             _ => came.push_back((tenth, work)),
@@ -121,11 +121,11 @@
         }
         if warmth < 1.0 {
             let load = came.iter().map(|(_, work)| work).sum::<f64>() / able;
-            self.tally.peak_over_capacity = self.tally.peak_over_capacity.max(load);
-            self.tally.cold_work[node].push(ColdWork {
+            self.statistics.peak_over_capacity = self.statistics.peak_over_capacity.max(load);
+            self.statistics.cold_work[node].push(ColdWork {
                 at: self.now,
                 work,
-                told,
+                sender_knew_start: told,
             });
         }
     }
@@ -135,49 +135,54 @@
             let Some(call) = self.backends[node].waiting.pop_front() else {
                 return;
             };
-            if self.backends[node].spec.drops_expired && self.now >= self.calls[call].until {
+            if self.backends[node].spec.drops_expired && self.now >= self.calls[call].deadline {
                 continue;
             }
             self.backends[node].working += 1;
             self.calls[call].working = true;
             let spec = &self.backends[node].spec;
-            let slow = if let Ill::Slow(times) = spec.ill {
+            let slow = if let BackendFault::Slow(times) = spec.fault {
                 times
             } else {
                 1.0
             };
-            let takes = self.calls[call].work * slow / (spec.speed * self.warmth(node));
-            self.schedule(self.now + takes, SimEvent::Worked(call));
+            let takes =
+                self.calls[call].work * slow / (spec.speed * self.slow_start_fraction(node));
+            self.schedule(self.now + takes, SimEvent::WorkCompleted(call));
         }
     }
 
-    pub(super) fn worked(&mut self, call: usize) {
+    pub(super) fn complete_work(&mut self, call: usize) {
         let node = self.calls[call].backend;
         self.calls[call].done += self.calls[call].work;
-        let next = self.backends[node].spec.next.clone();
+        let next = self.backends[node].spec.next_tier.clone();
         if next.is_empty() {
             self.release_core(node);
             self.answer(call, Outcome::Ok);
             return;
         }
         // The core is held until the call below is answered. It is told what is left, less the way.
-        let to = next[self.chance.below(next.len())];
+        let to = next[self.random.below(next.len())];
         let delay = self.one_way_delay(self.backends[node].spec.zone, self.backends[to].spec.zone);
-        let less = if self.spec.tells_less { delay } else { 0.0 };
+        let less = if self.scenario.deducts_network_delay {
+            delay
+        } else {
+            0.0
+        };
         let (until, request, work) = (
-            self.calls[call].until - less,
+            self.calls[call].deadline - less,
             self.calls[call].request,
             self.calls[call].work,
         );
-        if self.now >= self.calls[call].until {
+        if self.now >= self.calls[call].deadline {
             self.release_core(node);
             self.answer(call, Outcome::Error);
             return;
         }
         let below = self.calls.len();
         self.call(request, Err(call), to, until, work);
-        self.schedule(self.calls[call].until, SimEvent::TimeOut(below));
-        self.schedule(self.now + delay, SimEvent::Begin(below));
+        self.schedule(self.calls[call].deadline, SimEvent::AttemptTimeout(below));
+        self.schedule(self.now + delay, SimEvent::RequestAtBackend(below));
     }
 
     pub(super) fn release_core(&mut self, node: usize) {
@@ -189,13 +194,13 @@
     pub(super) fn answer(&mut self, call: usize, outcome: Outcome) {
         let zone = self.backends[self.calls[call].backend].spec.zone;
         let to = match self.calls[call].from {
-            Ok((door, _)) => self.doors[door].zone,
+            Ok((gateway, _)) => self.gateways[gateway].zone,
             Err(above) => self.backends[self.calls[above].backend].spec.zone,
         };
         if self.reaches(zone, to) {
             self.schedule(
                 self.now + self.one_way_delay(zone, to),
-                SimEvent::Back(call, outcome),
+                SimEvent::AttemptEnded(call, outcome),
             );
         }
     }
--- a/crates/fleet-simulation/src/world/schedule.rs
+++ b/crates/fleet-simulation/src/simulation/event_queue.rs
@@ -1,6 +1,6 @@
 //! What is due in simulated time, in the order of its time; of two for one time, the one set first comes first.
 
-use super::World;
+use super::Simulation;
 use cometspool::{BackendEntry, Millis, Outcome, TimerId};
 use std::cmp::{Ordering, Reverse};
 
@@ -9,30 +9,30 @@
 pub(super) enum SimEvent {
     Arrive(usize),
     /// A customer's next request is due, or its rate changes.
-    Ask(usize, bool),
+    CustomerRequest(usize, bool),
     /// A client comes again after a refusal of this try.
-    Again(u32),
-    /// A front door reads a request.
-    Read(u32),
-    Alarm(usize, TimerId),
+    Retry(u32),
+    /// A gateway reads a request.
+    RequestReceived(u32),
+    PolicyTimer(usize, TimerId),
     /// An attempt's last byte comes to its backend.
-    Begin(usize),
+    RequestAtBackend(usize),
     /// A core has done the work of an attempt.
-    Worked(usize),
+    WorkCompleted(usize),
     /// An answer comes to whoever sent the attempt.
-    Back(usize, Outcome),
-    TimeOut(usize),
+    AttemptEnded(usize, Outcome),
+    AttemptTimeout(usize),
     Deadline(u32),
-    /// A front door sees that a client has gone.
-    Gone(u32),
-    Told(usize, Vec<BackendEntry>),
+    /// A gateway sees that a client has gone.
+    ClientDisconnected(u32),
+    EndpointsChanged(usize, Vec<BackendEntry>),
     Fault(usize),
-    /// A dial of a front door to a backend, for a call or for nobody: whether it is answered, and how.
-    Dialled(usize, usize, Option<usize>, bool),
-    /// A call has waited for a link for as long as a dial may take.
-    Waited(usize),
-    Tidy(usize),
-    Wake(usize, usize),
+    /// A dial of a gateway to a backend, for a call or for nobody: whether it is answered, and how.
+    DialCompleted(usize, usize, Option<usize>, bool),
+    /// A call has waited for a connection for as long as a dial may take.
+    CheckoutTimeout(usize),
+    EvictExpired(usize),
+    PoolWake(usize, usize),
 }
 
 /// An entry of the heap.
@@ -64,7 +64,7 @@
 
 impl Eq for Scheduled {}
 
-impl World {
+impl Simulation {
     pub(super) fn schedule(&mut self, at: Millis, event: SimEvent) {
         self.order += 1;
         self.queue.push(Reverse(Scheduled {
--- a/crates/fleet-simulation/src/world/network.rs
+++ b/crates/fleet-simulation/src/simulation/network.rs
@@ -1,19 +1,19 @@
 //! The network: who reaches whom, and how long one way takes.
 
-use super::World;
+use super::Simulation;
 use cometspool::Millis;
 
-impl World {
+impl Simulation {
     pub(super) fn one_way_delay(&self, from: u32, to: u32) -> Millis {
         if from == to {
-            self.spec.way.0
+            self.scenario.one_way_delays.0
         } else {
-            self.spec.way.1
+            self.scenario.one_way_delays.1
         }
     }
 
     pub(super) fn reaches(&self, from: u32, to: u32) -> bool {
-        let cut = |zone| self.cut.get(&zone).copied().unwrap_or(false);
+        let cut = |zone| self.partitioned_zones.get(&zone).copied().unwrap_or(false);
         from == to || !(cut(from) || cut(to))
     }
 }
--- a/crates/fleet-simulation/src/world/figures.rs
+++ b/crates/fleet-simulation/src/simulation/statistics.rs
@@ -1,39 +1,42 @@
 //! The sums of a run: worth by second, and at the end the work that was of use and that which was wasted.
 
 use super::clients::ClientRequest;
-use super::World;
-use crate::tally::Tally;
+use super::Simulation;
+use crate::statistics::RunStatistics;
 
-impl World {
+impl Simulation {
     pub(super) fn current_second(&mut self) -> &mut (f64, f64) {
         let second = (self.now / 1000.0) as usize;
-        if self.tally.by_second.len() <= second {
-            self.tally.by_second.resize(second + 1, (0.0, 0.0));
-            self.tally.to_ill.resize(second + 1, (0, 0));
+        if self.statistics.worth_by_second.len() <= second {
+            self.statistics
+                .worth_by_second
+                .resize(second + 1, (0.0, 0.0));
+            self.statistics.to_faulty.resize(second + 1, (0, 0));
         }
-        &mut self.tally.by_second[second]
+        &mut self.statistics.worth_by_second[second]
     }
 
-    pub(super) fn into_tally(mut self) -> Tally {
-        if let Some(crowd) = &self.crowd {
-            self.tally.ledger = crowd.ledger.clone();
+    pub(super) fn into_tally(mut self) -> RunStatistics {
+        if let Some(clients) = &self.clients {
+            self.statistics.quota_account = clients.account.clone();
         }
         for asked in &self.requests {
             let mut done = 0.0;
             for call in &asked.calls {
                 done += self.calls[*call].done;
             }
-            self.tally.work += done;
+            self.statistics.work += done;
             // One good answer in time is worth one run of the work at each backend on its way; the rest is waste.
             let useful = if asked.served_in_time {
                 self.useful(asked)
             } else {
                 0.0
             };
-            self.tally.wasted += done - useful;
-            self.tally.first_failed += u64::from(asked.first_ok == Some(false));
+            self.statistics.wasted_work += done - useful;
+            self.statistics.failed_first_attempts +=
+                u64::from(asked.first_attempt_succeeded == Some(false));
         }
-        self.tally
+        self.statistics
     }
 
     /// Work on the way to the first attempt that came to its end: its own and what it called.
--- a/crates/fleet-simulation/src/tally.rs
+++ b/crates/fleet-simulation/src/statistics.rs
@@ -1,57 +1,57 @@
 //! The figures of a run.
 
-use crate::crowd::Ledger;
+use crate::client_population::QuotaAccount;
 use cometspool::Millis;
 
 /// What a run gave.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct RunStatistics {
     /// Requests of clients.
-    pub asked: u64,
+    pub requests: u64,
     /// Their worth, and the worth of those served within their aims.
-    pub worth: f64,
+    pub requested_worth: f64,
     /// Worth served in time.
-    pub served: f64,
+    pub served_worth: f64,
     /// Requests served, refused at once and failed.
     pub ends: [u64; 3],
     /// Requests that failed after their aim had passed or more than half of their time had.
     pub late_failures: u64,
     /// Attempts sent, first ones among them.
-    pub sends: u64,
+    pub attempts: u64,
     /// First attempts.
-    pub firsts: u64,
+    pub first_attempts: u64,
     /// First attempts that did not come to a good answer.
-    pub first_failed: u64,
+    pub failed_first_attempts: u64,
     /// Work that backends did, and the part of it for attempts that served nobody in time.
     pub work: f64,
     /// Wasted work.
-    pub wasted: f64,
+    pub wasted_work: f64,
     /// Worth asked and served by second.
-    pub by_second: Vec<(f64, f64)>,
+    pub worth_by_second: Vec<(f64, f64)>,
     /// First attempts by second, and those of them to backends that were ill or cut off.
-    pub to_ill: Vec<(u64, u64)>,
+    pub to_faulty: Vec<(u64, u64)>,
     /// Highest load put on a backend in 2 s, over what it could do in them.
     pub peak_over_capacity: f64,
     /// Attempts that crossed zones.
-    pub crossings: u64,
-    /// Times that a front door set a backend aside: one that is well, and one that is ill or cut off.
+    pub cross_zone_attempts: u64,
+    /// Times that a gateway set a backend aside: one that is well, and one that is ill or cut off.
     pub set_aside: [u64; 2],
     /// Dials, and those of them that a full table refused.
     pub dials: u64,
     /// Dials refused by a full table.
-    pub crowded: u64,
+    pub refused_dials: u64,
     /// Dials by second.
     pub dials_by_second: Vec<u32>,
-    /// Most links open at once at each backend.
-    pub peaks: Vec<usize>,
+    /// Most connections open at once at each backend.
+    pub peak_connections: Vec<usize>,
     /// Attempts by backend and second.
-    pub sent_to: Vec<Vec<u32>>,
+    pub attempts_by_backend: Vec<Vec<u32>>,
     /// What came to each backend while it was cold, handshakes included.
     pub cold_work: Vec<Vec<ColdWork>>,
     /// When each backend started, and until when it took requests.
-    pub lives: Vec<(Millis, Millis)>,
+    pub incarnations: Vec<(Millis, Millis)>,
     /// What came of the customers' quotas.
-    pub ledger: Ledger,
+    pub quota_account: QuotaAccount,
 }
 
 /// Work that came to a cold backend.
@@ -62,18 +62,18 @@
     /// How much, ms of a core.
     pub work: f64,
     /// Whether whoever sent it had been told of the backend's start.
-    pub told: bool,
+    pub sender_knew_start: bool,
 }
 
-impl Tally {
+impl RunStatistics {
     /// Part of the worth asked that was served in time.
-    pub fn share(&self) -> f64 {
-        self.served / self.worth.max(1e-9)
+    pub fn served_share(&self) -> f64 {
+        self.served_worth / self.requested_worth.max(1e-9)
     }
 
     /// The lowest share served in any ten seconds that begin with a whole one, from `from` on.
-    pub fn worst_ten(&self, from: usize) -> f64 {
-        let seconds = self.by_second.get(from..).unwrap_or(&[]);
+    pub fn worst_ten_seconds(&self, from: usize) -> f64 {
+        let seconds = self.worth_by_second.get(from..).unwrap_or(&[]);
         let share = |ten: &[(f64, f64)]| {
             let (asked, served) = ten
                 .iter()
--- a/crates/fleet-simulation/tests/world.rs
+++ b/crates/fleet-simulation/tests/simulation.rs
@@ -6,7 +6,7 @@
 use cometspool_fleet_simulation::*;
 use common::flooding_customers;
 
-fn spec(seed: u64) -> Spec {
+fn spec(seed: u64) -> Scenario {
     let class = Class {
         latency_objective: 1200.0,
         deadline: 3000.0,
@@ -14,14 +14,14 @@
         ..Class::default()
     };
     let faults = vec![
-        (2000.0, Fault::Start(0)),
-        (2000.0, Fault::Told(0, Availability::Draining)),
-        (3000.0, Fault::Ill(0, Ill::Dead)),
-        (4000.0, Fault::Cut(1, true)),
-        (5000.0, Fault::Cut(1, false)),
-        (5000.0, Fault::Ill(3, Ill::Errors(0.5))),
+        (2000.0, FleetFault::StartBackend(0)),
+        (2000.0, FleetFault::Announce(0, Availability::Draining)),
+        (3000.0, FleetFault::Backend(0, BackendFault::Crashed)),
+        (4000.0, FleetFault::Partition(1, true)),
+        (5000.0, FleetFault::Partition(1, false)),
+        (5000.0, FleetFault::Backend(3, BackendFault::Errors(0.5))),
     ];
-    Spec {
+    Scenario {
         settings: Settings {
             gateways: 20,
             plans: vec![Plan {
@@ -37,8 +37,8 @@
         classes: vec![ClassSpec {
             class,
             share: 1.0,
-            work: 150.0,
-            cv: 1.0,
+            mean_work: 150.0,
+            coefficient_of_variation: 1.0,
         }],
         backends: (0..16)
             .map(|i| BackendSpec {
@@ -47,26 +47,26 @@
             })
             .collect(),
         zones: 2,
-        rate: 10.0,
-        tells_less: true,
-        charges_lag: true,
-        patience: 0.3,
-        pauses: vec![(2, 3000.0, 3600.0)],
-        way: (0.2, 2.0),
-        length: 8000.0,
-        told_within: 500.0,
-        cold: (0.25, 8000.0),
-        table: Some(12),
+        requests_per_second: 10.0,
+        deducts_network_delay: true,
+        charges_stalls: true,
+        min_deadline_fraction: 0.3,
+        gateway_stalls: vec![(2, 3000.0, 3600.0)],
+        one_way_delays: (0.2, 2.0),
+        duration: 8000.0,
+        propagation_delay: 500.0,
+        slow_start: (0.25, 8000.0),
+        max_connections_per_backend: Some(12),
         seed,
         faults,
-        crowd: None,
+        clients: None,
     }
 }
 
 /// Guards the figures: one seed gives one day, and another gives another.
 #[test]
 fn a_seed_gives_one_day() {
-    let (first, again, other) = (play(spec(1)), play(spec(1)), play(spec(2)));
+    let (first, again, other) = (run(spec(1)), run(spec(1)), run(spec(2)));
     assert_eq!(first, again);
     assert_ne!(first, other);
 }
@@ -76,31 +76,36 @@
 #[test]
 fn a_days_sums_agree() {
     for seed in 1..6 {
-        let tally = play(spec(seed));
-        assert_eq!(tally.ends.iter().sum::<u64>(), tally.asked);
+        let statistics = run(spec(seed));
+        assert_eq!(statistics.ends.iter().sum::<u64>(), statistics.requests);
         assert!(
-            tally.wasted >= 0.0 && tally.wasted < tally.work,
+            statistics.wasted_work >= 0.0 && statistics.wasted_work < statistics.work,
             "{} of {}",
-            tally.wasted,
-            tally.work
+            statistics.wasted_work,
+            statistics.work
         );
-        assert!(tally.firsts <= tally.asked && tally.firsts <= tally.sends);
         assert!(
-            tally.peaks.iter().all(|peak| *peak <= 12),
+            statistics.first_attempts <= statistics.requests
+                && statistics.first_attempts <= statistics.attempts
+        );
+        assert!(
+            statistics.peak_connections.iter().all(|peak| *peak <= 12),
             "{:?}",
-            tally.peaks
+            statistics.peak_connections
         );
         assert!(
-            tally.dials > 0 && tally.share() > 0.6 && tally.share() <= 1.0,
+            statistics.dials > 0
+                && statistics.served_share() > 0.6
+                && statistics.served_share() <= 1.0,
             "{}",
-            tally.share()
+            statistics.served_share()
         );
     }
 }
 
 /// Guards what quotas are judged by: a seed gives one ledger; what is served within the quotas is no more than was offered,
-/// every try is sent or refused for a reason, and no ceiling is passed while one customer floods every door of its set and
-/// two thirds of the front doors start anew.
+/// every try is sent or refused for a reason, and no ceiling is passed while one customer floods every gateway of its set and
+/// two thirds of the gateways start anew.
 #[test]
 fn the_ledger_holds_every_try_and_no_ceiling_is_passed() {
     let flooded = |seed| {
@@ -116,29 +121,31 @@
             ceiling: Some(ceiling),
             ..Plan::default()
         };
-        let crowd = flooding_customers(150.0);
+        let clients = flooding_customers(150.0);
         let mut spec = spec(seed);
-        spec.faults = (0..14).map(|door| (4000.0, Fault::Restart(door))).collect();
+        spec.faults = (0..14)
+            .map(|gateway| (4000.0, FleetFault::RestartGateway(gateway)))
+            .collect();
         spec.settings = Settings {
             plans: vec![plan],
             meter_period: 500.0,
             ..spec.settings
         };
-        Spec {
-            crowd: Some(crowd),
-            patience: 0.9,
-            pauses: Vec::new(),
-            table: None,
+        Scenario {
+            clients: Some(clients),
+            min_deadline_fraction: 0.9,
+            gateway_stalls: Vec::new(),
+            max_connections_per_backend: None,
             ..spec
         }
     };
     for seed in 1..4 {
-        let ledger = play(flooded(seed)).ledger;
-        assert_eq!(ledger, play(flooded(seed)).ledger);
-        let refused: u64 = ledger.why.values().sum();
-        let sent = ledger.sent[0] + ledger.sent[1];
+        let ledger = run(flooded(seed)).quota_account;
+        assert_eq!(ledger, run(flooded(seed)).quota_account);
+        let refused: u64 = ledger.rejections_by_reason.values().sum();
+        let sent = ledger.units_sent[0] + ledger.units_sent[1];
         assert!(
-            sent + refused as f64 >= ledger.tries as f64 * 0.95,
+            sent + refused as f64 >= ledger.attempts as f64 * 0.95,
             "{sent}, {refused}: {ledger:?}"
         );
         assert!(
@@ -146,9 +153,12 @@
             "{ledger:?}"
         );
         assert!(
-            ledger.ceiling_left >= 0.0,
+            ledger.min_ceiling_margin >= 0.0,
             "a ceiling is passed: {ledger:?}"
         );
-        assert!(ledger.why.contains_key("Ceiling"), "{ledger:?}");
+        assert!(
+            ledger.rejections_by_reason.contains_key("Ceiling"),
+            "{ledger:?}"
+        );
     }
 }
--- a/crates/fleet-simulation/tests/cold.rs
+++ b/crates/fleet-simulation/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! What cold backends get from all front doors together, counted at the backends.
+//! What cold backends get from all gateways together, counted at the backends.
 //!
 //! The rule: while a backend is cold it gets, in any window of the time that the settings name, work for at most
 //! N + 2 sqrt(N) + 2 requests of mean work, where N is the overload factor times what it can do in such a window by then.
@@ -24,33 +24,33 @@
 /// Length of a day.
 const LENGTH: Millis = 30_000.0;
 
-/// A fleet: front doors, backends, and the cores of each of these.
+/// A fleet: gateways, backends, and the cores of each of these.
 #[derive(Clone, Copy, Debug)]
 struct Fleet {
-    doors: u32,
+    gateways: u32,
     backends: usize,
     cores: usize,
 }
 
-/// The fleets. In the last, every front door meets every backend, and each of these can do little.
+/// The fleets. In the last, every gateway meets every backend, and each of these can do little.
 const FLEETS: [Fleet; 4] = [
     Fleet {
-        doors: 20,
+        gateways: 20,
         backends: 16,
         cores: 4,
     },
     Fleet {
-        doors: 30,
+        gateways: 30,
         backends: 16,
         cores: 4,
     },
     Fleet {
-        doors: 300,
+        gateways: 300,
         backends: 40,
         cores: 4,
     },
     Fleet {
-        doors: 300,
+        gateways: 300,
         backends: 16,
         cores: 1,
     },
@@ -64,15 +64,15 @@
         self.cores as f64 * 1000.0 / WORK
     }
 
-    /// Requests a second for each front door that come to this part of what the warm backends can do.
+    /// Requests a second for each gateway that come to this part of what the warm backends can do.
     fn rate(&self, part: f64) -> f64 {
-        part * self.warm_rate() * self.backends as f64 / f64::from(self.doors)
+        part * self.warm_rate() * self.backends as f64 / f64::from(self.gateways)
     }
 }
 
-fn spec(fleet: Fleet, seed: u64) -> Spec {
+fn spec(fleet: Fleet, seed: u64) -> Scenario {
     let Fleet {
-        doors,
+        gateways,
         backends,
         cores,
     } = fleet;
@@ -82,9 +82,9 @@
         idempotency: Idempotency::Idempotent,
         ..Class::default()
     };
-    Spec {
+    Scenario {
         settings: Settings {
-            gateways: doors,
+            gateways,
             plans: vec![Plan {
                 rate: 1e4,
                 burst: 1e5,
@@ -102,8 +102,8 @@
         classes: vec![ClassSpec {
             class,
             share: 1.0,
-            work: WORK,
-            cv: 0.0,
+            mean_work: WORK,
+            coefficient_of_variation: 0.0,
         }],
         backends: (0..backends)
             .map(|_| BackendSpec {
@@ -112,34 +112,38 @@
             })
             .collect(),
         zones: 1,
-        rate: fleet.rate(CALM),
-        tells_less: true,
-        charges_lag: true,
-        patience: 1.0,
-        pauses: Vec::new(),
-        way: (0.2, 2.0),
-        length: LENGTH,
-        told_within: 500.0,
-        cold: COLD,
-        table: None,
+        requests_per_second: fleet.rate(CALM),
+        deducts_network_delay: true,
+        charges_stalls: true,
+        min_deadline_fraction: 1.0,
+        gateway_stalls: Vec::new(),
+        one_way_delays: (0.2, 2.0),
+        duration: LENGTH,
+        propagation_delay: 500.0,
+        slow_start: COLD,
+        max_connections_per_backend: None,
         seed,
         faults: Vec::new(),
-        crowd: None,
+        clients: None,
     }
 }
 
-/// The window that is fullest beside its limit, of those that the front doors answer for: two thirds of what came in it
+/// The window that is fullest beside its limit, of those that the gateways answer for: two thirds of what came in it
 /// was sent by such as had been told of the start. Requests of mean work in it, and the limit.
-fn fullest(fleet: Fleet, tally: &Tally) -> (f64, f64) {
+fn fullest(fleet: Fleet, statistics: &RunStatistics) -> (f64, f64) {
     let mut fullest = (0.0, 1.0);
-    for (came, (born, _)) in tally.cold_work.iter().zip(&tally.lives) {
+    for (came, (born, _)) in statistics.cold_work.iter().zip(&statistics.incarnations) {
         let (mut first, mut work, mut told) = (0, 0.0, 0.0);
         for last in came {
             work += last.work / WORK;
-            told += if last.told { last.work / WORK } else { 0.0 };
+            told += if last.sender_knew_start {
+                last.work / WORK
+            } else {
+                0.0
+            };
             while came[first].at <= last.at - OVERLOAD.1 {
                 work -= came[first].work / WORK;
-                told -= if came[first].told {
+                told -= if came[first].sender_knew_start {
                     came[first].work / WORK
                 } else {
                     0.0
@@ -158,17 +162,17 @@
 }
 
 /// Plays all fleets and seeds with what happens in them, and holds each against the limit.
-fn judge(name: &str, change: impl Fn(Fleet, &mut Spec)) {
+fn judge(name: &str, change: impl Fn(Fleet, &mut Scenario)) {
     let mut over = Vec::new();
     for fleet in FLEETS {
         let mut met = 0;
         for seed in SEEDS {
             let mut spec = spec(fleet, seed);
             change(fleet, &mut spec);
-            let tally = play(spec);
-            let cold: usize = tally.cold_work.iter().map(Vec::len).sum();
+            let statistics = run(spec);
+            let cold: usize = statistics.cold_work.iter().map(Vec::len).sum();
             met += cold;
-            let (work, limit) = fullest(fleet, &tally);
+            let (work, limit) = fullest(fleet, &statistics);
             println!("{name}: {fleet:?}, seed {seed}: {work:.0} of {limit:.1}, {cold} in all");
             if work > limit {
                 over.push(format!("{fleet:?}, seed {seed}: {work:.1} of {limit:.1}"));
@@ -188,17 +192,18 @@
 }
 
 /// A burst from `from` on, for three seconds.
-fn burst(fleet: Fleet, spec: &mut Spec, from: Millis) {
-    spec.faults.push((from, Fault::Rate(fleet.rate(BURST))));
+fn burst(fleet: Fleet, spec: &mut Scenario, from: Millis) {
     spec.faults
-        .push((from + 3000.0, Fault::Rate(fleet.rate(CALM))));
+        .push((from, FleetFault::SetRequestRate(fleet.rate(BURST))));
+    spec.faults
+        .push((from + 3000.0, FleetFault::SetRequestRate(fleet.rate(CALM))));
 }
 
 /// A backend that joins in calm.
 #[test]
 fn one_that_joins_in_calm_gets_no_more_than_it_can_bear() {
     judge("calm", |_, spec| {
-        spec.faults.push((5000.0, Fault::Start(0)));
+        spec.faults.push((5000.0, FleetFault::StartBackend(0)));
     });
 }
 
@@ -206,7 +211,7 @@
 #[test]
 fn one_that_joins_under_a_burst_gets_no_more_than_it_can_bear() {
     judge("burst", |fleet, spec| {
-        spec.faults.push((5000.0, Fault::Start(0)));
+        spec.faults.push((5000.0, FleetFault::StartBackend(0)));
         burst(fleet, spec, 5500.0);
     });
 }
@@ -215,8 +220,8 @@
 #[test]
 fn a_burst_after_quiet_finds_no_crowd_at_the_cold_one() {
     judge("quiet", |fleet, spec| {
-        spec.rate = fleet.rate(QUIET);
-        spec.faults.push((5000.0, Fault::Start(0)));
+        spec.requests_per_second = fleet.rate(QUIET);
+        spec.faults.push((5000.0, FleetFault::StartBackend(0)));
         burst(fleet, spec, 8000.0);
     });
 }
@@ -227,7 +232,7 @@
     judge("several", |fleet, spec| {
         let fresh = spec.backends.len() / 4;
         spec.faults
-            .extend((0..fresh).map(|i| (5000.0, Fault::Start(i))));
+            .extend((0..fresh).map(|i| (5000.0, FleetFault::StartBackend(i))));
         burst(fleet, spec, 6000.0);
     });
 }
@@ -238,11 +243,11 @@
     judge("half", |fleet, spec| {
         let half = spec.backends.len() / 2;
         spec.faults
-            .extend((0..half).map(|i| (3000.0, Fault::Ill(i, Ill::Dead))));
+            .extend((0..half).map(|i| (3000.0, FleetFault::Backend(i, BackendFault::Crashed))));
         spec.faults
-            .extend((0..half).map(|i| (3200.0, Fault::Told(i, Availability::Removed))));
+            .extend((0..half).map(|i| (3200.0, FleetFault::Announce(i, Availability::Removed))));
         spec.faults
-            .extend((0..half).map(|i| (6000.0, Fault::Start(i))));
+            .extend((0..half).map(|i| (6000.0, FleetFault::StartBackend(i))));
         burst(fleet, spec, 5500.0);
     });
 }
@@ -253,7 +258,7 @@
     judge("all", |fleet, spec| {
         spec.backends
             .iter_mut()
-            .for_each(|backend| backend.started = Some(0.0));
+            .for_each(|backend| backend.started_at = Some(0.0));
         burst(fleet, spec, 1000.0);
     });
 }
@@ -265,19 +270,19 @@
         let count = spec.backends.len();
         for i in 0..count {
             let at = 2000.0 + 20_000.0 * i as f64 / count as f64;
-            spec.faults.push((at, Fault::Start(i)));
+            spec.faults.push((at, FleetFault::StartBackend(i)));
             spec.faults
-                .push((at, Fault::Told(i, Availability::Draining)));
+                .push((at, FleetFault::Announce(i, Availability::Draining)));
         }
     });
 }
 
-/// Front doors hear of a backend over six seconds, one of them late in its warming.
+/// gateways hear of a backend over six seconds, one of them late in its warming.
 #[test]
 fn a_list_that_comes_at_different_times_sends_no_crowd() {
     judge("late", |fleet, spec| {
-        spec.told_within = 6000.0;
-        spec.faults.push((5000.0, Fault::Start(0)));
+        spec.propagation_delay = 6000.0;
+        spec.faults.push((5000.0, FleetFault::StartBackend(0)));
         burst(fleet, spec, 6500.0);
     });
 }
@@ -287,34 +292,36 @@
 fn retries_send_no_crowd_to_the_cold_one() {
     judge("retries", |_, spec| {
         let third = spec.backends.len() / 3;
-        spec.faults.push((5000.0, Fault::Start(0)));
-        spec.faults
-            .extend((0..third).map(|i| (5500.0, Fault::Ill(i, Ill::Errors(0.5)))));
-        spec.faults
-            .extend((0..third / 2).map(|i| (7000.0, Fault::Ill(i, Ill::Dead))));
+        spec.faults.push((5000.0, FleetFault::StartBackend(0)));
+        spec.faults.extend(
+            (0..third).map(|i| (5500.0, FleetFault::Backend(i, BackendFault::Errors(0.5)))),
+        );
+        spec.faults.extend(
+            (0..third / 2).map(|i| (7000.0, FleetFault::Backend(i, BackendFault::Crashed))),
+        );
     });
 }
 
-/// A third of the front doors starts anew while a backend is cold: each begins without what it had given it.
+/// A third of the gateways starts anew while a backend is cold: each begins without what it had given it.
 #[test]
 fn front_doors_that_start_anew_send_no_crowd_to_the_cold_one() {
     judge("anew", |_, spec| {
-        spec.faults.push((5000.0, Fault::Start(0)));
+        spec.faults.push((5000.0, FleetFault::StartBackend(0)));
         let third = spec.settings.gateways as usize / 3;
         spec.faults
-            .extend((0..third).map(|door| (6000.0, Fault::Restart(door))));
+            .extend((0..third).map(|gateway| (6000.0, FleetFault::RestartGateway(gateway))));
     });
 }
 
-/// Half of the backends start anew one after another under their old names, and front doors hear of it over two seconds:
+/// Half of the backends start anew one after another under their old names, and gateways hear of it over two seconds:
 /// until then they take them for warm, afterwards they begin anew with them.
 #[test]
 fn those_that_start_anew_in_place_get_no_more_than_they_can_bear() {
     judge("in place", |_, spec| {
-        spec.told_within = 2000.0;
+        spec.propagation_delay = 2000.0;
         let half = spec.backends.len() / 2;
         spec.faults
-            .extend((0..half).map(|i| (3000.0 + 500.0 * i as f64, Fault::Reborn(i))));
+            .extend((0..half).map(|i| (3000.0 + 500.0 * i as f64, FleetFault::RestartBackend(i))));
     });
 }
 
@@ -332,7 +339,7 @@
         spec.settings.meter_period = 500.0;
         spec.backends
             .iter_mut()
-            .for_each(|backend| backend.started = Some(0.0));
-        spec.crowd = Some(flooding_customers(able * OFFERED));
+            .for_each(|backend| backend.started_at = Some(0.0));
+        spec.clients = Some(flooding_customers(able * OFFERED));
     });
 }
