--- a/crates/fleet-simulation/src/quotas.rs
+++ b/crates/fleet-simulation/src/experiments/quotas.rs
@@ -1,6 +1,7 @@
 //! The experiment on quotas: customers as the operators describe them, through three hundred gateways, on calm days and
 //! on hard ones. Every try is held against its customer's true store.
 
+use super::{pools, settings};
 use cometspool::*;
 use cometspool_fleet_simulation::client_population::{
     ClientPopulationSpec, Flood, Interval, Meter, RetryBehavior, UsageShares,
@@ -150,9 +151,9 @@
     let settings = Settings {
         plans: plans(),
         meter_period: 500.0,
-        ..super::settings(gateways)
+        ..settings(gateways)
     };
-    let base = super::pools(seed);
+    let base = pools::scenario(seed);
     let backends = vec![BackendSpec::default(); backends];
     Scenario {
         settings,
