--- a/src/main.rs
+++ b/src/main.rs
@@ -18,7 +18,7 @@
 
 /// Serves on one thread: a front door has one core, and nothing on the path needs a lock.
 fn serve() -> Result<(), net::StartError> {
-    let woken = net::runtime::budget::WakeRecorder::new();
+    let woken = net::runtime::stall::WakeRecorder::new();
     let noted = woken.clone();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .on_thread_unpark(move || noted.record_wake())
--- a/src/net/downstream/connections.rs
+++ b/src/net/downstream/connections.rs
@@ -169,7 +169,7 @@
     pub(crate) async fn close_expired_connections(self: Rc<Self>) {
         loop {
             let due = self.site.clock.now() + SWEEP.as_secs_f64() * 1000.0;
-            self.site.stall_monitor.expect(due);
+            self.site.stall_monitor.expect_timer(due);
             tokio::time::sleep(SWEEP).await;
             let now = self.site.clock.now();
             self.site.stall_monitor.timer_fired(due, now);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -18,7 +18,7 @@
 use downstream::connections::{DownstreamConnections, RequestHandler};
 use driver::Driver;
 use fleet::Fleet;
-use runtime::budget::WakeRecorder;
+use runtime::stall::WakeRecorder;
 use std::net::SocketAddr;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
--- a/src/net/runtime/capacity/tests.rs
+++ b/src/net/runtime/capacity/tests.rs
@@ -1,10 +1,10 @@
-//! Unit tests of `room.rs`.
+//! Unit tests of `capacity.rs`.
 
 use super::*;
 
-/// Guards the machine's limits: what binds is the scarcer of descriptors and memory.
+/// Guards the process's limits: the scarcer of descriptors and memory decides.
 #[test]
-fn links_fit_descriptors_and_memory() {
+fn connection_limits_follow_the_scarcer_of_descriptors_and_memory() {
     assert_eq!(upstream_connection_limit(256, 32 << 20), 92);
     assert_eq!(upstream_connection_limit(1024, 32 << 20), 170);
     assert_eq!(upstream_connection_limit(1024, 192 << 20), 400);
--- a/src/net/runtime/clock.rs
+++ b/src/net/runtime/clock.rs
@@ -1,27 +1,28 @@
-//! The one clock of a front door.
+//! The gateway's one clock.
 
 use cometspool::Millis;
 use serde::Deserialize;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// A monotonic clock that reads as Unix milliseconds, so that start times of backends compare with it. The wall clock is
-/// read once: a step of it later moves no deadline.
+/// A monotonic clock that reads as Unix milliseconds, so that the start times that backends report compare with it. The
+/// wall clock is read once, at the start: a later step of it moves no deadline.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
-    start: Instant,
-    unix: Millis,
-    /// What it shows in a second, ms: 1000, unless a test has it run fast or slow.
-    second: Millis,
+    started_at: Instant,
+    /// Unix time at `started_at`, ms.
+    unix_at_start: Millis,
+    /// Milliseconds that the clock shows for each second of the runtime: 1000, unless a test has it run fast or slow.
+    millis_per_second: f64,
 }
 
-/// How far off a clock is: a switch for tests, which stand for machines whose clocks are wrong.
+/// By how much a clock is wrong. Only tests set it, to stand for machines whose clocks are wrong.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Skew {
-    /// How fast it runs; 1 is right.
+    /// How fast the clock runs, as a factor; 1 is right.
     rate: f64,
-    /// How far it is ahead at the start, ms.
+    /// How far the clock is ahead at the start, ms.
     ahead_ms: Millis,
 }
 
@@ -35,45 +36,51 @@
 }
 
 impl Skew {
-    /// Whether a clock can run so.
+    /// Whether a clock can run with this skew: a rate between a tenth and ten, and a finite offset.
     pub(crate) fn is_valid(&self) -> bool {
         (0.1..=10.0).contains(&self.rate) && self.ahead_ms.is_finite()
     }
 }
 
 impl Clock {
-    /// A clock that starts now and is right.
+    /// A clock without skew that starts now.
     #[cfg(test)]
     pub(crate) fn new() -> Clock {
         Clock::skewed(Skew::default())
     }
 
-    /// A clock that starts now and is that far off.
+    /// A clock that starts now, wrong by `skew`.
     pub(crate) fn skewed(skew: Skew) -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            start: Instant::now(),
-            unix: unix.as_secs_f64() * 1000.0 + skew.ahead_ms,
-            second: 1000.0 * skew.rate,
+            started_at: Instant::now(),
+            unix_at_start: unix.as_secs_f64() * 1000.0 + skew.ahead_ms,
+            millis_per_second: 1000.0 * skew.rate,
         }
     }
 
-    /// The time now.
+    /// The time now, in Unix milliseconds.
     pub(crate) fn now(&self) -> Millis {
-        self.unix + self.start.elapsed().as_secs_f64() * self.second
+        self.unix_at_start + self.started_at.elapsed().as_secs_f64() * self.millis_per_second
     }
 
-    /// A time of the runtime's on this clock.
+    /// What this clock would have shown at `instant`, which is not after the clock's start; a later one counts as the
+    /// start.
     pub(crate) fn millis_at(&self, instant: std::time::Instant) -> Millis {
-        let before = self.start.into_std().saturating_duration_since(instant);
-        self.unix - before.as_secs_f64() * self.second
+        let before_start = self
+            .started_at
+            .into_std()
+            .saturating_duration_since(instant);
+        self.unix_at_start - before_start.as_secs_f64() * self.millis_per_second
     }
 
-    /// A time of this clock as the runtime counts it.
+    /// The runtime's instant at which this clock shows `at`; the clock's start if that is earlier, or beyond what a
+    /// [`Duration`] holds.
     pub(crate) fn instant_at(&self, at: Millis) -> Instant {
-        let after = Duration::try_from_secs_f64((at - self.unix) / self.second).unwrap_or_default();
-        self.start + after
+        let seconds = (at - self.unix_at_start) / self.millis_per_second;
+        let after_start = Duration::try_from_secs_f64(seconds).unwrap_or_default();
+        self.started_at + after_start
     }
 }
--- a/src/net/runtime/context.rs
+++ b/src/net/runtime/context.rs
@@ -1,36 +1,39 @@
-//! What all parts of a front door stand on.
+//! What all parts of the gateway share: the clock, the stall monitor and the settings.
 
-use crate::net::runtime::budget::{StallMonitor, WakeRecorder};
 use crate::net::runtime::clock::Clock;
+use crate::net::runtime::stall::{StallMonitor, WakeRecorder};
 use cometspool::settings::{Names, ParsedSettings};
 use cometspool::{Millis, Settings};
 
-/// The clock, how far the process was kept from running, and what the deployment told.
+/// What every part of the gateway reads, made once at the start.
 pub(crate) struct RuntimeContext {
-    /// The one clock.
+    /// The gateway's one clock.
     pub clock: Clock,
-    /// Whether the process was kept from running.
+    /// Detects that the process did not run.
     pub stall_monitor: StallMonitor,
-    /// The settings.
+    /// The settings of the policy engine.
     pub settings: Settings,
-    /// The names that the settings give to numbers.
+    /// The names that the settings give to classes, plans and metrics, by index.
     pub names: Names,
 }
 
 impl RuntimeContext {
-    /// A front door that was told this; its process began with `woken`.
-    pub(crate) fn new(told: &ParsedSettings, woken: WakeRecorder, clock: Clock) -> RuntimeContext {
-        let since = clock.millis_at(woken.started_at());
-        let (settings, names) = (told.settings.clone(), told.names.clone());
+    /// The context of a gateway with the settings `parsed`, whose process started together with `wakes`.
+    pub(crate) fn new(
+        parsed: &ParsedSettings,
+        wakes: WakeRecorder,
+        clock: Clock,
+    ) -> RuntimeContext {
+        let process_started_at = clock.millis_at(wakes.started_at());
         RuntimeContext {
             clock,
-            stall_monitor: StallMonitor::new(woken, since),
-            settings,
-            names,
+            stall_monitor: StallMonitor::new(wakes, process_started_at),
+            settings: parsed.settings.clone(),
+            names: parsed.names.clone(),
         }
     }
 
-    /// The longest that a client waits.
+    /// The longest timeout that any class allows, in milliseconds.
     pub(crate) fn longest_deadline(&self) -> Millis {
         self.settings
             .classes
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -1,6 +1,8 @@
-//! What every part stands on: the clock, stall detection, time budgets, and shares of descriptors and memory.
+//! What every part of the gateway builds on: its clock, time budgets, stall detection, the shared context, and the
+//! division of descriptors and memory.
 
 pub(crate) mod budget;
 pub(crate) mod capacity;
 pub(crate) mod clock;
 pub(crate) mod context;
+pub(crate) mod stall;
