--- /dev/null
+++ b/src/net/downstream/connections/eviction.rs
@@ -0,0 +1,93 @@
+//! Eviction: which connection is closed to make room for a new one when as many are open as the descriptors allow.
+
+use super::state::{CloseMode, ConnectionState};
+use super::DownstreamConnections;
+use cometspool::Millis;
+use std::cmp::Ordering;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// How long a new connection waits for an evicted one to close before the next candidate is chosen.
+const EVICTION_WAIT: Duration = Duration::from_millis(20);
+
+/// What an eviction would interrupt. Later variants are evicted first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum EvictionKind {
+    /// A request that is slow to arrive.
+    SlowRequest,
+    /// Nothing: the connection is between two requests.
+    Idle,
+    /// Nothing: no byte has ever arrived on the connection.
+    Unused,
+}
+
+/// How readily a connection is evicted: by kind, then by how long it has been in that state.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct EvictionRank {
+    /// What the eviction would interrupt.
+    pub(super) kind: EvictionKind,
+    /// How long the connection has been in that state, ms.
+    pub(super) age: Millis,
+}
+
+impl EvictionRank {
+    fn total_cmp(&self, other: &EvictionRank) -> Ordering {
+        let by_kind = self.kind.cmp(&other.kind);
+        by_kind.then(self.age.total_cmp(&other.age))
+    }
+}
+
+/// A connection that may be evicted.
+struct EvictionCandidate {
+    kind: EvictionKind,
+    connection: Rc<ConnectionState>,
+}
+
+impl DownstreamConnections {
+    /// Waits until one more connection may be open, evicting one at a time.
+    ///
+    /// A connection that the system has accepted takes a descriptor of this process already, so it is never left waiting
+    /// for long. Where nothing may be evicted, responses close their connections until there is room.
+    pub(super) async fn make_room(&self) {
+        while self.open.borrow().len() >= self.limit {
+            match self.eviction_candidate(self.context.clock.now()) {
+                Some(candidate) => candidate.evict(),
+                None => self.keep_alive_disabled.set(true),
+            }
+            // Whether one has closed or the wait is over, the loop looks again.
+            let _ = tokio::time::timeout(EVICTION_WAIT, self.closed.notified()).await;
+        }
+        self.keep_alive_disabled.set(false);
+    }
+
+    /// The connection of the highest rank on which no bytes wait unread, if any may be evicted.
+    fn eviction_candidate(&self, now: Millis) -> Option<EvictionCandidate> {
+        let open = self.open.borrow();
+        let mut ranked = Vec::new();
+        for connection in open.values() {
+            if let Some(rank) = connection.eviction_rank(now) {
+                ranked.push((rank, connection));
+            }
+        }
+        ranked.sort_by(|(a, _), (b, _)| b.total_cmp(a));
+        // Sorted first, since each check for unread bytes is a system call.
+        let (rank, connection) = ranked
+            .into_iter()
+            .find(|(_, connection)| !connection.has_unread_bytes())?;
+        Some(EvictionCandidate {
+            kind: rank.kind,
+            connection: connection.clone(),
+        })
+    }
+}
+
+impl EvictionCandidate {
+    fn evict(&self) {
+        let mode = match self.kind {
+            // A request that has begun to arrive meanwhile is still answered.
+            EvictionKind::Idle => CloseMode::Graceful,
+            EvictionKind::SlowRequest | EvictionKind::Unused => CloseMode::Immediate,
+        };
+        self.connection.request_close(mode);
+    }
+}
--- /dev/null
+++ b/src/net/downstream/connections/service.rs
@@ -0,0 +1,151 @@
+//! Serves one connection over HTTP/1.1: reads its requests, hands them to the request handler and writes the answers.
+
+use super::io::ConnectionIo;
+use super::response;
+use super::shutdown::ShutdownPhase;
+use super::state::{CloseMode, ConnectionState, REQUEST_READ_TIMEOUT};
+use super::{DownstreamConnections, RequestHandler};
+use crate::net::downstream::request::{read_body, read_head, RequestError};
+use crate::net::messages::{Answer, ClientConnection, CONNECTION_BUFFER_BYTES};
+use cometspool::{Millis, RequestId};
+use http_body_util::Full;
+use hyper::body::{Bytes, Incoming as IncomingBody};
+use hyper::header::{HeaderValue, CONNECTION};
+use hyper::service::service_fn;
+use hyper::{Request, Response};
+use hyper_util::rt::TokioIo;
+use std::convert::Infallible;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Path of the readiness check that the load balancer in front makes.
+const HEALTH_PATH: &str = "/_health";
+/// How long a connection that was accepted after the idle ones were closed may take to send its request.
+const LATE_CONNECTION_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long after the end of a request's budget, in milliseconds, its client still takes the response: it is late then, and
+/// not lost.
+const LATE_RESPONSE_GRACE: Millis = 500.0;
+
+impl DownstreamConnections {
+    /// Serves the connection registered under `number` until it ends.
+    pub(super) async fn serve(self: Rc<Self>, number: u64, state: Rc<ConnectionState>) {
+        let _registration = Registration {
+            connections: &self,
+            number,
+        };
+        let io = TokioIo::new(ConnectionIo::new(state.clone(), self.context.clone()));
+        let service = service_fn(|request| {
+            let connections = self.clone();
+            let state = state.clone();
+            async move { Ok::<_, Infallible>(connections.respond(request, &state).await) }
+        });
+        let connection = hyper::server::conn::http1::Builder::new()
+            .max_buf_size(CONNECTION_BUFFER_BYTES)
+            .serve_connection(io, service);
+        let mut connection = std::pin::pin!(connection);
+        let mut phase = self.phase.subscribe();
+        let mut is_closing = false;
+        // A connection accepted once idle ones are closed gets a little time to send its request, so that the rejection
+        // can say when to come back.
+        let is_late = *phase.borrow() == ShutdownPhase::ClosingIdle;
+        let mut late_timeout = std::pin::pin!(tokio::time::sleep(LATE_CONNECTION_TIMEOUT));
+        loop {
+            tokio::select! {
+                // An error means a client that disconnected, or one that sent no HTTP, which hyper has answered.
+                _ = connection.as_mut() => return,
+                _ = phase.wait_for(|phase| *phase == ShutdownPhase::ClosingIdle), if !is_closing && !is_late => {}
+                () = late_timeout.as_mut(), if !is_closing && is_late => {}
+                mode = state.close_requested() => if mode == Some(CloseMode::Immediate) { return },
+            }
+            is_closing = true;
+            connection.as_mut().graceful_shutdown();
+        }
+    }
+
+    /// The response to one request; every outcome has one.
+    async fn respond(
+        &self,
+        request: Request<IncomingBody>,
+        state: &Rc<ConnectionState>,
+    ) -> Response<Full<Bytes>> {
+        let mut close = self.keep_alive_disabled.get();
+        let mut response = if request.uri().path() == HEALTH_PATH {
+            state.request_completed();
+            response::health(self.handler.is_ready())
+        } else {
+            match self.handle(request, state).await {
+                Ok(answer) => response::answer(answer),
+                Err(error) => {
+                    // Nothing that follows on such a connection can be trusted to be a request.
+                    close = true;
+                    response::request_error(&error)
+                }
+            }
+        };
+        let is_shutting_down = *self.phase.borrow() != ShutdownPhase::Serving;
+        if close || state.read_ahead_overflowed() || is_shutting_down {
+            response
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
+        }
+        state.response_ready(self.context.clock.now());
+        response
+    }
+
+    /// Reads a request to its end, submits it and waits for its final answer.
+    async fn handle(
+        &self,
+        request: Request<IncomingBody>,
+        state: &Rc<ConnectionState>,
+    ) -> Result<Answer, RequestError> {
+        let started_at = state.request_started_at();
+        let (head, body) = request.into_parts();
+        let mut incoming = read_head(&self.context, &head, started_at, state.clone())?;
+        let budget_end = incoming.budget.end();
+        let read_by = budget_end.min(state.timeout_started_at() + REQUEST_READ_TIMEOUT);
+        let read_by = self.context.clock.instant_at(read_by);
+        incoming.upstream_request.body = read_body(body, &head.method, read_by).await?;
+        incoming.received_at = state.last_byte_at();
+        state.request_completed();
+        state.set_write_deadline(budget_end + LATE_RESPONSE_GRACE);
+        if state.is_disconnected() {
+            return Err(RequestError::Left);
+        }
+        let (id, answer) = self.handler.submit(incoming).ok_or(RequestError::Twice)?;
+        let mut disconnect_guard = DisconnectGuard {
+            handler: &*self.handler,
+            pending: Some(id),
+        };
+        let answer = answer.await.unwrap_or(Answer::Failed);
+        disconnect_guard.pending = None;
+        Ok(answer)
+    }
+}
+
+/// The entry of an open connection in the registry, removed when this is dropped.
+struct Registration<'a> {
+    connections: &'a DownstreamConnections,
+    number: u64,
+}
+
+impl Drop for Registration<'_> {
+    fn drop(&mut self) {
+        self.connections.open.borrow_mut().remove(&self.number);
+        self.connections.closed.notify_waiters();
+    }
+}
+
+/// Tells the request handler that the client has disconnected, which drops the waiting request before its answer.
+struct DisconnectGuard<'a> {
+    handler: &'a dyn RequestHandler,
+    /// `None` once the request has been answered.
+    pending: Option<RequestId>,
+}
+
+impl Drop for DisconnectGuard<'_> {
+    fn drop(&mut self) {
+        if let Some(id) = self.pending {
+            self.handler.client_disconnected(id);
+        }
+    }
+}
