--- a/src/net/downstream/connections/service.rs
+++ b/src/net/downstream/connections/service.rs
@@ -109,9 +109,12 @@
         state.request_completed();
         state.set_write_deadline(budget_end + LATE_RESPONSE_GRACE);
         if state.is_disconnected() {
-            return Err(RequestError::Left);
+            return Err(RequestError::ClientDisconnected);
         }
-        let (id, answer) = self.handler.submit(incoming).ok_or(RequestError::Twice)?;
+        let (id, answer) = self
+            .handler
+            .submit(incoming)
+            .ok_or(RequestError::DuplicateId)?;
         let mut disconnect_guard = DisconnectGuard {
             handler: &*self.handler,
             pending: Some(id),
--- a/src/net/downstream/request.rs
+++ b/src/net/downstream/request.rs
@@ -1,5 +1,7 @@
-//! Validation: what a client's request must look like before the decisions see it. Nothing here is lenient:
-//! what goes on to a backend is what a client of this service would have written, or it is answered 400.
+//! Parsing and validation of a client's request, before the policy engine sees it.
+//!
+//! Validation is strict: what goes on to a backend is what a client of this service would have sent; anything else is
+//! answered with the status of its [`RequestError`].
 
 use crate::net::messages::{
     ClientConnection, IncomingRequest, UpstreamRequest, IDEMPOTENCY_KEY, MAX_BODY_BYTES,
@@ -13,114 +15,126 @@
 use hyper::body::{Body, Bytes, Incoming as IncomingBody};
 use hyper::header::{HeaderName, CONTENT_TYPE, COOKIE, HOST, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
+use hyper::http::uri::PathAndQuery;
 use hyper::{HeaderMap, Method, StatusCode, Uri};
+use std::error::Error;
 use std::rc::Rc;
 
-/// A customer's number is below this.
-const CUSTOMERS: u64 = 1 << 33;
-/// Longest id of a request, and longest key.
-const LONGEST_NAME: usize = 128;
+/// Customer numbers are below this.
+const CUSTOMER_NUMBER_LIMIT: u64 = 1 << 33;
+/// Digits of a customer number in the cookie.
+const CUSTOMER_HEX_DIGITS: usize = 16;
+/// Longest request id and longest idempotency key, in bytes.
+const MAX_TOKEN_BYTES: usize = 128;
+/// By what fraction the units of a request may exceed the largest that the settings allow, so that rounding rejects none of
+/// the largest.
+const UNITS_TOLERANCE: f64 = 1e-6;
 
+/// The class of the request, which its path repeats.
 const REQUEST_CLASS: HeaderName = HeaderName::from_static("request-class");
+/// The plan of the customer.
 const API_PLAN: HeaderName = HeaderName::from_static("api-plan");
+/// What the request takes from the customer's quota, and the customer's gateways.
 const API_TERMS: HeaderName = HeaderName::from_static("api-terms");
+/// `1` on a retry by the client.
 const CLIENT_RETRY: HeaderName = HeaderName::from_static("client-retry");
 
-/// Why a request is turned down unread by the decisions.
+/// Why a request is answered without being submitted. The client gets the message as the body of the response.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RequestError {
-    /// A header is missing, repeated or not what it should be.
+    /// A header is missing, repeated or malformed.
     #[error("{0} is missing, repeated or cannot be read")]
-    Header(HeaderName),
-    /// No such class.
+    InvalidHeader(HeaderName),
+    /// The settings have no such class, or the path names another one than the header.
     #[error("unknown class")]
-    Class,
-    /// No such plan.
+    UnknownClass,
+    /// The settings have no such plan.
     #[error("unknown plan")]
-    Plan,
-    /// The path holds what is not plain ASCII.
+    UnknownPlan,
+    /// The path is missing or has bytes that are not visible ASCII.
     #[error("the path cannot be read")]
-    Path,
-    /// Method and class do not agree.
+    InvalidPath,
+    /// The method, the idempotency key or a body does not go with the class.
     #[error("the method does not go with the class")]
-    Method,
-    /// The body broke off or is no body.
+    MethodMismatch,
+    /// The body ended early or is malformed.
     #[error("the body cannot be read")]
-    Body,
+    UnreadableBody(#[source] Box<dyn Error + Send + Sync>),
     /// The body has no `Content-Length`.
     #[error("a body must tell its length")]
-    Unmeasured,
-    /// The body is over [`LONGEST_BODY`].
+    LengthRequired,
+    /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("the body is too long")]
-    TooLong,
-    /// The body took too long.
+    BodyTooLong,
+    /// The body did not arrive in time.
     #[error("the body did not come in time")]
-    Slow,
-    /// Its client has left; there is nobody to tell.
+    BodyTimeout(#[source] tokio::time::error::Elapsed),
+    /// The client has disconnected, so nobody reads the response.
     #[error("the client has left")]
-    Left,
+    ClientDisconnected,
     /// The id is in use, or was a moment ago.
     #[error("a request with this id has come before")]
-    Twice,
+    DuplicateId,
 }
 
 impl RequestError {
-    /// What the client is answered.
+    /// The status of the response.
     pub(crate) fn status(&self) -> StatusCode {
         match self {
-            RequestError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            RequestError::Unmeasured => StatusCode::LENGTH_REQUIRED,
-            RequestError::Slow | RequestError::Left => StatusCode::REQUEST_TIMEOUT,
-            RequestError::Twice => StatusCode::CONFLICT,
-            _ => StatusCode::BAD_REQUEST,
+            RequestError::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            RequestError::LengthRequired => StatusCode::LENGTH_REQUIRED,
+            RequestError::BodyTimeout(_) | RequestError::ClientDisconnected => {
+                StatusCode::REQUEST_TIMEOUT
+            }
+            RequestError::DuplicateId => StatusCode::CONFLICT,
+            RequestError::InvalidHeader(_)
+            | RequestError::UnknownClass
+            | RequestError::UnknownPlan
+            | RequestError::InvalidPath
+            | RequestError::MethodMismatch
+            | RequestError::UnreadableBody(_) => StatusCode::BAD_REQUEST,
         }
     }
 }
 
-/// Reads the head of a request of `client`'s whose first byte came at `first`.
+/// Parses the head of a request of `client` whose first byte arrived at `started_at`. The body is left empty, and the
+/// request counts as received at `started_at`, until the body has been read.
 pub(crate) fn read_head(
-    site: &RuntimeContext,
+    context: &RuntimeContext,
     head: &Parts,
-    first: Millis,
+    started_at: Millis,
     client: Rc<dyn ClientConnection>,
 ) -> Result<IncomingRequest, RequestError> {
     let headers = &head.headers;
-    // Where both framings are given, the library goes by the chunks and drops the length without a word; what one
-    // hop takes for the body another takes for the next request. Clients of this service tell the length.
+    // Where a request has both framings, hyper goes by the chunks and drops the length silently; what one hop takes for
+    // the body another one could take for the next request. Clients of this service send the length.
     if headers.contains_key(TRANSFER_ENCODING) {
-        return Err(RequestError::Unmeasured);
-    }
-    let id = name(headers, &REQUEST_ID)?;
-    let class = class(site, head)?;
-    let plan_name = normalize_name(text(headers, &API_PLAN)?);
-    let plan = site
-        .names
-        .plans
-        .iter()
-        .position(|name| *name == plan_name)
-        .ok_or(RequestError::Plan)?;
-    let most = site.settings.classes[class].deadline;
-    let budget = Budget::from_header(text(headers, &REQUEST_TIMEOUT)?, first, most);
-    let budget = budget.ok_or(RequestError::Header(REQUEST_TIMEOUT))?;
-    let terms = Terms::read(text(headers, &API_TERMS)?, &site.settings)
-        .ok_or(RequestError::Header(API_TERMS))?;
-    let path = head.uri.path_and_query().ok_or(RequestError::Path)?;
-    if !path.as_str().bytes().all(|byte| byte.is_ascii_graphic()) {
-        return Err(RequestError::Path);
+        return Err(RequestError::LengthRequired);
     }
-    text(headers, &HOST)?;
+    let id = header_token(headers, &REQUEST_ID)?;
+    let class = read_class(context, head)?;
+    let plan = read_plan(context, headers)?;
+    let class_limit = context.settings.classes[class.0].deadline;
+    let timeout = header_text(headers, &REQUEST_TIMEOUT)?;
+    let budget = Budget::from_header(timeout, started_at, class_limit)
+        .ok_or(RequestError::InvalidHeader(REQUEST_TIMEOUT))?;
+    let terms = QuotaTerms::parse(header_text(headers, &API_TERMS)?, &context.settings)
+        .ok_or(RequestError::InvalidHeader(API_TERMS))?;
+    let path = read_path(&head.uri)?;
+    header_text(headers, &HOST)?;
     if headers.contains_key(IDEMPOTENCY_KEY) {
-        name(headers, &IDEMPOTENCY_KEY)?;
+        header_token(headers, &IDEMPOTENCY_KEY)?;
     }
+    let customer = read_customer(headers).ok_or(RequestError::InvalidHeader(COOKIE))?;
     Ok(IncomingRequest {
-        received_at: first,
+        received_at: started_at,
         budget,
-        customer: customer(headers).ok_or(RequestError::Header(COOKIE))?,
-        plan: PlanId(plan),
-        class: ClassId(class),
+        customer,
+        plan,
+        class,
         units: terms.units,
-        gateway_count: terms.spread,
-        is_retry: again(headers),
+        gateway_count: terms.gateway_count,
+        is_retry: is_marked_retry(headers),
         upstream_request: UpstreamRequest {
             client,
             id: id.into(),
@@ -129,8 +143,8 @@
             method: head.method.clone(),
             uri: Uri::from(path.clone()),
             key: headers.get(IDEMPOTENCY_KEY).cloned(),
-            // One that is odd says nothing about the body: it is left out.
-            content_type: text(headers, &CONTENT_TYPE)
+            // A malformed one says nothing about the body, so it is left out.
+            content_type: header_text(headers, &CONTENT_TYPE)
                 .ok()
                 .and_then(|_| headers.get(CONTENT_TYPE).cloned()),
             body: Bytes::new(),
@@ -138,147 +152,184 @@
     })
 }
 
-/// The class, which header, path and method must agree on.
-fn class(site: &RuntimeContext, head: &Parts) -> Result<usize, RequestError> {
-    let name = text(&head.headers, &REQUEST_CLASS)?;
-    let plain_name = normalize_name(name);
-    let class = site
-        .names
-        .classes
-        .iter()
-        .position(|known| *known == plain_name)
-        .ok_or(RequestError::Class)?;
-    let rest = head
-        .uri
-        .path()
-        .strip_prefix('/')
-        .and_then(|path| path.strip_prefix(name));
-    if !rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/')) {
-        return Err(RequestError::Class);
+/// Reads a body, which has to be complete by `deadline`. A request without one has an empty body.
+pub(crate) async fn read_body(
+    body: IncomingBody,
+    method: &Method,
+    deadline: tokio::time::Instant,
+) -> Result<Bytes, RequestError> {
+    if body.is_end_stream() {
+        return Ok(Bytes::new());
+    }
+    if method == Method::GET {
+        return Err(RequestError::MethodMismatch);
+    }
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+        return Err(RequestError::BodyTooLong);
+    }
+    let collected = Limited::new(body, MAX_BODY_BYTES).collect();
+    let read = tokio::time::timeout_at(deadline, collected)
+        .await
+        .map_err(RequestError::BodyTimeout)?;
+    match read {
+        Ok(body) => Ok(body.to_bytes()),
+        Err(error) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLong),
+        Err(error) => Err(RequestError::UnreadableBody(error)),
+    }
+}
+
+/// The class, on which header, path, method and idempotency key have to agree.
+fn read_class(context: &RuntimeContext, head: &Parts) -> Result<ClassId, RequestError> {
+    let name = header_text(&head.headers, &REQUEST_CLASS)?;
+    let class = position_of(name, &context.names.classes).ok_or(RequestError::UnknownClass)?;
+    if !path_starts_with(head.uri.path(), name) {
+        return Err(RequestError::UnknownClass);
     }
-    let keyed = head.headers.contains_key(IDEMPOTENCY_KEY);
-    let agrees = match site.settings.classes[class].idempotency {
-        Idempotency::Idempotent => head.method == Method::GET && !keyed,
-        Idempotency::WithKey { .. } => head.method == Method::POST && keyed,
-        Idempotency::NonIdempotent => head.method == Method::POST && !keyed,
+    let has_key = head.headers.contains_key(IDEMPOTENCY_KEY);
+    let agrees = match context.settings.classes[class].idempotency {
+        Idempotency::Idempotent => head.method == Method::GET && !has_key,
+        Idempotency::WithKey { .. } => head.method == Method::POST && has_key,
+        Idempotency::NonIdempotent => head.method == Method::POST && !has_key,
     };
     if agrees {
-        Ok(class)
+        Ok(ClassId(class))
     } else {
-        Err(RequestError::Method)
+        Err(RequestError::MethodMismatch)
     }
 }
 
-/// What a request takes from its owner's quota, and how many front doors its owner's set has.
-struct Terms {
+fn read_plan(context: &RuntimeContext, headers: &HeaderMap) -> Result<PlanId, RequestError> {
+    let name = header_text(headers, &API_PLAN)?;
+    let plan = position_of(name, &context.names.plans).ok_or(RequestError::UnknownPlan)?;
+    Ok(PlanId(plan))
+}
+
+/// The index of `name`, as a client writes it, among names of the settings.
+fn position_of(name: &str, known_names: &[String]) -> Option<usize> {
+    let normalized = normalize_name(name);
+    known_names.iter().position(|known| *known == normalized)
+}
+
+/// Whether the first segment of `path` is `segment`.
+fn path_starts_with(path: &str, segment: &str) -> bool {
+    let rest = path
+        .strip_prefix('/')
+        .and_then(|path| path.strip_prefix(segment));
+    rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
+}
+
+fn read_path(uri: &Uri) -> Result<&PathAndQuery, RequestError> {
+    let path = uri.path_and_query().ok_or(RequestError::InvalidPath)?;
+    let is_visible_ascii = path.as_str().bytes().all(|byte| byte.is_ascii_graphic());
+    if is_visible_ascii {
+        Ok(path)
+    } else {
+        Err(RequestError::InvalidPath)
+    }
+}
+
+/// The terms header: `units=2.5, spread=3, first=0`, in any order. Fields with other names are ignored.
+struct QuotaTerms {
+    /// Units that the request takes from the customer's quota.
     units: f64,
-    spread: f64,
+    /// Gateways that serve the customer (`spread`).
+    gateway_count: f64,
 }
 
-impl Terms {
-    /// Only what the settings have room for: the decisions would clamp a figure beyond it and serve the request.
-    fn read(text: &str, settings: &Settings) -> Option<Terms> {
-        let doors = settings.gateways.max(1);
-        let (mut units, mut spread, mut first) = (None, None, None);
+impl QuotaTerms {
+    /// `None` if a field is missing, repeated, malformed or beyond what `settings` allow: the policy engine would clamp
+    /// such a value and serve the request.
+    fn parse(text: &str, settings: &Settings) -> Option<QuotaTerms> {
+        let gateways = settings.gateways.max(1);
+        let max_units = settings.max_units.max(1.0) * (1.0 + UNITS_TOLERANCE);
+        let mut units = None;
+        let mut gateway_count = None;
+        let mut first_gateway = None;
         for field in text.split(',') {
             let (name, value) = field.trim().split_once('=')?;
-            let again = match name {
+            match name {
                 "units" => {
-                    let most = settings.max_units.max(1.0) * (1.0 + 1e-6);
-                    units
-                        .replace(positive(value).filter(|units| *units <= most)?)
-                        .is_some()
+                    let value = parse_positive(value).filter(|units| *units <= max_units)?;
+                    set_once(&mut units, value)?;
+                }
+                "spread" => {
+                    let value = parse_integer(value).filter(|n| (1..=gateways).contains(n))?;
+                    set_once(&mut gateway_count, value)?;
                 }
-                "spread" => spread
-                    .replace(whole(value).filter(|n| (1..=doors).contains(n))?)
-                    .is_some(),
-                "first" => first
-                    .replace(whole(value).filter(|n| *n < doors)?)
-                    .is_some(),
-                _ => false,
-            };
-            if again {
-                return None;
+                "first" => {
+                    let value = parse_integer(value).filter(|n| *n < gateways)?;
+                    set_once(&mut first_gateway, value)?;
+                }
+                _ => {}
             }
         }
-        first?;
-        Some(Terms {
+        // Required, but its value is not used here.
+        first_gateway?;
+        Some(QuotaTerms {
             units: units?,
-            spread: f64::from(spread?),
+            gateway_count: f64::from(gateway_count?),
         })
     }
 }
 
-/// The value of a header that stands there once and is plain ASCII.
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, RequestError> {
+/// Sets a field; `None` if it was set before.
+fn set_once<T>(field: &mut Option<T>, value: T) -> Option<()> {
+    match field.replace(value) {
+        Some(_) => None,
+        None => Some(()),
+    }
+}
+
+/// The value of a header that occurs once and is visible ASCII, spaces and tabs included, without those at its ends.
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, RequestError> {
     let mut values = headers.get_all(name).iter();
     let value = values.next().and_then(|value| value.to_str().ok());
     match (value, values.next()) {
         (Some(value), None) => Ok(value.trim()),
-        _ => Err(RequestError::Header(name.clone())),
+        _ => Err(RequestError::InvalidHeader(name.clone())),
     }
 }
 
-/// A header that names something: neither empty nor long, and no spaces.
-fn name<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, RequestError> {
-    let value = text(headers, name)?;
-    let good = (1..=LONGEST_NAME).contains(&value.len())
-        && value.bytes().all(|byte| byte.is_ascii_graphic());
-    good.then_some(value)
-        .ok_or_else(|| RequestError::Header(name.clone()))
+/// The value of a header that identifies something: 1 to [`MAX_TOKEN_BYTES`] bytes of visible ASCII without spaces.
+fn header_token<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, RequestError> {
+    let value = header_text(headers, name)?;
+    let has_valid_length = (1..=MAX_TOKEN_BYTES).contains(&value.len());
+    if has_valid_length && value.bytes().all(|byte| byte.is_ascii_graphic()) {
+        Ok(value)
+    } else {
+        Err(RequestError::InvalidHeader(name.clone()))
+    }
 }
 
-/// Whether the client marks a further try. What cannot be read is no mark: it says nothing about the request.
-fn again(headers: &HeaderMap) -> bool {
-    text(headers, &CLIENT_RETRY).is_ok_and(|mark| mark == "1")
+/// Whether the client marks the request as a retry. A malformed mark counts as none: it says nothing about the request.
+fn is_marked_retry(headers: &HeaderMap) -> bool {
+    header_text(headers, &CLIENT_RETRY).is_ok_and(|mark| mark == "1")
 }
 
-fn positive(text: &str) -> Option<f64> {
-    text.parse()
-        .ok()
-        .filter(|number: &f64| number.is_finite() && *number > 0.0)
+/// The customer, from the one cookie named `client`.
+fn read_customer(headers: &HeaderMap) -> Option<CustomerId> {
+    let cookies = header_text(headers, &COOKIE).ok()?;
+    let mut values = cookies
+        .split(';')
+        .filter_map(|cookie| cookie.trim().strip_prefix("client="));
+    let value = values.next()?;
+    let is_repeated = values.next().is_some();
+    let is_hex = value.bytes().all(|byte| byte.is_ascii_hexdigit());
+    if is_repeated || !is_hex || value.len() != CUSTOMER_HEX_DIGITS {
+        return None;
+    }
+    let number = u64::from_str_radix(value, 16).ok()?;
+    (number < CUSTOMER_NUMBER_LIMIT).then_some(CustomerId(number))
 }
 
-/// A whole number, also where it is written with decimals.
-fn whole(text: &str) -> Option<u32> {
+fn parse_positive(text: &str) -> Option<f64> {
     let number: f64 = text.parse().ok()?;
-    (number >= 0.0 && number.fract() == 0.0 && number <= f64::from(u32::MAX))
-        .then_some(number as u32)
+    (number.is_finite() && number > 0.0).then_some(number)
 }
 
-/// The customer that the one cookie of that name tells.
-fn customer(headers: &HeaderMap) -> Option<CustomerId> {
-    let line = text(headers, &COOKIE).ok()?;
-    let mut names = line
-        .split(';')
-        .filter_map(|one| one.trim().strip_prefix("client="));
-    let name = names.next()?;
-    let hex = name.len() == 16 && name.bytes().all(|byte| byte.is_ascii_hexdigit());
-    let number = u64::from_str_radix(name, 16)
-        .ok()
-        .filter(|number| hex && *number < CUSTOMERS)?;
-    names.next().is_none().then_some(CustomerId(number))
-}
-
-/// Reads a body that has to be there by `end`.
-pub(crate) async fn read_body(
-    body: IncomingBody,
-    method: &Method,
-    end: tokio::time::Instant,
-) -> Result<Bytes, RequestError> {
-    if body.is_end_stream() {
-        return Ok(Bytes::new());
-    }
-    if method == Method::GET {
-        return Err(RequestError::Method);
-    }
-    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
-        return Err(RequestError::TooLong);
-    }
-    let read = tokio::time::timeout_at(end, Limited::new(body, MAX_BODY_BYTES).collect()).await;
-    match read.map_err(|_| RequestError::Slow)? {
-        Ok(body) => Ok(body.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err(RequestError::TooLong),
-        Err(_) => Err(RequestError::Body),
-    }
+/// An integer, also where it is written with decimals, as in `3.0`.
+fn parse_integer(text: &str) -> Option<u32> {
+    let number: f64 = text.parse().ok()?;
+    let is_integer = number >= 0.0 && number.fract() == 0.0 && number <= f64::from(u32::MAX);
+    is_integer.then_some(number as u32)
 }
