--- a/src/net/downstream/connections.rs
+++ b/src/net/downstream/connections.rs
@@ -63,7 +63,8 @@
     accepted: Cell<u64>,
     /// Notified whenever a connection has closed.
     closed: Notify,
-    /// Set while a new connection waits and none can be evicted: each response then closes its connection.
+    /// Set when a new connection waits and none can be evicted, until there is room: each response then closes its
+    /// connection.
     keep_alive_disabled: Cell<bool>,
     phase: watch::Sender<ShutdownPhase>,
 }
@@ -92,7 +93,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    self.make_room().await;
+                    self.wait_for_free_slot().await;
                     self.register_and_serve(stream);
                 }
                 Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
--- a/src/net/downstream/connections/eviction.rs
+++ b/src/net/downstream/connections/eviction.rs
@@ -48,7 +48,7 @@
     ///
     /// A connection that the system has accepted takes a descriptor of this process already, so it is never left waiting
     /// for long. Where nothing may be evicted, responses close their connections until there is room.
-    pub(super) async fn make_room(&self) {
+    pub(super) async fn wait_for_free_slot(&self) {
         while self.open.borrow().len() >= self.limit {
             match self.eviction_candidate(self.context.clock.now()) {
                 Some(candidate) => candidate.evict(),
