--- a/src/net/control/endpoint_list.rs
+++ b/src/net/control/endpoint_list.rs
@@ -57,3 +57,6 @@
 fn default_weight() -> f64 {
     1.0
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/control/handover/tests.rs
+++ b/src/net/control/handover/tests.rs
@@ -56,3 +56,70 @@
     );
     std::fs::remove_file(path).expect("the file");
 }
+
+fn bytes(path: &std::path::Path) -> String {
+    std::fs::read_to_string(path).expect("the file")
+}
+
+/// The file outlasts the program that wrote it, so its bytes are fixed: no header, one line a record, the format's number
+/// first, the deadline in whole Unix milliseconds, the state and the id.
+#[test]
+fn records_are_appended_in_the_fixed_line_format() {
+    let (path, clock) = (path("append"), Clock::new());
+    let deadline = (clock.now() + 3000.0).floor();
+    let mut handover = Handover::open(path.clone(), clock, 8000.0).expect("a handover");
+    assert_eq!(bytes(&path), "");
+    handover.record_accepted(&"a".into(), deadline);
+    assert_eq!(bytes(&path), format!("1 {deadline} taken a\n"));
+    handover.record_sent(&"a".into(), deadline + 0.25);
+    // Known to have been sent: written once.
+    handover.record_sent(&"a".into(), deadline + 7.0);
+    handover.record_sent(&"b/ü".into(), deadline + 0.75);
+    let after = deadline + 1.0;
+    let expected = format!("1 {deadline} taken a\n1 {deadline} ran a\n1 {after} ran b/ü\n");
+    assert_eq!(bytes(&path), expected);
+    assert!(!path.with_extension("new").exists());
+    std::fs::remove_file(path).expect("the file");
+}
+
+/// A restart reads the lines back, and writes the file anew with one line for each id that still matters.
+#[test]
+fn a_restart_replays_the_records_and_compacts_them_in_the_same_format() {
+    let (path, clock) = (path("replay"), Clock::new());
+    let deadline = (clock.now() + 3000.0).floor();
+    let (earlier, ended) = (deadline - 500.0, deadline - 20_000.0);
+    let text = format!(
+        "1 {deadline} taken a\n1 {earlier} ran a\n1 {deadline} taken b\n1 {ended} ran c\n1 {deadline} ran d\n"
+    );
+    std::fs::write(&path, text).expect("a file");
+    std::fs::write(path.with_extension("new"), "1 0 ran left over").expect("a file");
+    let mut handover = Handover::open(path.clone(), clock, 8000.0).expect("a handover");
+    let record = |deadline, may_have_run| {
+        Some(RequestRecord {
+            deadline,
+            may_have_run,
+        })
+    };
+    assert_eq!(handover.previous_record("a"), record(earlier, true));
+    assert_eq!(handover.previous_record("b"), record(deadline, false));
+    assert_eq!(handover.previous_record("c"), None);
+    assert_eq!(handover.previous_record("d"), record(deadline, true));
+    let text = bytes(&path);
+    assert!(text.ends_with('\n'));
+    let mut lines: Vec<&str> = text.lines().collect();
+    lines.sort_unstable();
+    let mut expected = [
+        format!("1 {earlier} ran a"),
+        format!("1 {deadline} taken b"),
+        format!("1 {deadline} ran d"),
+    ];
+    expected.sort_unstable();
+    assert_eq!(lines, expected);
+    assert!(!path.with_extension("new").exists());
+    // What is taken from now on is appended to the compacted file, and does not hide what the process before left.
+    handover.record_accepted(&"d".into(), deadline + 9.0);
+    let after = deadline + 9.0;
+    assert_eq!(bytes(&path), format!("{text}1 {after} taken d\n"));
+    assert_eq!(handover.previous_record("d"), record(deadline, true));
+    std::fs::remove_file(path).expect("the file");
+}
