--- a/src/net/control/discovery/deadline.rs
+++ b/src/net/control/discovery/deadline.rs
@@ -1,96 +1,106 @@
-//! How long a call to discovery and the pause after it may take, so that what discovery has is in force in time.
+//! How long a call to discovery and the pause after it may take, so that a change takes effect in time.
 //!
-//! Each chain from the moment at which discovery had something to the answer that tells it stays below [`IN_FORCE`]:
+//! Each chain from the moment at which discovery has a change to the response that brings it stays below
+//! [`UPDATE_DEADLINE`]:
 //!
 //! | chain | longest |
 //! | --- | --- |
-//! | a silent watch, a short pause, an answer | 4.25 + 0.2 + 1.4 = 5.85 s |
-//! | a call that hangs, a short pause, an answer | 1.4 + 0.2 + 2.8 = 4.4 s |
-//! | a further call that hangs, a short pause, an answer | 2.8 + 0.2 + 2.8 = 5.8 s |
-//! | a call that is refused at any time, a long pause, an answer | 6 - 0.25 = 5.75 s |
-//! | a silent watch, a short pause, a refused call, a short pause, an answer | 4.65 s and both answers |
+//! | a silent watch, a short pause, a response | 4.25 + 0.2 + 1.4 = 5.85 s |
+//! | a call that times out, a short pause, a response | 1.4 + 0.2 + 2.8 = 4.4 s |
+//! | a further call that times out, a short pause, a response | 2.8 + 0.2 + 2.8 = 5.8 s |
+//! | a call that is rejected at any time, a long pause, a response | 6 - 0.25 = 5.75 s |
+//! | a silent watch, a short pause, a rejected call, a short pause, a response | 4.65 s and both responses |
 //!
-//! The long pause is what the refused call and an answer leave of the time: at most [`LONGEST_PAUSE`].
+//! The long pause takes what the rejected call and a response leave of the time: at most [`MAX_BACKOFF`].
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Discovery says something every 2 s. A watch that has missed two of these, and a little for the way, has lost its other
-/// end: what it misses counts as told 6 s after it fell silent, so the third may not be waited for. A whole fleet that finds
-/// its agents silent opens a watch each in this time, and each at its own.
-pub(super) const SILENCE: Duration = Duration::from_millis(4250);
-/// What discovery has is to be in force so long after it had it and could be reached.
-const IN_FORCE: Duration = Duration::from_secs(6);
-/// The same after a new configuration that may have moved discovery.
-const IN_FORCE_ELSEWHERE: Duration = Duration::from_secs(4);
-/// Kept back of these for late timers and for taking in a list.
-const MARGIN: Duration = Duration::from_millis(250);
-/// Time for the dial and the head of an answer. One that is lost on the way is sent again by the system after 1 s.
-const ANSWER: Duration = Duration::from_millis(1400);
-/// The same after a call that had no answer in its time, so that a slow service is heard too. Twice this and a short
-/// pause stay below [`IN_FORCE`].
-const SLOW_ANSWER: Duration = Duration::from_millis(2800);
-/// The longest pause after a refused call: one that was refused at once, with time for one answer left.
-pub(crate) const LONGEST_PAUSE: Duration = IN_FORCE.saturating_sub(MARGIN).saturating_sub(ANSWER);
+/// How long a watch may bring neither an object nor a heartbeat.
+///
+/// Discovery sends a heartbeat every 2 s. A watch that has missed two of these, with 250 ms for the way, has lost its other
+/// end. It cannot wait for the third: a change counts from 6 s after the watch fell silent. The gateways of a fleet whose
+/// agents fall silent together reconnect within this time, each at its own moment.
+pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(4250);
+/// How long after discovery has a change, and can be reached, the change has to be in effect.
+const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
+/// The same after a configuration that may have given discovery another address.
+const UPDATE_DEADLINE_AFTER_MOVE: Duration = Duration::from_secs(4);
+/// Kept back of both for late timers and for applying a list.
+const SAFETY_MARGIN: Duration = Duration::from_millis(250);
+/// Timeout of the connection and the response's head together. It outlasts one lost packet, which the system sends again
+/// after 1 s.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1400);
+/// The same after a call that timed out, so that a slow service gets through. Twice this and a short pause stay below
+/// [`UPDATE_DEADLINE`].
+const SLOW_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2800);
+/// The longest pause, after a call that was rejected at once: it leaves time for one response.
+pub(crate) const MAX_BACKOFF: Duration = UPDATE_DEADLINE
+    .saturating_sub(SAFETY_MARGIN)
+    .saturating_sub(RESPONSE_TIMEOUT);
 
 /// How a call or the watch that it opened ended, as far as time goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WatchEnd {
-    /// The watch or the list ended, and nothing can have been missed before.
+    /// The response ended or became unreadable; no change can have been missed before.
     Closed,
-    /// An answer began and fell silent.
+    /// A response began and fell silent.
     Silent,
-    /// Discovery had too many calls.
-    Refused,
-    /// No answer in its time.
-    Unanswered,
-    /// The connection failed before an answer.
+    /// Discovery rejected the call because it had too many.
+    Rejected,
+    /// No response within its timeout.
+    TimedOut,
+    /// The connection failed, or the response had another status.
     Failed,
 }
 
-/// When what discovery may have has to be in force.
+/// By when a change that this gateway may have missed has to be in effect.
 #[derive(Debug, Default)]
 pub(super) struct Deadline {
-    /// Of what came before the present call; a refused call uses it up, and the next one counts from its own beginning.
-    due: Option<Instant>,
-    unanswered: bool,
+    /// Of changes from before the present call. A rejected call uses it up, and the next one counts from its own start.
+    update_due: Option<Instant>,
+    last_call_timed_out: bool,
 }
 
 impl Deadline {
-    /// Time for the dial and the head of the next call's answer.
-    pub(super) fn patience(&self) -> Duration {
-        if self.unanswered {
-            SLOW_ANSWER
+    /// Timeout for the connection and the head of the next call's response.
+    pub(super) fn response_timeout(&self) -> Duration {
+        if self.last_call_timed_out {
+            SLOW_RESPONSE_TIMEOUT
         } else {
-            ANSWER
+            RESPONSE_TIMEOUT
         }
     }
 
-    /// Discovery may be elsewhere from now on.
-    pub(super) fn moved(&mut self) {
+    /// Discovery may have another address from now on.
+    pub(super) fn address_changed(&mut self) {
         *self = Deadline {
-            due: Some(Instant::now() + IN_FORCE_ELSEWHERE),
-            unanswered: false,
+            update_due: Some(Instant::now() + UPDATE_DEADLINE_AFTER_MOVE),
+            last_call_timed_out: false,
         };
     }
 
-    /// A call that began at `begun` has ended. Tells the longest pause that leaves time for an answer after it; nothing is
-    /// left where the time is up.
-    pub(super) fn ended(&mut self, begun: Instant, lapse: WatchEnd) -> Duration {
+    /// A call that started at `started_at` has ended. Returns the longest pause that leaves time for a response after it;
+    /// zero if the time is up.
+    pub(super) fn call_ended(&mut self, started_at: Instant, watch_end: WatchEnd) -> Duration {
         let now = Instant::now();
-        let due = match lapse {
-            WatchEnd::Closed => now + IN_FORCE,
-            WatchEnd::Silent => now + IN_FORCE - SILENCE,
-            WatchEnd::Unanswered | WatchEnd::Failed => begun + IN_FORCE,
-            WatchEnd::Refused => self.due.take().unwrap_or(begun + IN_FORCE),
+        let update_due = match watch_end {
+            WatchEnd::Closed => now + UPDATE_DEADLINE,
+            WatchEnd::Silent => now + UPDATE_DEADLINE - SILENCE_TIMEOUT,
+            WatchEnd::TimedOut | WatchEnd::Failed => started_at + UPDATE_DEADLINE,
+            WatchEnd::Rejected => self
+                .update_due
+                .take()
+                .unwrap_or(started_at + UPDATE_DEADLINE),
         };
-        self.unanswered = lapse == WatchEnd::Unanswered;
-        if lapse != WatchEnd::Refused {
-            self.due = Some(due);
+        self.last_call_timed_out = watch_end == WatchEnd::TimedOut;
+        if watch_end != WatchEnd::Rejected {
+            self.update_due = Some(update_due);
         }
-        due.saturating_duration_since(now)
-            .saturating_sub(MARGIN + ANSWER)
-            .min(LONGEST_PAUSE)
+        update_due
+            .saturating_duration_since(now)
+            .saturating_sub(SAFETY_MARGIN + RESPONSE_TIMEOUT)
+            .min(MAX_BACKOFF)
     }
 }
 
--- /dev/null
+++ b/src/net/control/discovery/watch.rs
@@ -0,0 +1,155 @@
+//! The loop that follows discovery for as long as the gateway runs.
+
+use super::deadline::{Deadline, WatchEnd};
+use super::error::WatchError;
+use super::response::WatchResponse;
+use super::versions::VersionTracker;
+use super::{EndpointObserver, EndpointUpdate};
+use crate::net::control::backoff::Backoff;
+use crate::net::control::endpoint_list::EndpointList;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::watch::Receiver;
+use tokio::time::Instant;
+
+/// Follows discovery from the `cached` list of an earlier process, and hands each list to `observer`. It never returns.
+///
+/// `agent` is the address of discovery: when it changes, or the same is sent again, the present call is dropped at once and
+/// the watch resumed there.
+pub(crate) async fn watch_endpoints(
+    observer: Rc<dyn EndpointObserver>,
+    mut agent: Receiver<SocketAddr>,
+    cached: Option<EndpointList>,
+    backoff: Backoff,
+) {
+    let mut watch = EndpointWatch::new(observer, cached.as_ref(), backoff);
+    loop {
+        let address = *agent.borrow_and_update();
+        let call = watch.begin_call();
+        let result = tokio::select! {
+            result = watch.run_call(address, &call) => result,
+            _ = agent.changed() => {
+                watch.deadline.address_changed();
+                continue;
+            }
+        };
+        let Some(pause) = watch.end_call(&call, result) else {
+            continue;
+        };
+        tokio::select! {
+            () = tokio::time::sleep(pause) => {}
+            _ = agent.changed() => watch.deadline.address_changed(),
+        }
+    }
+}
+
+/// A call as it began.
+struct Call {
+    started_at: Instant,
+    /// The version from which the watch is resumed; none requests the full list.
+    resume_from: Option<u64>,
+    /// How long the response's head may take.
+    response_timeout: Duration,
+}
+
+impl Call {
+    /// Path and query of the request, as the platform's protocol has them.
+    fn path(&self) -> String {
+        match self.resume_from {
+            Some(version) => format!("/catalog/members?watch=1&from={version}"),
+            None => "/catalog/members".to_owned(),
+        }
+    }
+}
+
+/// The state that outlives a call.
+struct EndpointWatch {
+    observer: Rc<dyn EndpointObserver>,
+    versions: VersionTracker,
+    deadline: Deadline,
+    backoff: Backoff,
+    /// Whether the last call brought nothing: an outage is logged once, not for each call.
+    is_down: bool,
+}
+
+impl EndpointWatch {
+    fn new(
+        observer: Rc<dyn EndpointObserver>,
+        cached: Option<&EndpointList>,
+        backoff: Backoff,
+    ) -> EndpointWatch {
+        let versions = VersionTracker::new(cached);
+        if let Some(list) = cached {
+            observer.endpoints_updated(list, EndpointUpdate::Cached);
+        }
+        EndpointWatch {
+            observer,
+            versions,
+            deadline: Deadline::default(),
+            backoff,
+            is_down: false,
+        }
+    }
+
+    fn begin_call(&self) -> Call {
+        Call {
+            started_at: Instant::now(),
+            resume_from: self.versions.resume_from(),
+            response_timeout: self.deadline.response_timeout(),
+        }
+    }
+
+    /// Makes the call and applies each object of the response until it ends.
+    async fn run_call(&mut self, agent: SocketAddr, call: &Call) -> Result<(), WatchError> {
+        let mut response = WatchResponse::open(agent, &call.path(), call.response_timeout).await?;
+        response.read_objects(|object| self.apply(object)).await
+    }
+
+    fn apply(&mut self, object: &[u8]) -> Result<(), WatchError> {
+        let list: EndpointList = serde_json::from_slice(object)?;
+        let update = self.versions.classify(&list)?;
+        self.observer.endpoints_updated(&list, update);
+        self.versions.record(list.version, update);
+        Ok(())
+    }
+
+    /// Settles what follows from the end of a call: how long to pause before the next one, or none where the full list has
+    /// come and the watch can be opened at once.
+    fn end_call(&mut self, call: &Call, result: Result<(), WatchError>) -> Option<Duration> {
+        if result.as_ref().is_err_and(WatchError::requires_full_list) {
+            self.versions.require_full_list();
+        }
+        let watch_end = match &result {
+            Ok(()) => WatchEnd::Closed,
+            Err(error) => error.watch_end(),
+        };
+        let max_pause = self.deadline.call_ended(call.started_at, watch_end);
+        let resume_from = self.versions.resume_from();
+        let has_moved = resume_from != call.resume_from;
+        if has_moved && resume_from.is_some() {
+            self.backoff.reset();
+        }
+        let requested_full_list = call.resume_from.is_none();
+        if requested_full_list && result.is_ok() && resume_from.is_some() {
+            return None;
+        }
+        if !self.is_down || has_moved {
+            log_watch_end(&result);
+        }
+        self.is_down = !has_moved;
+        if watch_end == WatchEnd::Rejected {
+            Some(self.backoff.after_rejection(max_pause))
+        } else {
+            Some(self.backoff.after_failure())
+        }
+    }
+}
+
+fn log_watch_end(result: &Result<(), WatchError>) {
+    let reason = match result {
+        Ok(()) => "closed".to_owned(),
+        Err(error) => error.to_string(),
+    };
+    eprintln!("discovery: watch ended: {reason}");
+}
