--- a/src/net/control/handover.rs
+++ b/src/net/control/handover.rs
@@ -1,206 +1,234 @@
-//! What a front door that starts has to know of the one that ended under its name: what time its requests had left, and
-//! which of them may have run. Off unless the configuration names a file under `handover`.
+//! The hand-over file: what a process that starts has to know of the one before it under the same name. It holds how much
+//! time the requests of that process had left, and which of them may have run. Off unless the configuration names a file
+//! under `handover`.
 //!
-//! Lines are appended as things happen, so that they outlast a process that is killed; they are not written through to
-//! a disk, so they do not outlast the machine. What is read back is judged like any input: a line that is torn or makes
-//! no sense is passed over.
+//! Records are appended as requests arrive and are sent, so that they outlast a process that is killed. They are not
+//! synced to disk, so they do not outlast the machine. The file is compacted when it grows: what still matters is written
+//! to a new file that replaces it. A process that starts replays the file; each line is checked like any input, and one
+//! that is torn or implausible is skipped.
+
+mod record;
 
 use crate::net::runtime::clock::Clock;
 use cometspool::Millis;
+use record::RecordLine;
+pub(crate) use record::RequestRecord;
 use std::collections::HashMap;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// How long after its end a request is still told to a successor: a client that resends does so at once.
-const KEPT: Millis = 5000.0;
-/// Bytes after which the file is written anew, with what still matters.
-const COMPACT: u64 = 1 << 20;
-/// Requests that are kept at most, the file's and this process's own.
-const MOST: usize = 16_384;
-/// After a write that failed, a new file is tried no sooner than this.
-const RETRY: Millis = 1000.0;
-
-/// What is known of one request.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct RequestRecord {
-    /// When its client stops waiting.
-    pub deadline: Millis,
-    /// Whether an attempt of it that must not be repeated may have run.
-    pub may_have_run: bool,
+/// For how long after its deadline a request still matters: a client that resends does so at once.
+const RETENTION: Millis = 5000.0;
+/// Bytes after which the file is compacted.
+const COMPACTION_BYTES: u64 = 1 << 20;
+/// The most records that are held of this process; twice as many are replayed.
+const MAX_RECORDS: usize = 16_384;
+/// After a write that failed, how long until the next one is tried.
+const WRITE_RETRY_DELAY: Millis = 1000.0;
+
+/// Why the hand-over file cannot be used at the start; one line that begins with the key of the configuration.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum HandoverError {
+    /// It exists and cannot be read.
+    #[error("handover: {}: {source}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// The error of the system.
+        source: io::Error,
+    },
+    /// It cannot be written.
+    #[error("handover: {}: {source}", path.display())]
+    Unwritable {
+        /// The file.
+        path: PathBuf,
+        /// The error of the system.
+        source: io::Error,
+    },
 }
 
-/// The file, and the requests that it tells of.
+/// Records by the id of their request.
+type Records = HashMap<Rc<str>, RequestRecord>;
+
+/// The file, and the records that it holds.
 pub(crate) struct Handover {
     path: PathBuf,
-    /// None while the disk takes nothing; then a new one is tried at `again`.
+    /// None while the file cannot be written; then a new one is tried at `retry_at`.
     file: Option<File>,
-    again: Millis,
-    written: u64,
+    retry_at: Millis,
+    /// Bytes in the file.
+    file_bytes: u64,
     clock: Clock,
     /// Of the process before this one.
-    before: HashMap<Rc<str>, RequestRecord>,
-    /// Of this one.
-    own: HashMap<Rc<str>, RequestRecord>,
+    previous: Records,
+    /// Of this process.
+    current: Records,
 }
 
 impl Handover {
-    /// Reads what a predecessor left and begins the file anew. No time of a request may lie more than `most` ahead.
-    pub(crate) fn open(path: PathBuf, clock: Clock, most: Millis) -> io::Result<Handover> {
+    /// Replays the file that the process before left, if there is one, and compacts it. A record whose deadline lies more
+    /// than `max_ahead` ahead, in ms, is skipped.
+    ///
+    /// # Errors
+    /// The file cannot be read or written.
+    pub(crate) fn open(
+        path: PathBuf,
+        clock: Clock,
+        max_ahead: Millis,
+    ) -> Result<Handover, HandoverError> {
         let now = clock.now();
         let text = match std::fs::read(&path) {
             Ok(bytes) => String::from_utf8_lossy(&bytes).into_owned(),
             Err(error) if error.kind() == io::ErrorKind::NotFound => String::new(),
-            Err(error) => return Err(error),
+            Err(source) => return Err(HandoverError::Unreadable { path, source }),
         };
-        let sane =
-            |known: &RequestRecord| known.deadline > now - KEPT && known.deadline <= now + most;
-        let mut before: HashMap<Rc<str>, RequestRecord> = HashMap::new();
-        // The last lines count: of what is over the bound, the oldest is left out.
-        for (id, known) in text
-            .lines()
-            .rev()
-            .filter_map(read)
-            .filter(|(_, known)| sane(known))
-            .take(2 * MOST)
-        {
-            let entry = before.entry(id.into()).or_insert(known);
-            entry.may_have_run |= known.may_have_run;
-            entry.deadline = entry.deadline.min(known.deadline);
-        }
         let mut handover = Handover {
             path,
             file: None,
-            again: now,
-            written: 0,
+            retry_at: now,
+            file_bytes: 0,
             clock,
-            before,
-            own: HashMap::new(),
+            previous: replay(&text, now, max_ahead),
+            current: Records::new(),
         };
-        handover.compact()?;
-        Ok(handover)
+        match handover.compact() {
+            Ok(()) => Ok(handover),
+            Err(source) => Err(HandoverError::Unwritable {
+                path: handover.path,
+                source,
+            }),
+        }
     }
 
-    /// What the process before this one left of a request.
+    /// What the process before this one left of the request `id`.
     pub(crate) fn previous_record(&self, id: &str) -> Option<RequestRecord> {
-        self.before.get(id).copied()
+        self.previous.get(id).copied()
     }
 
-    /// A request has been taken.
-    pub(crate) fn record_accepted(&mut self, id: &Rc<str>, end: Millis) {
-        self.note(
-            id,
-            RequestRecord {
-                deadline: end,
-                may_have_run: false,
-            },
-        );
+    /// Records that a request was accepted; `deadline` is in Unix milliseconds.
+    pub(crate) fn record_accepted(&mut self, id: &Rc<str>, deadline: Millis) {
+        let record = RequestRecord {
+            deadline,
+            may_have_run: false,
+        };
+        self.record(id, record);
     }
 
-    /// An attempt of a request that must not be repeated goes out: from here on it may have run.
-    pub(crate) fn record_sent(&mut self, id: &Rc<str>, end: Millis) {
-        if self.own.get(id).is_none_or(|known| !known.may_have_run) {
-            self.note(
-                id,
-                RequestRecord {
-                    deadline: end,
-                    may_have_run: true,
-                },
-            );
+    /// Records that an attempt of a request that must not be repeated is about to be sent: it may have run from here on.
+    /// Written once for each request; `deadline` is in Unix milliseconds.
+    pub(crate) fn record_sent(&mut self, id: &Rc<str>, deadline: Millis) {
+        if self.current.get(id).is_some_and(|known| known.may_have_run) {
+            return;
         }
+        let record = RequestRecord {
+            deadline,
+            may_have_run: true,
+        };
+        self.record(id, record);
     }
 
-    fn note(&mut self, id: &Rc<str>, known: RequestRecord) {
-        let (now, whole) = (self.clock.now(), self.file.is_some());
-        self.own.insert(id.clone(), known);
-        if self.own.len() > MOST && !whole {
-            self.forget(now);
+    /// Holds a record and writes it. While the file cannot be written, a new one is tried at times.
+    fn record(&mut self, id: &Rc<str>, record: RequestRecord) {
+        let now = self.clock.now();
+        let was_writable = self.file.is_some();
+        self.current.insert(id.clone(), record);
+        if was_writable {
+            let must_compact =
+                self.file_bytes >= COMPACTION_BYTES || self.current.len() > MAX_RECORDS;
+            let result = if must_compact {
+                self.compact()
+            } else {
+                self.append(id, record)
+            };
+            if let Err(error) = result {
+                self.suspend(now, Some(&error));
+            }
+            return;
         }
-        if !whole && now < self.again {
+        if self.current.len() > MAX_RECORDS {
+            self.evict_expired(now);
+        }
+        if now < self.retry_at {
             return;
         }
-        let wrote = match !whole || self.written >= COMPACT || self.own.len() > MOST {
-            true => self.compact(),
-            false => self.append(id, known),
-        };
-        match (wrote, whole) {
-            (Ok(()), true) => {}
-            (Ok(()), false) => eprintln!("handover: {}: handed over again", self.path.display()),
-            (Err(error), whole) => {
-                // A front door goes on serving. What is in memory still holds; a successor may miss what came last, and
-                // finds it once the disk takes it again.
-                if whole {
-                    eprintln!(
-                        "handover: {}: {error}: nothing more is handed over for now",
-                        self.path.display()
-                    );
-                }
-                (self.file, self.again) = (None, now + RETRY);
-            }
+        match self.compact() {
+            Ok(()) => eprintln!("handover: {}: handed over again", self.path.display()),
+            Err(_) => self.suspend(now, None),
         }
     }
 
-    /// Drops what no longer matters, and of more than fits all that may be run again.
-    fn forget(&mut self, now: Millis) {
-        self.before.retain(|_, known| known.deadline > now - KEPT);
-        self.own.retain(|_, known| known.deadline > now - KEPT);
-        if self.own.len() > MOST {
-            // Of the rest nothing is promised.
-            self.own.retain(|_, known| known.may_have_run);
+    /// Stops writing until `WRITE_RETRY_DELAY` has passed. An error is logged where it is the first of an outage.
+    ///
+    /// The gateway goes on serving, and the records in memory still hold. A process that starts meanwhile may miss the
+    /// last ones; they are written once the file can be.
+    fn suspend(&mut self, now: Millis, first_error: Option<&io::Error>) {
+        if let Some(error) = first_error {
+            eprintln!(
+                "handover: {}: {error}: nothing more is handed over for now",
+                self.path.display()
+            );
         }
+        self.file = None;
+        self.retry_at = now + WRITE_RETRY_DELAY;
     }
 
-    fn append(&mut self, id: &str, known: RequestRecord) -> io::Result<()> {
-        let line = line(id, known);
-        self.written += line.len() as u64;
-        match &mut self.file {
-            Some(file) => file.write_all(line.as_bytes()),
-            None => Ok(()),
+    /// Drops the records that no longer matter, and of more than fit those of requests that may run again.
+    fn evict_expired(&mut self, now: Millis) {
+        let matters = |record: &RequestRecord| record.deadline > now - RETENTION;
+        self.previous.retain(|_, record| matters(record));
+        self.current.retain(|_, record| matters(record));
+        if self.current.len() > MAX_RECORDS {
+            self.current.retain(|_, record| record.may_have_run);
         }
     }
 
-    /// Writes what still matters to a new file and puts it in the place of the old one.
+    fn append(&mut self, id: &str, record: RequestRecord) -> io::Result<()> {
+        let Some(file) = &mut self.file else {
+            return Ok(());
+        };
+        let line = record.to_line(id);
+        self.file_bytes += line.len() as u64;
+        file.write_all(line.as_bytes())
+    }
+
+    /// Writes what still matters to a new file that replaces the old one.
     fn compact(&mut self) -> io::Result<()> {
-        self.forget(self.clock.now());
-        let fresh = self.path.with_extension("new");
+        self.evict_expired(self.clock.now());
+        let replacement = self.path.with_extension("new");
         let mut text = String::new();
-        for (id, known) in self.before.iter().chain(&self.own) {
-            text.push_str(&line(id, *known));
+        for (id, record) in self.previous.iter().chain(&self.current) {
+            text.push_str(&record.to_line(id));
         }
-        std::fs::write(&fresh, &text)?;
-        std::fs::rename(&fresh, &self.path)?;
+        std::fs::write(&replacement, &text)?;
+        std::fs::rename(&replacement, &self.path)?;
         self.file = Some(OpenOptions::new().append(true).open(&self.path)?);
-        self.written = text.len() as u64;
+        self.file_bytes = text.len() as u64;
         Ok(())
     }
 }
 
-fn line(id: &str, known: RequestRecord) -> String {
-    format!(
-        "1 {:.0} {} {id}\n",
-        known.deadline,
-        if known.may_have_run { "ran" } else { "taken" }
-    )
-}
-
-fn read(line: &str) -> Option<(&str, RequestRecord)> {
-    let mut words = line.split(' ');
-    let (version, end, state, id) = (words.next()?, words.next()?, words.next()?, words.next()?);
-    let ran = match state {
-        "ran" => true,
-        "taken" => false,
-        _ => return None,
+/// The records of a file's text. Of several for one request the earliest deadline and the worst state count. The last lines
+/// are read first, so that of more than fit the oldest are left out.
+fn replay(text: &str, now: Millis, max_ahead: Millis) -> Records {
+    let is_plausible = |line: &RecordLine<'_>| {
+        let deadline = line.record.deadline;
+        deadline > now - RETENTION && deadline <= now + max_ahead
     };
-    let end: f64 = end.parse().ok().filter(|end: &f64| end.is_finite())?;
-    let sound = version == "1" && !id.is_empty() && words.next().is_none();
-    sound.then_some((
-        id,
-        RequestRecord {
-            deadline: end,
-            may_have_run: ran,
-        },
-    ))
+    let lines = text
+        .lines()
+        .rev()
+        .filter_map(RecordLine::parse)
+        .filter(is_plausible)
+        .take(2 * MAX_RECORDS);
+    let mut records = Records::new();
+    for line in lines {
+        let merged = records.entry(line.id.into()).or_insert(line.record);
+        merged.may_have_run |= line.record.may_have_run;
+        merged.deadline = merged.deadline.min(line.record.deadline);
+    }
+    records
 }
 
 #[cfg(test)]
--- a/src/net/control/handover/tests.rs
+++ b/src/net/control/handover/tests.rs
@@ -6,52 +6,56 @@
     std::env::temp_dir().join(format!("handover-{}-{name}", std::process::id()))
 }
 
-/// Guards what is handed over: the least time and the worst that was seen of a request; torn, odd and stale lines,
-/// and times that no class allows, tell nothing.
+/// Guards what is handed over: the earliest deadline and the worst state of a request. Torn, malformed and expired lines,
+/// and deadlines that no class allows, are skipped.
 #[test]
-fn what_was_left_is_read_and_the_rest_passed_over() {
-    let (path, clock) = (path("read"), Clock::new());
+fn replay_merges_the_records_of_a_request_and_skips_implausible_lines() {
+    let path = path("read");
+    let clock = Clock::new();
     let now = clock.now();
-    let (near, stale, far) = (now + 3000.0, now - 6000.0, now + 9000.0);
+    let near = now + 3000.0;
+    let stale = now - 6000.0;
+    let far = now + 9000.0;
     let text = format!(
         "1 {near:.0} taken a\n1 {near:.0} ran a\n1 {near:.0} taken b\n1 {stale:.0} ran c\n1 {far:.0} ran d\n\
          2 {near:.0} ran e\n1 NaN ran f\n1 {near:.0} ran g h\n1 {near:.0} ra"
     );
     std::fs::write(&path, [text.as_bytes(), b"\xff\xfe"].concat()).expect("a file");
     let handover = Handover::open(path.clone(), clock, 8000.0).expect("a handover");
-    let known: Vec<_> = "abcdefgh"
+    let states: Vec<_> = "abcdefgh"
         .chars()
         .map(|id| {
             handover
                 .previous_record(&id.to_string())
-                .map(|k| k.may_have_run)
+                .map(|record| record.may_have_run)
         })
         .collect();
     assert_eq!(
-        known,
+        states,
         [Some(true), Some(false), None, None, None, None, None, None]
     );
     assert!((handover.previous_record("a").expect("known").deadline - near).abs() <= 1.0);
     std::fs::remove_file(path).expect("the file");
 }
 
-/// Guards the file's size, and what must not run twice against being forgotten with the rest.
+/// Guards the file's size, and the record of a request that may have run against being evicted with the rest.
 #[test]
-fn the_file_stays_small_and_keeps_what_must_not_run_twice() {
-    let (path, clock) = (path("size"), Clock::new());
+fn compaction_bounds_the_file_and_retains_requests_that_may_have_run() {
+    let path = path("size");
+    let clock = Clock::new();
     let end = clock.now() + 3000.0;
     let mut handover = Handover::open(path.clone(), clock, 8000.0).expect("a handover");
     handover.record_sent(&"unsafe".into(), end);
-    for i in 0..3 * MOST {
+    for i in 0..3 * MAX_RECORDS {
         handover.record_accepted(&format!("safe-{i}").into(), end);
     }
-    assert!(handover.own.len() <= MOST + 1);
+    assert!(handover.current.len() <= MAX_RECORDS + 1);
     let length = std::fs::metadata(&path).expect("the file").len();
-    assert!(length <= COMPACT + 64, "{length} bytes");
+    assert!(length <= COMPACTION_BYTES + 64, "{length} bytes");
     let next = Handover::open(path.clone(), clock, 8000.0).expect("a handover");
     assert_eq!(
         next.previous_record("unsafe")
-            .map(|known| known.may_have_run),
+            .map(|record| record.may_have_run),
         Some(true)
     );
     std::fs::remove_file(path).expect("the file");
@@ -65,7 +69,8 @@
 /// first, the deadline in whole Unix milliseconds, the state and the id.
 #[test]
 fn records_are_appended_in_the_fixed_line_format() {
-    let (path, clock) = (path("append"), Clock::new());
+    let path = path("append");
+    let clock = Clock::new();
     let deadline = (clock.now() + 3000.0).floor();
     let mut handover = Handover::open(path.clone(), clock, 8000.0).expect("a handover");
     assert_eq!(bytes(&path), "");
@@ -85,9 +90,11 @@
 /// A restart reads the lines back, and writes the file anew with one line for each id that still matters.
 #[test]
 fn a_restart_replays_the_records_and_compacts_them_in_the_same_format() {
-    let (path, clock) = (path("replay"), Clock::new());
+    let path = path("replay");
+    let clock = Clock::new();
     let deadline = (clock.now() + 3000.0).floor();
-    let (earlier, ended) = (deadline - 500.0, deadline - 20_000.0);
+    let earlier = deadline - 500.0;
+    let ended = deadline - 20_000.0;
     let text = format!(
         "1 {deadline} taken a\n1 {earlier} ran a\n1 {deadline} taken b\n1 {ended} ran c\n1 {deadline} ran d\n"
     );
@@ -123,3 +130,47 @@
     assert_eq!(handover.previous_record("d"), record(deadline, true));
     std::fs::remove_file(path).expect("the file");
 }
+
+/// The start ends with this line, which begins with the key of the configuration and names the file.
+#[test]
+fn a_file_that_cannot_be_used_is_reported_with_its_path_and_source() {
+    let open = |path: &str| Handover::open(path.into(), Clock::new(), 8000.0).err();
+    for path in ["/nowhere/at/all", "/"] {
+        let error = open(path).expect("an error");
+        let source = std::error::Error::source(&error).expect("a source");
+        assert_eq!(error.to_string(), format!("handover: {path}: {source}"));
+    }
+    let unwritable = open("/nowhere/at/all");
+    assert!(matches!(unwritable, Some(HandoverError::Unwritable { .. })));
+    let unreadable = open("/");
+    assert!(matches!(unreadable, Some(HandoverError::Unreadable { .. })));
+}
+
+/// Guards a gateway against ending with its disk: it serves on, tries a new file after a second and writes all records that
+/// it holds.
+#[tokio::test(start_paused = true)]
+async fn records_that_could_not_be_written_are_written_once_the_file_can_be() {
+    let folder = path("outage");
+    std::fs::create_dir(&folder).expect("a folder");
+    let path = folder.join("handover");
+    let clock = Clock::new();
+    let deadline = (clock.now() + 4000.0).floor();
+    let mut handover = Handover::open(path.clone(), clock, 8000.0).expect("a handover");
+    handover.suspend(clock.now(), None);
+    handover.record_accepted(&"a".into(), deadline);
+    assert_eq!(bytes(&path), "");
+    let pause = std::time::Duration::from_millis(1001);
+    tokio::time::advance(pause).await;
+    handover.record_sent(&"b".into(), deadline);
+    let text = bytes(&path);
+    let mut lines: Vec<&str> = text.lines().collect();
+    lines.sort_unstable();
+    assert_eq!(
+        lines,
+        [
+            format!("1 {deadline} ran b"),
+            format!("1 {deadline} taken a")
+        ]
+    );
+    std::fs::remove_dir_all(folder).expect("the folder");
+}
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -231,8 +231,7 @@
         let site = Rc::new(RuntimeContext::new(told, woken, clock));
         let longest = site.longest_deadline();
         let open = |path: &std::path::PathBuf| {
-            Handover::open(path.clone(), clock, longest)
-                .map_err(|error| format!("handover: {}: {error}", path.display()))
+            Handover::open(path.clone(), clock, longest).map_err(|error| error.to_string())
         };
         let handover = config.handover.as_ref().map(open).transpose()?;
         Ok(Rc::new_cyclic(|own| Driver {
