--- a/src/bin/cometspool-simulator-adapter/main.rs
+++ b/src/bin/cometspool-simulator-adapter/main.rs
@@ -95,7 +95,7 @@
                 settings,
                 report_metrics: metrics,
                 ..
-            } = settings::parse(&facts)?;
+            } = settings::parse(&facts).map_err(|error| error.to_string())?;
             let gateway = guarded(|| PolicyEngine::new(settings, seed))?;
             instances.insert(door, Instance { gateway, metrics });
             Ok(())
--- /dev/null
+++ b/src/net/control/config/flatten.rs
@@ -0,0 +1,70 @@
+//! Nested JSON settings as the `path=value` lines that the simulator sends, so that both are parsed by the same code.
+//!
+//! The keys of nested objects are joined by dots. A list of objects becomes an entry for each index and one for the
+//! `count`; a list of plain values is joined by commas. Null values are left out.
+
+use cometspool::settings;
+use serde_json::Value;
+
+/// The lines of the settings, each with its line feed.
+pub(super) fn to_lines(settings: &Value) -> String {
+    let mut lines = String::new();
+    push_value("", settings, &mut lines);
+    lines
+}
+
+fn push_value(path: &str, value: &Value, lines: &mut String) {
+    match value {
+        Value::Object(map) => {
+            for (key, value) in map {
+                push_value(&join(path, key), value, lines);
+            }
+        }
+        Value::Array(items) if items.iter().any(is_nested) => {
+            push_line(&join(path, "count"), &items.len().to_string(), lines);
+            for (index, item) in items.iter().enumerate() {
+                push_value(&join(path, &index.to_string()), item, lines);
+            }
+        }
+        Value::Array(items) => {
+            let texts: Vec<String> = items.iter().filter_map(plain_text).collect();
+            push_line(path, &texts.join(","), lines);
+        }
+        plain => {
+            if let Some(text) = plain_text(plain) {
+                push_line(path, &text, lines);
+            }
+        }
+    }
+}
+
+fn join(path: &str, key: &str) -> String {
+    if path.is_empty() {
+        key.to_owned()
+    } else {
+        format!("{path}.{key}")
+    }
+}
+
+fn is_nested(value: &Value) -> bool {
+    value.is_object() || value.is_array()
+}
+
+fn push_line(path: &str, text: &str, lines: &mut String) {
+    lines.push_str(path);
+    lines.push('=');
+    lines.push_str(text);
+    lines.push('\n');
+}
+
+/// The text of a plain value; none for null and what is nested.
+fn plain_text(value: &Value) -> Option<String> {
+    match value {
+        Value::String(text) => Some(settings::normalize_name(text)),
+        Value::Bool(_) | Value::Number(_) => Some(value.to_string()),
+        Value::Null | Value::Array(_) | Value::Object(_) => None,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,15 +1,16 @@
 //! Unit tests of `settings.rs`.
 
 use super::*;
+use crate::policy_api::*;
 
 #[test]
-fn what_is_told_is_read_and_the_rest_defaulted() {
+fn present_settings_are_parsed_and_missing_ones_default() {
     let text = "fleet_size=3\nme=2\nplans.count=1\nplans.0.per_second=2.5\nplans.0.cap_rate=5\nnew.key=x\n\
                 grades.count=1\ngrades.0.idempotency=keyed\ngrades.0.group=zone\ngrades.0.memory_span=6000\n\
                 report.names=depth,strange,concurrent\nregistry_mode=on_request";
     let ParsedSettings {
         settings,
-        report_metrics: order,
+        report_metrics,
         ..
     } = parse(text).unwrap();
     assert_eq!(
@@ -37,26 +38,27 @@
     );
     assert_eq!(settings.discovery, DiscoveryMode::OnRequest);
     assert_eq!(settings.max_attempts, Settings::default().max_attempts);
-    let told = load_report(&order, &[4.0, 9.0, 6.0]);
+    let report = load_report(&report_metrics, &[4.0, 9.0, 6.0]);
     assert_eq!(
-        (told.queue, told.in_flight, told.utilisation),
+        (report.queue, report.in_flight, report.utilisation),
         (Some(4.0), Some(6.0), None)
     );
 }
 
 #[test]
-fn what_cannot_be_read_is_named() {
+fn a_setting_that_cannot_be_used_is_reported_with_its_path() {
     assert_eq!(
-        parse("tick=soon").unwrap_err(),
+        parse("tick=soon").unwrap_err().to_string(),
         "settings: tick=soon cannot be read"
     );
     assert_eq!(
-        parse("registry_mode=maybe").unwrap_err(),
+        parse("registry_mode=maybe").unwrap_err().to_string(),
         "settings: registry_mode=maybe is not a known choice"
     );
-    assert!(parse("extra.meter=NaN")
-        .unwrap_err()
-        .contains("extra.meter"));
+    assert_eq!(
+        parse("extra.meter=NaN").unwrap_err().to_string(),
+        "settings: extra.meter=NaN is not a finite number"
+    );
 }
 
 /// Every wire name, each with a value that no default has.
@@ -168,7 +170,7 @@
 }
 
 #[test]
-fn no_settings_are_the_defaults() {
+fn empty_settings_are_the_defaults() {
     let expected = ParsedSettings {
         settings: Settings::default(),
         report_metrics: Vec::new(),
@@ -179,7 +181,7 @@
 }
 
 #[test]
-fn every_choice_has_its_spelling() {
+fn every_choice_has_its_wire_word() {
     let classes = [
         ("safe", Idempotency::Idempotent),
         ("unsafe", Idempotency::NonIdempotent),
@@ -221,3 +223,27 @@
         assert_eq!(parsed.settings.load_reports, expected);
     }
 }
+
+#[test]
+fn an_unreadable_setting_keeps_the_error_of_its_parser() {
+    let error = parse("fleet_size=-1").unwrap_err();
+    let source = std::error::Error::source(&error).expect("a source");
+    assert_eq!(
+        source.to_string(),
+        "-1".parse::<u32>().unwrap_err().to_string()
+    );
+}
+
+/// Guards the memory of a start against a count that nobody can mean, and the order in which faults are reported.
+#[test]
+fn a_count_out_of_range_is_reported_and_not_allocated() {
+    for (list, count) in [("grades", "4000000000"), ("plans", "-1"), ("grades", "x")] {
+        let error = parse(&format!("{list}.count={count}")).unwrap_err();
+        assert_eq!(
+            error.to_string(),
+            format!("settings: {list}.count={count} cannot be read")
+        );
+    }
+    let error = parse("grades.count=-1\nme=x").unwrap_err();
+    assert_eq!(error.to_string(), "settings: me=x cannot be read");
+}
