--- a/src/net/driver/schedules.rs
+++ b/src/net/driver/schedules.rs
@@ -1,18 +1,27 @@
 //! The driver under random schedules of delays, failures, leaving clients and stops, on a clock that stands still while
 //! anything can run. Attempts are carried by a stand-in for sockets; all else is the driver and the module as they serve.
 
+use super::attempts::AttemptFuture;
+use super::endpoints::hash_name;
+use super::requests::FINAL_WRITE_MARGIN;
 use super::*;
 use crate::net::control::config::Limits;
-use crate::net::messages::ClientConnection;
+use crate::net::control::endpoint_list::{Endpoint, Health};
+use crate::net::downstream::connections::RequestHandler;
+use crate::net::messages::{ClientConnection, IncomingRequest};
 use crate::net::runtime::budget::Budget;
 use cometspool::settings::Names;
 use cometspool::settings::{ConnectionSettings, ParsedSettings};
+use cometspool::*;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, RngSeed};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
+use std::collections::HashSet;
+use std::future::Future;
+use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -198,10 +207,10 @@
             let proven = matches!(fate.outcome, Outcome::Rejected | Outcome::ConnectFailed);
             noted.world.borrow_mut().seen[noted.place].never_ran |= proven;
             AttemptResult::without_response(fate.outcome)
-        }) as Pin<Box<dyn Future<Output = AttemptResult>>>
+        }) as AttemptFuture
     };
     let pools = Rc::new(UpstreamConnections::new(links, 8, 1, seed, clock));
-    let door = Driver::with(
+    let door = Driver::with_executor(
         &config,
         WakeRecorder::new(),
         clock,
@@ -257,14 +266,11 @@
 
 /// What the front door still holds: requests, timers that would do something, links, and its own clones in tasks.
 fn held(door: &Rc<Driver>) -> (usize, usize, usize) {
-    let mut state = door.state.borrow_mut();
-    state.drop_dead_timers();
-    let live = state
-        .timers
-        .iter()
-        .filter(|Reverse(timer)| !matches!(timer.due, Due::Alarm(_)))
-        .count();
-    (state.requests.len(), live, Rc::strong_count(door))
+    let requests = door.requests.borrow();
+    let mut timers = door.timers.borrow_mut();
+    timers.remove_stale_timers(&requests);
+    let live = timers.request_timer_count();
+    (requests.len(), live, Rc::strong_count(door))
 }
 
 fn play<T>(scene: impl Future<Output = T>) -> T {
@@ -581,7 +587,7 @@
         assert_eq!(world.borrow().seen.len(), 2, "what came late was sent on");
         for answer in [taken, early] {
             assert!(matches!(answer.await, Ok(Answer::Failed)));
-            assert!(door.context.clock.now() <= end - LAST_WRITES + GRAIN);
+            assert!(door.context.clock.now() <= end - FINAL_WRITE_MARGIN + GRAIN);
         }
         pass(10.0).await;
         assert!(world.borrow().seen.iter().all(|seen| seen.ended.is_some()));
@@ -611,17 +617,23 @@
             started_at_ms: born_ms,
         };
         let first = door
-            .entry(&mut door.state.borrow_mut(), &member(ahead))
+            .endpoints
+            .borrow_mut()
+            .apply_endpoint(&member(ahead))
             .started_at
             .expect("a start");
         assert!(first <= door.context.clock.now());
         pass(5000.0).await;
         let again = door
-            .entry(&mut door.state.borrow_mut(), &member(ahead))
+            .endpoints
+            .borrow_mut()
+            .apply_endpoint(&member(ahead))
             .started_at;
         assert_eq!(again, Some(first), "told again, it is no other start");
         let later = door
-            .entry(&mut door.state.borrow_mut(), &member(ahead + 1.0))
+            .endpoints
+            .borrow_mut()
+            .apply_endpoint(&member(ahead + 1.0))
             .started_at
             .expect("a start");
         assert!(
@@ -681,7 +693,7 @@
                     .iter()
                     .map(|seen| seen.backend.0)
                     .collect();
-                assert_eq!(to, HashSet::from([number_of("s-new")]));
+                assert_eq!(to, HashSet::from([hash_name("s-new")]));
                 // One that has moved away leaves the address to whoever comes.
                 door.endpoints_updated(
                     &EndpointList {
@@ -699,8 +711,8 @@
                     },
                     EndpointUpdate::Current,
                 );
-                assert!(door.connections.takes_new(BackendId(number_of("s-new"))));
-                assert!(door.connections.takes_new(BackendId(number_of("s-late"))));
+                assert!(door.connections.takes_new(BackendId(hash_name("s-new"))));
+                assert!(door.connections.takes_new(BackendId(hash_name("s-late"))));
             });
         }
     }
