--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -39,10 +39,25 @@
 use request_table::RequestTable;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::rc::{Rc, Weak};
 use timers::{TimerKind, TimerQueue};
 use tokio::sync::Notify;
 
+/// Why a driver could not be made.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum DriverError {
+    /// The hand-over file cannot be read or written.
+    #[error("handover: {}: {source}", path.display())]
+    Handover {
+        /// The file that the configuration names.
+        path: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+}
+
 /// An event that waits for the policy.
 struct QueuedEvent {
     /// When it happened, on the gateway's clock.
@@ -93,8 +108,8 @@
     ///
     /// # Errors
     ///
-    /// A text for the operator, if the hand-over file cannot be read or written.
-    pub(super) fn new(config: &Config, woken: WakeRecorder) -> Result<Rc<Driver>, String> {
+    /// [`DriverError::Handover`], if the hand-over file cannot be read or written.
+    pub(super) fn new(config: &Config, woken: WakeRecorder) -> Result<Rc<Driver>, DriverError> {
         let settings = &config.parsed;
         let clock = Clock::skewed(config.clock);
         let memory_bytes = config.limits.memory_mb << 20;
@@ -123,15 +138,11 @@
         clock: Clock,
         connections: Rc<UpstreamConnections>,
         executor: Box<AttemptExecutor>,
-    ) -> Result<Rc<Driver>, String> {
+    ) -> Result<Rc<Driver>, DriverError> {
         let settings = &config.parsed;
         let context = Rc::new(RuntimeContext::new(settings, woken, clock));
         let handover = match &config.handover {
-            Some(path) => {
-                let handover = Handover::open(path.clone(), clock, context.longest_deadline())
-                    .map_err(|error| format!("handover: {}: {error}", path.display()))?;
-                Some(handover)
-            }
+            Some(path) => Some(open_handover(path, &context)?),
             None => None,
         };
         let endpoints = EndpointTable::new(context.clone(), connections.clone());
@@ -243,6 +254,17 @@
     }
 }
 
+/// Reads what the predecessor left in the hand-over file, and begins the file anew.
+fn open_handover(path: &Path, context: &RuntimeContext) -> Result<Handover, DriverError> {
+    let longest = context.longest_deadline();
+    Handover::open(path.to_owned(), context.clock, longest).map_err(|source| {
+        DriverError::Handover {
+            path: path.to_owned(),
+            source,
+        }
+    })
+}
+
 /// Carries attempts over the sockets of `transport`.
 fn socket_executor(transport: UpstreamTransport) -> Box<AttemptExecutor> {
     let execute = move |backend: BackendId,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -55,7 +55,7 @@
     let bound = listener
         .local_addr()
         .map_err(|error| format!("cannot listen on {listen}: {error}"))?;
-    let door = Driver::new(&config, woken)?;
+    let door = Driver::new(&config, woken).map_err(|error| error.to_string())?;
     tokio::task::spawn_local(door.clone().run_timers());
     tokio::task::spawn_local(door.clone().evict_idle_connections());
     let sockets = config.descriptor_budget();
