--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -289,8 +289,5 @@
     Box::new(execute)
 }
 
-#[cfg(test)]
-mod schedules;
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/src/net/driver/tests/schedules.rs
@@ -0,0 +1,193 @@
+//! The driver under random schedules of delays, failures, disconnecting clients and shutdowns. What must hold of each is
+//! in [`checks`].
+
+mod checks;
+
+use super::fixture::{
+    advance, incoming, retained, run, settings, start_driver, Retained, MAX_DEADLINE,
+};
+use super::scripted_backends::ScriptedBackends;
+use crate::net::downstream::connections::RequestHandler;
+use crate::net::driver::Driver;
+use crate::net::messages::Answer;
+use checks::{check_answers, check_attempt, check_non_idempotent_requests};
+use cometspool::{Millis, RequestId};
+use proptest::prelude::{any, proptest};
+use proptest::test_runner::{Config as ProptestConfig, RngSeed};
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+
+/// Requests in a schedule; their classes take turns.
+const REQUESTS: usize = 120;
+/// Classes in the settings.
+const CLASSES: usize = 3;
+
+/// One request of a schedule.
+struct ScheduledRequest {
+    /// How long after the request before it this one arrives, in milliseconds.
+    pause: Millis,
+    /// How long its client says that it waits.
+    seconds: f64,
+    /// After how many milliseconds its client disconnects, if it does.
+    disconnects_after: Option<Millis>,
+}
+
+/// What one client got.
+struct ClientRecord {
+    /// When the answer has to be there.
+    deadline: Millis,
+    end: Option<ClientEnd>,
+}
+
+/// How a client's wait ended.
+enum ClientEnd {
+    /// With an answer at this time.
+    Answered(Millis),
+    /// The client disconnected.
+    Disconnected,
+}
+
+type ClientRecords = Rc<RefCell<Vec<ClientRecord>>>;
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        cases: 96,
+        rng_seed: RngSeed::Fixed(1),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
+
+    /// Guards every request's time: no final answer after it, no attempt beyond its part of it, never two at one backend
+    /// or a non-idempotent one twice, and nothing left behind, whatever fails, disconnects or shuts down.
+    #[test]
+    fn no_schedule_exceeds_a_request_budget(
+        seed in any::<u64>(), hedging in any::<bool>(), endpoints in 1u32..6,
+        shutdown_at in proptest::option::of(0u32..110),
+    ) {
+        run(run_schedule(seed, hedging, endpoints, shutdown_at));
+    }
+}
+
+/// Runs the schedule of `seed` and checks it; a graceful shutdown begins with the request numbered `shutdown_at`.
+async fn run_schedule(seed: u64, hedging: bool, endpoints: u32, shutdown_at: Option<u32>) {
+    let schedule = generate(seed);
+    let backends = ScriptedBackends::random(!seed);
+    let driver = start_driver(settings(hedging), seed, endpoints, &backends);
+    let references = Rc::strong_count(&driver);
+    let shutdown_at = shutdown_at.map(|request| request as usize);
+    let clients = run_clients(&driver, &schedule, shutdown_at).await;
+    advance(2.0 * MAX_DEADLINE).await;
+
+    check_answers(&clients.borrow());
+    let attempts = &backends.borrow().attempts;
+    for attempt in attempts {
+        check_attempt(attempt, attempts, hedging);
+    }
+    check_non_idempotent_requests(attempts);
+    // A single backend that hangs soon gets nothing more.
+    let expected = if endpoints > 1 { 10 } else { 0 };
+    assert!(
+        attempts.len() > expected,
+        "only {} attempts",
+        attempts.len()
+    );
+    let nothing = Retained {
+        requests: 0,
+        timers: 0,
+        references,
+    };
+    assert_eq!(
+        retained(&driver),
+        nothing,
+        "requests, timers or tasks stayed behind"
+    );
+}
+
+fn generate(seed: u64) -> Vec<ScheduledRequest> {
+    let mut rng = Pcg32::seed_from_u64(seed);
+    let mut schedule = Vec::new();
+    for _ in 0..REQUESTS {
+        let pause = f64::from(rng.next_u32() % 60);
+        let seconds = f64::from(1 + rng.next_u32() % 3500) / 1000.0;
+        let disconnects = rng.next_u32() % 6 == 0;
+        let disconnects_after = disconnects.then(|| f64::from(rng.next_u32() % 1500));
+        schedule.push(ScheduledRequest {
+            pause,
+            seconds,
+            disconnects_after,
+        });
+    }
+    schedule
+}
+
+/// The id on the wire of a request of a schedule.
+fn wire_id(index: usize) -> String {
+    format!("{}-{index}", index % CLASSES)
+}
+
+/// Sends the requests of a schedule, each from a client of its own.
+async fn run_clients(
+    driver: &Rc<Driver>,
+    schedule: &[ScheduledRequest],
+    shutdown_at: Option<usize>,
+) -> ClientRecords {
+    let clients = ClientRecords::default();
+    let mut shutdown_end = f64::INFINITY;
+    for (index, request) in schedule.iter().enumerate() {
+        advance(request.pause).await;
+        if shutdown_at == Some(index) {
+            shutdown_end = driver.context.clock.now() + MAX_DEADLINE + 550.0;
+            driver.begin_shutdown(shutdown_end);
+        }
+        if shutdown_at.is_some_and(|first| index == first + 20) {
+            driver.reject_new_requests();
+        }
+        let class = index % CLASSES;
+        let incoming = incoming(driver, &wire_id(index), class, request.seconds);
+        // A request that arrives after the end of the shutdown is rejected on the spot.
+        let deadline = incoming.budget.end().min(shutdown_end);
+        clients.borrow_mut().push(ClientRecord {
+            deadline: deadline.max(incoming.received_at),
+            end: None,
+        });
+        let (id, answer) = driver.submit(incoming).expect("an id of its own");
+        let client = run_client(driver.clone(), id, answer, request.disconnects_after);
+        let clients = clients.clone();
+        tokio::task::spawn_local(async move {
+            let end = client.await;
+            clients.borrow_mut()[index].end = Some(end);
+        });
+    }
+    clients
+}
+
+/// Waits for the answer to a request, until its client disconnects.
+async fn run_client(
+    driver: Rc<Driver>,
+    id: RequestId,
+    answer: oneshot::Receiver<Answer>,
+    disconnects_after: Option<Millis>,
+) -> ClientEnd {
+    let answer = match disconnects_after {
+        Some(ms) => {
+            let patience = Duration::from_secs_f64(ms / 1000.0);
+            tokio::time::timeout(patience, answer).await.ok()
+        }
+        None => Some(answer.await),
+    };
+    match answer {
+        Some(answer) => {
+            // The driver must use the sender: it must not drop it.
+            answer.expect("an answer");
+            ClientEnd::Answered(driver.context.clock.now())
+        }
+        None => {
+            driver.client_disconnected(id);
+            ClientEnd::Disconnected
+        }
+    }
+}
