--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -1,5 +1,8 @@
 //! Attempts: started when the policy asks for one, settled once, and then reported to the policy.
 //!
+//! Each runs in a task of its own, with a timer for its deadline. It ends by its result, by that timer, or by being
+//! cancelled; the task holds the driver only weakly and is aborted in the last two cases.
+//!
 //! Holds no state of its own: attempts in flight are in the [`RequestTable`](super::request_table::RequestTable)
 //! with their request.
 
@@ -120,6 +123,7 @@
         handle.set_task(task.abort_handle());
     }
 
+    /// Reports to the policy an attempt that was not permitted, so that it decides anew.
     fn report_not_sent(&self, now: Millis, request: RequestId, number: u32, backend: BackendId) {
         let key = AttemptKey {
             request,
@@ -131,7 +135,8 @@
         self.post(now, Event::AttemptCompleted(completed));
     }
 
-    /// Settles an attempt, once: whatever ends it later finds it gone.
+    /// Settles an attempt and reports it to the policy. An attempt may end in several ways at about the same time; only the
+    /// first one counts, and later calls do nothing.
     pub(super) fn settle(&self, id: RequestId, number: u32, result: AttemptResult) {
         let now = self.context.clock.now();
         if let Some(completed) = self.record_result(now, id, number, result) {
@@ -179,7 +184,7 @@
     }
 }
 
-/// The end of an attempt after `elapsed` milliseconds, as the policy is told of it.
+/// The report to the policy of an attempt that ended after `elapsed` milliseconds.
 fn completed(
     key: AttemptKey,
     elapsed: Millis,
--- a/src/net/driver/endpoints.rs
+++ b/src/net/driver/endpoints.rs
@@ -33,15 +33,16 @@
 struct FutureIncarnation {
     /// The start that the list gives, in Unix milliseconds.
     reported_start: Millis,
-    /// The start to go by, in Unix milliseconds: when the incarnation was first heard of.
+    /// The start that the policy is given, in Unix milliseconds: when the incarnation was first reported, by our
+    /// clock.
     assumed_start: Millis,
 }
 
-/// What a list changes, as the policy is told of it.
+/// What a list changes, for [`Event::EndpointsChanged`](cometspool::Event::EndpointsChanged).
 pub(super) struct EndpointChanges {
     /// What kind of list it was.
     pub kind: ListKind,
-    /// The endpoints of the list, and those that it displaced.
+    /// One for each endpoint of the list, followed by the removals of endpoints that it displaced.
     pub entries: Vec<BackendEntry>,
 }
 
@@ -49,6 +50,7 @@
 pub(super) struct EndpointTable {
     context: Rc<RuntimeContext>,
     connections: Rc<UpstreamConnections>,
+    /// By endpoint name.
     ids: HashMap<String, BackendId>,
     future_incarnations: HashMap<BackendId, FutureIncarnation>,
     address_owners: HashMap<SocketAddr, AddressOwner>,
@@ -78,7 +80,7 @@
         self.ids.is_empty()
     }
 
-    /// Takes in a list, tells the connection pools, and returns what the policy is to be told.
+    /// Applies a list to the table and to the connection pools, and returns the changes for the policy.
     pub(super) fn apply(&mut self, list: &EndpointList, update: EndpointUpdate) -> EndpointChanges {
         let kind = match update {
             EndpointUpdate::Cached => ListKind::Cached,
@@ -161,7 +163,7 @@
             .retain(|id, _| ids.values().any(|known| known == id));
     }
 
-    /// Tells the connection pools of an endpoint, and returns what the policy is to be told of it.
+    /// Applies one endpoint of a list to the table and to the connection pools, and returns its entry for the policy.
     pub(super) fn apply_endpoint(&mut self, endpoint: &Endpoint) -> BackendEntry {
         let id = self.id_of(&endpoint.name);
         let availability = match endpoint.health {
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -13,7 +13,9 @@
 //! | [`endpoints`] | endpoint ids, address owners, starts of processes that ended or lie in the future |
 //!
 //! [`requests`] and [`attempts`] hold the steps of the driver that work on the request table. No cell is
-//! borrowed while an event is posted or a request is answered.
+//! borrowed while an event is posted, because carrying out its actions may need any of them. What the driver
+//! itself holds is bounded too: the queue is empty between two calls of [`Driver::post`], and the hand-over record
+//! limits its own size.
 
 mod attempts;
 mod endpoints;
@@ -53,7 +55,7 @@
     Handover {
         /// The file that the configuration names.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the file system.
         source: io::Error,
     },
 }
@@ -72,7 +74,9 @@
     /// Itself, for the tasks that it spawns: they must not keep it alive.
     own: Weak<Driver>,
     connections: Rc<UpstreamConnections>,
+    /// Carries out attempts.
     executor: Box<AttemptExecutor>,
+    /// Borrowed only while it handles one event.
     policy: RefCell<PolicyEngine>,
     requests: RefCell<RequestTable>,
     endpoints: RefCell<EndpointTable>,
@@ -104,7 +108,8 @@
 }
 
 impl Driver {
-    /// A gateway with an empty endpoint list, whose attempts go over sockets.
+    /// A driver with an empty endpoint list, whose attempts go over sockets. `woken` records when the event loop
+    /// woke since the process started.
     ///
     /// # Errors
     ///
@@ -131,7 +136,7 @@
         Driver::with_executor(config, woken, clock, connections, executor)
     }
 
-    /// A gateway whose attempts are carried out by `executor`.
+    /// A driver whose attempts are carried out by `executor`.
     fn with_executor(
         config: &Config,
         woken: WakeRecorder,
--- a/src/net/driver/request_table.rs
+++ b/src/net/driver/request_table.rs
@@ -1,8 +1,9 @@
 //! The request table: requests in progress, their attempts, and the ids on the wire that are taken.
 //!
-//! Bounds: a request stays until it has its final answer and its last attempt has ended, which is at its
-//! deadline at the latest; each has at most two attempts in flight. Ids of finished requests are kept for
-//! [`FINISHED_ID_RETENTION`] past their deadline, and at most [`MAX_FINISHED_IDS`] of them.
+//! Bounds: a request stays until it has its final answer and its last attempt has ended. Both have timers that end them
+//! at the deadline that the request came with, at the latest. Each request has at most two attempts in flight. Ids of
+//! finished requests are kept until [`FINISHED_ID_RETENTION`] after their deadline, and at most [`MAX_FINISHED_IDS`]
+//! of them; they are evicted when the next request arrives.
 
 use crate::net::messages::{Answer, UpstreamRequest};
 use crate::net::runtime::budget::Budget;
@@ -117,8 +118,9 @@
     requests: HashMap<RequestId, PendingRequest>,
     /// Ids on the wire of the requests in the table and of those in `finished`.
     wire_ids: HashSet<Rc<str>>,
-    /// In the order in which they finished.
+    /// Those whose ids are still taken, in the order in which they finished.
     finished: VecDeque<FinishedRequest>,
+    /// The id that was given last.
     last_id: u32,
 }
 
@@ -133,7 +135,7 @@
         self.requests.get_mut(&id)
     }
 
-    /// Marks an id on the wire as taken; returns whether it was free.
+    /// Marks an id on the wire as taken; returns `false` if it was taken before.
     pub(super) fn claim_wire_id(&mut self, wire_id: Rc<str>) -> bool {
         self.wire_ids.insert(wire_id)
     }
@@ -145,6 +147,7 @@
         id
     }
 
+    /// The next id that no request in the table has: ids wrap around.
     fn next_id(&mut self) -> RequestId {
         loop {
             self.last_id = self.last_id.wrapping_add(1);
--- a/src/net/driver/tests/endpoints.rs
+++ b/src/net/driver/tests/endpoints.rs
@@ -38,12 +38,12 @@
 
         let driver = start_driver(settings(false), 1, 1, &ScriptedBackends::scripted(&[]));
         let ahead = driver.context.clock.now() + 3_600_000.0;
-        let first = reported_start(&driver, ahead);
+        let first = effective_start(&driver, ahead);
         assert!(first <= driver.context.clock.now());
         advance(5000.0).await;
-        let again = reported_start(&driver, ahead);
+        let again = effective_start(&driver, ahead);
         assert_eq!(again, first, "reported again, it is no other start");
-        let later = reported_start(&driver, ahead + 1.0);
+        let later = effective_start(&driver, ahead + 1.0);
         assert!(
             later > first && later <= driver.context.clock.now(),
             "a new start is a new one"
@@ -51,8 +51,8 @@
     });
 }
 
-/// The start that the policy is told of an endpoint that reports `started_at_ms`.
-fn reported_start(driver: &Driver, started_at_ms: Millis) -> Millis {
+/// The start that the policy is given for an endpoint that reports `started_at_ms`.
+fn effective_start(driver: &Driver, started_at_ms: Millis) -> Millis {
     let entry = driver
         .endpoints
         .borrow_mut()
--- a/src/net/driver/tests/fixture.rs
+++ b/src/net/driver/tests/fixture.rs
@@ -27,8 +27,9 @@
 /// The longest deadline that a class permits, in milliseconds.
 pub(super) const MAX_DEADLINE: Millis = 3000.0;
 
-/// The class of idempotent requests, and that of non-idempotent ones, by their place in the settings.
+/// The class of idempotent requests, by its place in the settings.
 pub(super) const IDEMPOTENT: usize = 0;
+/// The class of non-idempotent requests, by its place in the settings.
 pub(super) const NON_IDEMPOTENT: usize = 2;
 
 /// A client that stays connected until a test says otherwise.
--- a/src/net/driver/tests/schedules.rs
+++ b/src/net/driver/tests/schedules.rs
@@ -30,7 +30,7 @@
 struct ScheduledRequest {
     /// How long after the request before it this one arrives, in milliseconds.
     pause: Millis,
-    /// How long its client says that it waits.
+    /// How long its client waits, as it states in the request.
     seconds: f64,
     /// After how many milliseconds its client disconnects, if it does.
     disconnects_after: Option<Millis>,
@@ -40,6 +40,7 @@
 struct ClientRecord {
     /// When the answer has to be there.
     deadline: Millis,
+    /// How its wait ended; `None` while it waits.
     end: Option<ClientEnd>,
 }
 
@@ -51,6 +52,7 @@
     Disconnected,
 }
 
+/// In the order of the schedule, shared with the clients' tasks.
 type ClientRecords = Rc<RefCell<Vec<ClientRecord>>>;
 
 proptest! {
@@ -107,6 +109,7 @@
     );
 }
 
+/// Draws the schedule of `seed`.
 fn generate(seed: u64) -> Vec<ScheduledRequest> {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut schedule = Vec::new();
@@ -174,8 +177,8 @@
 ) -> ClientEnd {
     let answer = match disconnects_after {
         Some(ms) => {
-            let patience = Duration::from_secs_f64(ms / 1000.0);
-            tokio::time::timeout(patience, answer).await.ok()
+            let limit = Duration::from_secs_f64(ms / 1000.0);
+            tokio::time::timeout(limit, answer).await.ok()
         }
         None => Some(answer.await),
     };
--- a/src/net/driver/timers.rs
+++ b/src/net/driver/timers.rs
@@ -134,14 +134,14 @@
 }
 
 impl Driver {
-    /// Sets a timer for `at`, on the gateway's clock.
+    /// Sets a timer for `at`, on the gateway's clock. A timer in the past fires in the next turn of the loop, not here.
     pub(super) fn set_timer(&self, at: Millis, kind: TimerKind) {
         if self.timers.borrow_mut().push(at, kind) {
             self.earlier_timer.notify_one();
         }
     }
 
-    /// Fires timers when they are due, for as long as the gateway runs.
+    /// Fires timers when they are due, for as long as the gateway runs, and tells the stall monitor how late each was.
     pub(crate) async fn run_timers(self: Rc<Self>) {
         loop {
             let now = self.context.clock.now();
@@ -160,6 +160,7 @@
         }
     }
 
+    /// Does what a timer is for.
     fn fire(&self, now: Millis, kind: TimerKind) {
         match kind {
             TimerKind::Policy(timer) => self.post(now, Event::TimerFired(timer)),
