--- a/src/net/driver/endpoints.rs
+++ b/src/net/driver/endpoints.rs
@@ -5,7 +5,7 @@
 //!
 //! Bounds: ids and address owners are kept for listed endpoints. Future incarnations are too; one that is reported
 //! together with a removal stays until the next full list. Ended incarnations are kept for listed endpoints, and for
-//! others as long as there are no more than [`MAX_ENDED_INCARNATIONS`] in all.
+//! others as long as there are no more than [`MAX_ENDED_INCARNATIONS`] in all when the next list comes.
 
 use crate::net::control::discovery::EndpointUpdate;
 use crate::net::control::endpoint_list::{Endpoint, EndpointList, Health};
