--- a/src/net/runtime/budget.rs
+++ b/src/net/runtime/budget.rs
@@ -10,7 +10,6 @@
 use cometspool::Millis;
 
 // The driver imports the wake recorder from here.
-pub(crate) use crate::net::runtime::stall::WakeRecorder;
 
 /// Largest timeout that a client may request, as a multiple of the longest that its class allows. Up to this multiple the
 /// timeout is clamped to the class's limit; a larger one is an error of the client and is rejected like an unreadable one.
