--- a/crates/fleet-simulation/src/pooling.rs
+++ b/crates/fleet-simulation/src/pooling.rs
@@ -1,57 +1,80 @@
-//! The links between front doors and backends: the pools' core as it serves, and what was there before it.
-
-use cometspool::Millis;
+//! The connections between gateways and backends: the pools as they serve, and as they were before they had a core.
 
 #[cfg(not(feature = "base"))]
-#[path = "../../../src/net/upstream/connection_pool.rs"]
-#[allow(dead_code, unreachable_pub, missing_docs)]
-mod links;
+use cometspool::connection_pool::{
+    Checkout, ConnectionId, ConnectionPool, DialFailure, DialId, PoolAction, PoolError, PoolLimits,
+    WaiterId,
+};
+use cometspool::Millis;
 
-/// Something for the world to do.
+/// Something for the simulated world to do.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Act {
-    /// Dial a backend, for nobody or for this call.
-    Dial(usize, Option<usize>),
-    /// A call has this link.
-    Give(usize, u64),
-    /// A call has none: nothing is there (`false`), or it has no room (`true`).
-    Fail(usize, bool),
-    /// Close a link.
+pub(crate) enum PoolStep {
+    /// Dial a backend. `dial` numbers the dial; in the earlier pool it is the call that dials.
+    Dial { backend: usize, dial: Option<usize> },
+    /// Send a call on this connection.
+    Assign { call: usize, connection: u64 },
+    /// A call gets no connection, as its backend is full or cannot be reached.
+    Fail { call: usize, is_full: bool },
+    /// Close a connection.
     Close(u64),
-    /// Ask again at this time.
-    Wake(usize, Millis),
+    /// Wake the pool for a backend at this time.
+    Wake { backend: usize, at: Millis },
 }
 
 /// What a call gets at once.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Got {
-    Kept(u64),
-    Waits,
-    NoRoom,
+pub(crate) enum CheckoutResult {
+    /// A pooled connection.
+    Reused(u64),
+    /// A place in the queue.
+    Queued,
+    /// Nothing: the gateway holds as many connections as it may.
+    Exhausted,
 }
 
-/// A dial that came up, or why not.
-pub(crate) enum Dialled {
-    Up(u64),
+/// How a dial ended.
+pub(crate) enum DialResult {
+    /// With this connection.
+    Connected(u64),
+    /// Without one: refused, or not answered in time.
     Refused,
 }
 
-/// Descriptors for links of a front door: two fifths of 576, as on the days of many.
-const BUDGET: usize = 220;
-/// Idle time after which a backend closes a link.
-const IDLE_CLOSE: Millis = 30_000.0;
+/// Connections that a gateway may have: two fifths of 576 descriptors, as on the test days with many clients.
+const MAX_CONNECTIONS: usize = 220;
+/// Idle time after which a backend closes a connection.
+const BACKEND_IDLE_TIMEOUT: Millis = 30_000.0;
+
+/// Part of the backends' idle timeout for which the earlier pool kept a connection.
+#[cfg(feature = "base")]
+const IDLE_TIMEOUT_PART: f64 = 0.6;
+
+/// An idle connection of the earlier pool.
+#[cfg(feature = "base")]
+struct IdleConnection {
+    id: u64,
+    idle_since: Millis,
+}
+
+#[cfg(feature = "base")]
+impl IdleConnection {
+    fn is_expired(&self, now: Millis) -> bool {
+        now - self.idle_since >= IDLE_TIMEOUT_PART * BACKEND_IDLE_TIMEOUT
+    }
+}
 
-/// What was there before: an idle link, or a dial for oneself.
+/// The earlier pool: each call takes an idle connection or dials for itself.
 #[cfg(feature = "base")]
 pub(crate) struct Pool {
-    idle: std::collections::BTreeMap<usize, Vec<(u64, Millis)>>,
+    idle: std::collections::BTreeMap<usize, Vec<IdleConnection>>,
     waiting: std::collections::BTreeSet<usize>,
     open: usize,
 }
 
 #[cfg(feature = "base")]
 impl Pool {
-    pub fn new(_doors: u32, _seed: u64) -> Pool {
+    pub(crate) fn new(_gateways: u32, _seed: u64) -> Pool {
         Pool {
             idle: Default::default(),
             waiting: Default::default(),
@@ -59,196 +82,260 @@
         }
     }
 
-    pub fn take(
+    pub(crate) fn checkout(
         &mut self,
         now: Millis,
-        to: usize,
+        backend: usize,
         call: usize,
-        _once: bool,
-        acts: &mut Vec<Act>,
-    ) -> Got {
-        let idle = self.idle.entry(to).or_default();
-        if let Some(place) = idle
+        _run_once: bool,
+        steps: &mut Vec<PoolStep>,
+    ) -> CheckoutResult {
+        let idle = self.idle.entry(backend).or_default();
+        let usable = idle
             .iter()
-            .rposition(|(_, since)| now - since < 0.6 * IDLE_CLOSE)
-        {
-            return Got::Kept(idle.remove(place).0);
+            .rposition(|connection| !connection.is_expired(now));
+        if let Some(index) = usable {
+            return CheckoutResult::Reused(idle.remove(index).id);
         }
-        if self.open >= BUDGET {
-            let Some(oldest) = self.idle.values_mut().find(|idle| !idle.is_empty()) else {
-                return Got::NoRoom;
+        if self.open >= MAX_CONNECTIONS {
+            let Some(idle) = self.idle.values_mut().find(|idle| !idle.is_empty()) else {
+                return CheckoutResult::Exhausted;
             };
-            acts.push(Act::Close(oldest.remove(0).0));
+            steps.push(PoolStep::Close(idle.remove(0).id));
             self.open -= 1;
         }
         self.open += 1;
         self.waiting.insert(call);
-        acts.push(Act::Dial(to, Some(call)));
-        Got::Waits
+        steps.push(PoolStep::Dial {
+            backend,
+            dial: Some(call),
+        });
+        CheckoutResult::Queued
     }
 
-    pub fn dialled(
+    pub(crate) fn dial_finished(
         &mut self,
-        _: Millis,
-        _to: usize,
+        _now: Millis,
+        _backend: usize,
         call: Option<usize>,
-        how: Dialled,
-        acts: &mut Vec<Act>,
+        result: DialResult,
+        steps: &mut Vec<PoolStep>,
     ) {
-        let waits = call.filter(|call| self.waiting.remove(call));
-        match (how, waits) {
-            (Dialled::Up(link), Some(call)) => acts.push(Act::Give(call, link)),
-            (Dialled::Up(link), None) => {
+        let waiting_call = call.filter(|call| self.waiting.remove(call));
+        match (result, waiting_call) {
+            (DialResult::Connected(connection), Some(call)) => {
+                steps.push(PoolStep::Assign { call, connection });
+            }
+            (DialResult::Connected(connection), None) => {
                 self.open -= 1;
-                acts.push(Act::Close(link));
+                steps.push(PoolStep::Close(connection));
             }
-            (Dialled::Refused, waits) => {
+            (DialResult::Refused, Some(call)) => {
                 self.open -= 1;
-                acts.extend(waits.map(|call| Act::Fail(call, false)));
+                let is_full = false;
+                steps.push(PoolStep::Fail { call, is_full });
             }
+            (DialResult::Refused, None) => self.open -= 1,
         }
     }
 
-    pub fn left(&mut self, _: Millis, _to: usize, call: usize) {
+    pub(crate) fn cancel_wait(&mut self, _now: Millis, _backend: usize, call: usize) {
         self.waiting.remove(&call);
     }
 
-    pub fn freed(&mut self, now: Millis, to: usize, link: u64, _: &mut Vec<Act>) {
-        self.idle.entry(to).or_default().push((link, now));
+    pub(crate) fn release(
+        &mut self,
+        now: Millis,
+        backend: usize,
+        connection: u64,
+        _steps: &mut Vec<PoolStep>,
+    ) {
+        let released = IdleConnection {
+            id: connection,
+            idle_since: now,
+        };
+        self.idle.entry(backend).or_default().push(released);
     }
 
-    pub fn lost(&mut self, _: Millis, _to: usize, _: &mut Vec<Act>) {
+    pub(crate) fn connection_closed(
+        &mut self,
+        _now: Millis,
+        _backend: usize,
+        _steps: &mut Vec<PoolStep>,
+    ) {
         self.open -= 1;
     }
 
-    pub fn gone(&mut self, to: usize, acts: &mut Vec<Act>) {
-        for (link, _) in self.idle.remove(&to).unwrap_or_default() {
+    pub(crate) fn remove_endpoint(&mut self, backend: usize, steps: &mut Vec<PoolStep>) {
+        for connection in self.idle.remove(&backend).unwrap_or_default() {
             self.open -= 1;
-            acts.push(Act::Close(link));
+            steps.push(PoolStep::Close(connection.id));
         }
     }
 
-    pub fn tidy(&mut self, now: Millis, acts: &mut Vec<Act>) {
+    pub(crate) fn close_idle(&mut self, backend: usize, steps: &mut Vec<PoolStep>) {
+        self.remove_endpoint(backend, steps);
+    }
+
+    pub(crate) fn evict_expired(&mut self, now: Millis, steps: &mut Vec<PoolStep>) {
         for idle in self.idle.values_mut() {
-            let old = idle
+            let expired = idle
                 .iter()
-                .take_while(|(_, since)| now - since >= 0.6 * IDLE_CLOSE)
+                .take_while(|connection| connection.is_expired(now))
                 .count();
-            self.open -= old;
-            acts.extend(idle.drain(..old).map(|(link, _)| Act::Close(link)));
+            self.open -= expired;
+            for connection in idle.drain(..expired) {
+                steps.push(PoolStep::Close(connection.id));
+            }
         }
     }
 
-    pub fn wake(&mut self, _: Millis, _to: usize, _: &mut Vec<Act>) {}
+    pub(crate) fn wake(&mut self, _now: Millis, _backend: usize, _steps: &mut Vec<PoolStep>) {}
 }
 
 /// The pools' core as it serves.
 #[cfg(not(feature = "base"))]
-pub(crate) struct Pool(links::Links<usize>);
+pub(crate) struct Pool(ConnectionPool<usize>);
 
 #[cfg(not(feature = "base"))]
 impl Pool {
-    pub(crate) fn new(doors: u32, seed: u64) -> Pool {
-        let (handshake_price, connection_price) = (0.02, 0.0);
-        let bounds = links::Bounds {
-            budget: BUDGET,
-            idle_close: IDLE_CLOSE,
-            doors,
-            handshake_price,
-            connection_price,
+    pub(crate) fn new(gateways: u32, seed: u64) -> Pool {
+        let limits = PoolLimits {
+            max_connections: MAX_CONNECTIONS,
+            endpoint_idle_timeout: BACKEND_IDLE_TIMEOUT,
+            gateway_count: gateways,
+            handshake_cost: 0.02,
+            connection_cost: 0.0,
         };
-        Pool(links::Links::new(bounds, seed))
+        Pool(ConnectionPool::new(limits, seed))
     }
 
-    fn with<T>(
+    /// Reports an event to the pool and translates the actions that come of it.
+    fn report<T>(
         &mut self,
-        acts: &mut Vec<Act>,
-        tell: impl FnOnce(&mut links::Links<usize>, &mut Vec<links::Effect<usize>>) -> T,
+        steps: &mut Vec<PoolStep>,
+        event: impl FnOnce(&mut ConnectionPool<usize>, &mut Vec<PoolAction<usize>>) -> T,
     ) -> T {
-        let mut effects = Vec::new();
-        let told = tell(&mut self.0, &mut effects);
-        acts.extend(effects.into_iter().map(|effect| match effect {
-            links::Effect::Dial(to, dial) => Act::Dial(to, Some(dial.0 as usize)),
-            links::Effect::Give(who, link) => Act::Give(who.0 as usize, link.0),
-            links::Effect::Fail(who, why) => {
-                Act::Fail(who.0 as usize, why != links::Why::Unreachable)
-            }
-            links::Effect::Close(link) => Act::Close(link.0),
-            links::Effect::Wake(to, at) => Act::Wake(to, at),
-        }));
-        told
+        let mut actions = Vec::new();
+        let result = event(&mut self.0, &mut actions);
+        steps.extend(actions.into_iter().map(PoolStep::from));
+        result
     }
 
-    pub(crate) fn take(
+    pub(crate) fn checkout(
         &mut self,
         now: Millis,
-        to: usize,
+        backend: usize,
         call: usize,
-        once: bool,
-        acts: &mut Vec<Act>,
-    ) -> Got {
-        match self.with(acts, |links, fx| {
-            links.take(now, to, links::Ticket(call as u64), once, fx)
-        }) {
-            links::Taken::Kept(link, _) => Got::Kept(link.0),
-            links::Taken::Waits => Got::Waits,
-            links::Taken::NoRoom => Got::NoRoom,
+        run_once: bool,
+        steps: &mut Vec<PoolStep>,
+    ) -> CheckoutResult {
+        let waiter = WaiterId(call as u64);
+        let checkout = self.report(steps, |pool, actions| {
+            pool.checkout(now, backend, waiter, run_once, actions)
+        });
+        match checkout {
+            Checkout::Reused { connection, .. } => CheckoutResult::Reused(connection.0),
+            Checkout::Queued => CheckoutResult::Queued,
+            Checkout::Exhausted => CheckoutResult::Exhausted,
         }
     }
 
-    pub(crate) fn dialled(
+    pub(crate) fn dial_finished(
         &mut self,
         now: Millis,
-        to: usize,
+        backend: usize,
         dial: Option<usize>,
-        how: Dialled,
-        acts: &mut Vec<Act>,
+        result: DialResult,
+        steps: &mut Vec<PoolStep>,
     ) {
-        let dial = links::DialId(dial.unwrap_or_default() as u64);
-        self.with(acts, |links, fx| match how {
-            Dialled::Up(link) => links.dialled(now, to, dial, links::LinkId(link), fx),
-            Dialled::Refused => links.refused(now, to, dial, false, fx),
+        let dial = DialId(dial.unwrap_or_default() as u64);
+        self.report(steps, |pool, actions| match result {
+            DialResult::Connected(connection) => {
+                pool.dial_succeeded(now, backend, dial, ConnectionId(connection), actions);
+            }
+            DialResult::Refused => {
+                pool.dial_failed(now, backend, dial, DialFailure::Remote, actions);
+            }
         });
     }
 
-    pub(crate) fn left(&mut self, now: Millis, to: usize, call: usize) {
-        self.0.left(now, to, links::Ticket(call as u64));
+    pub(crate) fn cancel_wait(&mut self, now: Millis, backend: usize, call: usize) {
+        self.0.cancel_wait(now, backend, WaiterId(call as u64));
     }
 
-    pub(crate) fn freed(&mut self, now: Millis, to: usize, link: u64, acts: &mut Vec<Act>) {
-        self.with(acts, |links, fx| {
-            links.freed(now, to, links::LinkId(link), fx);
+    pub(crate) fn release(
+        &mut self,
+        now: Millis,
+        backend: usize,
+        connection: u64,
+        steps: &mut Vec<PoolStep>,
+    ) {
+        self.report(steps, |pool, actions| {
+            pool.release(now, backend, ConnectionId(connection), actions);
         });
     }
 
-    pub(crate) fn lost(&mut self, now: Millis, to: usize, acts: &mut Vec<Act>) {
-        self.with(acts, |links, fx| links.lost(now, to, fx));
+    pub(crate) fn connection_closed(
+        &mut self,
+        now: Millis,
+        backend: usize,
+        steps: &mut Vec<PoolStep>,
+    ) {
+        self.report(steps, |pool, actions| {
+            pool.connection_closed(now, backend, actions);
+        });
     }
 
-    pub(crate) fn gone(&mut self, to: usize, acts: &mut Vec<Act>) {
-        self.with(acts, |links, fx| links.forget(to, fx));
+    pub(crate) fn remove_endpoint(&mut self, backend: usize, steps: &mut Vec<PoolStep>) {
+        self.report(steps, |pool, actions| {
+            pool.remove_endpoint(backend, actions);
+        });
     }
 
-    pub(crate) fn silent(&mut self, to: usize, acts: &mut Vec<Act>) {
-        self.with(acts, |links, fx| links.close(to, false, fx));
+    pub(crate) fn close_idle(&mut self, backend: usize, steps: &mut Vec<PoolStep>) {
+        self.report(steps, |pool, actions| pool.close_idle(backend, actions));
     }
 
-    pub(crate) fn ahead(&mut self, now: Millis, to: usize, within: Millis, acts: &mut Vec<Act>) {
-        self.with(acts, |links, fx| links.ahead(now, to, within, fx));
+    pub(crate) fn preconnect(
+        &mut self,
+        now: Millis,
+        backend: usize,
+        within: Millis,
+        steps: &mut Vec<PoolStep>,
+    ) {
+        self.report(steps, |pool, actions| {
+            pool.preconnect(now, backend, within, actions);
+        });
     }
 
-    pub(crate) fn tidy(&mut self, now: Millis, acts: &mut Vec<Act>) {
-        self.with(acts, |links, fx| links.tidy(now, fx));
+    pub(crate) fn evict_expired(&mut self, now: Millis, steps: &mut Vec<PoolStep>) {
+        self.report(steps, |pool, actions| pool.evict_expired(now, actions));
     }
 
-    pub(crate) fn wake(&mut self, now: Millis, to: usize, acts: &mut Vec<Act>) {
-        self.with(acts, |links, fx| links.wake(now, to, fx));
+    pub(crate) fn wake(&mut self, now: Millis, backend: usize, steps: &mut Vec<PoolStep>) {
+        self.report(steps, |pool, actions| pool.wake(now, backend, actions));
     }
 }
 
-#[cfg(feature = "base")]
-impl Pool {
-    pub fn silent(&mut self, to: usize, acts: &mut Vec<Act>) {
-        self.gone(to, acts);
+#[cfg(not(feature = "base"))]
+impl From<PoolAction<usize>> for PoolStep {
+    fn from(action: PoolAction<usize>) -> PoolStep {
+        match action {
+            PoolAction::Dial(backend, dial) => PoolStep::Dial {
+                backend,
+                dial: Some(dial.0 as usize),
+            },
+            PoolAction::Assign(waiter, connection) => PoolStep::Assign {
+                call: waiter.0 as usize,
+                connection: connection.0,
+            },
+            PoolAction::Fail(waiter, error) => PoolStep::Fail {
+                call: waiter.0 as usize,
+                is_full: error != PoolError::Unreachable,
+            },
+            PoolAction::Close(connection) => PoolStep::Close(connection.0),
+            PoolAction::Wake(backend, at) => PoolStep::Wake { backend, at },
+        }
     }
 }
--- a/crates/fleet-simulation/src/world/dispatch.rs
+++ b/crates/fleet-simulation/src/world/dispatch.rs
@@ -37,7 +37,7 @@
                     .filter(|entry| entry.availability != Availability::Ready)
                 {
                     let backend = self.by_id[&entry.id];
-                    self.pool(door, |pool, _, acts| pool.gone(backend, acts));
+                    self.pool(door, |pool, _, steps| pool.remove_endpoint(backend, steps));
                 }
                 for entry in &entries {
                     let backend = &mut self.backends[self.by_id[&entry.id]];
@@ -54,13 +54,13 @@
                 }
             }
             SimEvent::Tidy(door) => {
-                self.pool(door, super::super::pooling::Pool::tidy);
+                self.pool(door, super::super::pooling::Pool::evict_expired);
                 if self.now < self.spec.length {
                     self.schedule(self.now + 500.0, SimEvent::Tidy(door));
                 }
             }
             SimEvent::Wake(door, backend) => {
-                self.pool(door, |pool, now, acts| pool.wake(now, backend, acts));
+                self.pool(door, |pool, now, steps| pool.wake(now, backend, steps));
             }
             SimEvent::Fault(fault) => self.inject_fault(fault),
         }
--- a/crates/fleet-simulation/src/world/doors.rs
+++ b/crates/fleet-simulation/src/world/doors.rs
@@ -83,13 +83,13 @@
                 }
                 Action::CloseIdleConnections(backend) => {
                     let backend = self.by_id[&backend];
-                    self.pool(door, |pool, _, acts| pool.silent(backend, acts));
+                    self.pool(door, |pool, _, steps| pool.close_idle(backend, steps));
                 }
                 #[cfg(not(feature = "base"))]
                 Action::Preconnect { backend, within } if self.spec.table.is_some() => {
                     let backend = self.by_id[&backend];
-                    self.pool(door, |pool, now, acts| {
-                        pool.ahead(now, backend, within, acts);
+                    self.pool(door, |pool, now, steps| {
+                        pool.preconnect(now, backend, within, steps);
                     });
                 }
                 _ => {}
--- a/crates/fleet-simulation/src/world/links.rs
+++ b/crates/fleet-simulation/src/world/links.rs
@@ -2,7 +2,7 @@
 
 use super::schedule::SimEvent;
 use super::World;
-use crate::pooling::{Act, Dialled, Got, Pool};
+use crate::pooling::{CheckoutResult, DialResult, Pool, PoolStep};
 use crate::scenario::Ill;
 use cometspool::{Idempotency, Millis, Outcome};
 
@@ -24,31 +24,31 @@
     pub(super) fn pool<T>(
         &mut self,
         door: usize,
-        tell: impl FnOnce(&mut Pool, Millis, &mut Vec<Act>) -> T,
+        tell: impl FnOnce(&mut Pool, Millis, &mut Vec<PoolStep>) -> T,
     ) -> T {
-        let mut acts = Vec::new();
-        let told = tell(&mut self.doors[door].pool, self.now, &mut acts);
-        for act in acts {
-            match act {
-                Act::Dial(backend, call) => self.dial(door, backend, call),
-                Act::Give(call, link) => {
+        let mut steps = Vec::new();
+        let told = tell(&mut self.doors[door].pool, self.now, &mut steps);
+        for step in steps {
+            match step {
+                PoolStep::Dial { backend, dial } => self.dial(door, backend, dial),
+                PoolStep::Assign { call, connection } => {
                     self.calls[call].waits = false;
-                    self.calls[call].link = Some(link);
+                    self.calls[call].link = Some(connection);
                     self.transmit(call);
                 }
-                Act::Fail(call, full) => {
+                PoolStep::Fail { call, is_full } => {
                     self.calls[call].waits = false;
                     self.settle(
                         call,
-                        if full {
+                        if is_full {
                             Outcome::Rejected
                         } else {
                             Outcome::ConnectFailed
                         },
                     );
                 }
-                Act::Close(link) => self.close_link(link),
-                Act::Wake(backend, at) => self.schedule(at, SimEvent::Wake(door, backend)),
+                PoolStep::Close(connection) => self.close_link(connection),
+                PoolStep::Wake { backend, at } => self.schedule(at, SimEvent::Wake(door, backend)),
             }
         }
         told
@@ -61,19 +61,21 @@
         let class = self.requests[self.calls[call].request as usize].class;
         let once = self.spec.classes[class].class.idempotency == Idempotency::NonIdempotent;
         loop {
-            match self.pool(door, |pool, now, acts| {
-                pool.take(now, backend, call, once, acts)
+            match self.pool(door, |pool, now, steps| {
+                pool.checkout(now, backend, call, once, steps)
             }) {
                 // One that was reset is seen to be, and is none.
-                Got::Kept(link) if self.links[link as usize].reset => {
-                    self.pool(door, |pool, now, acts| pool.lost(now, backend, acts));
+                CheckoutResult::Reused(link) if self.links[link as usize].reset => {
+                    self.pool(door, |pool, now, steps| {
+                        pool.connection_closed(now, backend, steps);
+                    });
                 }
-                Got::Kept(link) => {
+                CheckoutResult::Reused(link) => {
                     self.calls[call].link = Some(link);
                     self.transmit(call);
                     return;
                 }
-                Got::Waits => {
+                CheckoutResult::Queued => {
                     // It may have been given one, or none, by what came of asking.
                     if self.calls[call].link.is_none() && !self.calls[call].settled {
                         self.calls[call].waits = true;
@@ -81,7 +83,7 @@
                     }
                     return;
                 }
-                Got::NoRoom => {
+                CheckoutResult::Exhausted => {
                     self.settle(call, Outcome::NotSent);
                     return;
                 }
@@ -118,7 +120,7 @@
         let node = &self.backends[backend];
         let full = self.spec.table.is_some_and(|table| node.links >= table);
         let up = answered && node.spec.ill != Ill::Dead && !full;
-        let how = if up {
+        let result = if up {
             self.record_load(backend, Some(door), HANDSHAKE);
             self.backends[backend].links += 1;
             let peak = &mut self.tally.peaks[backend];
@@ -128,13 +130,13 @@
                 open: true,
                 reset: false,
             });
-            Dialled::Up(self.links.len() as u64 - 1)
+            DialResult::Connected(self.links.len() as u64 - 1)
         } else {
             self.tally.crowded += u64::from(answered && full);
-            Dialled::Refused
+            DialResult::Refused
         };
-        self.pool(door, |pool, now, acts| {
-            pool.dialled(now, backend, call, how, acts);
+        self.pool(door, |pool, now, steps| {
+            pool.dial_finished(now, backend, call, result, steps);
         });
     }
 
@@ -160,7 +162,7 @@
             return;
         };
         if std::mem::take(&mut self.calls[call].waits) {
-            self.pool(door, |pool, now, _| pool.left(now, backend, call));
+            self.pool(door, |pool, now, _| pool.cancel_wait(now, backend, call));
         }
         let Some(link) = self.calls[call].link.take() else {
             return;
@@ -168,10 +170,14 @@
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected)
             && !self.links[link as usize].reset
         {
-            self.pool(door, |pool, now, acts| pool.freed(now, backend, link, acts));
+            self.pool(door, |pool, now, steps| {
+                pool.release(now, backend, link, steps);
+            });
         } else {
             self.close_link(link);
-            self.pool(door, |pool, now, acts| pool.lost(now, backend, acts));
+            self.pool(door, |pool, now, steps| {
+                pool.connection_closed(now, backend, steps);
+            });
         }
     }
 }
--- /dev/null
+++ b/src/connection_pool/tests/mod.rs
@@ -0,0 +1,470 @@
+//! Unit tests of the connection pools, against a driver that only takes notes.
+
+use super::endpoint_pool::{MAX_CONCURRENT_DIALS, TABLE_LIMIT_GROWTH};
+use super::idle_age::IdleAgeEstimator;
+use super::*;
+
+mod churn;
+
+fn limits() -> PoolLimits {
+    PoolLimits {
+        max_connections: 12,
+        endpoint_idle_timeout: 30_000.0,
+        gateway_count: 300,
+        handshake_cost: 0.02,
+        connection_cost: 0.0,
+    }
+}
+
+fn pool() -> ConnectionPool<u32> {
+    ConnectionPool::new(limits(), 7)
+}
+
+/// A driver that carries nothing out and records every action of the pool.
+#[derive(Default)]
+struct Driver {
+    actions: Vec<PoolAction<u32>>,
+    /// The backend of every dial so far, in order.
+    dials: Vec<u32>,
+    /// The dials in flight, the oldest first.
+    in_flight: Vec<(u32, DialId)>,
+    assigned: Vec<(WaiterId, ConnectionId)>,
+    failed: Vec<(WaiterId, PoolError)>,
+    closed: Vec<ConnectionId>,
+    wakes: Vec<(u32, Millis)>,
+}
+
+impl Driver {
+    /// Takes out the oldest dial in flight to a backend.
+    fn take_oldest_dial(&mut self, endpoint: u32) -> DialId {
+        self.record_actions();
+        let index = self
+            .in_flight
+            .iter()
+            .position(|(dialed, _)| *dialed == endpoint)
+            .expect("a dial in flight");
+        self.in_flight.remove(index).1
+    }
+
+    fn connect(
+        &mut self,
+        pool: &mut ConnectionPool<u32>,
+        now: Millis,
+        endpoint: u32,
+        connection: u64,
+    ) {
+        let dial = self.take_oldest_dial(endpoint);
+        pool.dial_succeeded(
+            now,
+            endpoint,
+            dial,
+            ConnectionId(connection),
+            &mut self.actions,
+        );
+    }
+
+    fn fail(
+        &mut self,
+        pool: &mut ConnectionPool<u32>,
+        now: Millis,
+        endpoint: u32,
+        failure: DialFailure,
+    ) {
+        let dial = self.take_oldest_dial(endpoint);
+        pool.dial_failed(now, endpoint, dial, failure, &mut self.actions);
+    }
+
+    fn record_actions(&mut self) {
+        for action in self.actions.drain(..) {
+            match action {
+                PoolAction::Dial(endpoint, dial) => {
+                    self.dials.push(endpoint);
+                    self.in_flight.push((endpoint, dial));
+                }
+                PoolAction::Assign(waiter, connection) => self.assigned.push((waiter, connection)),
+                PoolAction::Fail(waiter, error) => self.failed.push((waiter, error)),
+                PoolAction::Close(connection) => self.closed.push(connection),
+                PoolAction::Wake(endpoint, at) => self.wakes.push((endpoint, at)),
+            }
+        }
+    }
+}
+
+/// Guards the estimate of reliable idle ages: failures of old connections speak against that age and higher ones, not
+/// against lower ones; an occasional break speaks against none; and an age that recovers is trusted again.
+#[test]
+fn only_idle_ages_at_which_connections_break_are_unreliable() {
+    let [young, old, older] = [20.0, 200.0, 2000.0];
+    let start = 1e6;
+    let mut ages = IdleAgeEstimator::default();
+    for i in 0..20 {
+        ages.record(start, young, i % 10 == 0);
+        assert!(ages.is_reliable(start, older), "a tenth broken");
+    }
+    for _ in 0..3 {
+        ages.record(start, old, true);
+        ages.record(start, old, false);
+    }
+    assert_eq!(
+        [young, old, older].map(|age| ages.is_reliable(start, age)),
+        [true, false, false]
+    );
+    let later = start + 8000.0;
+    for _ in 0..10 {
+        ages.record(later, old, false);
+    }
+    assert_eq!(
+        [young, old, older].map(|age| ages.is_reliable(later, age)),
+        [true; 3]
+    );
+    // The passing of time alone lets them be tried again, too.
+    assert!(ages.is_reliable(start + 60_000.0, older));
+}
+
+/// Guards reuse: the most recently used connection is taken first, and one whose response has only just ended only where
+/// there is no other; one that has been idle beyond the limit is closed, not taken.
+#[test]
+fn checkout_prefers_the_most_recently_used_settled_connection() {
+    let mut pool = ConnectionPool::new(
+        PoolLimits {
+            gateway_count: 3,
+            ..limits()
+        },
+        7,
+    );
+    let mut driver = Driver::default();
+    for connection in 1..=3u64 {
+        assert_eq!(
+            pool.checkout(0.0, 1, WaiterId(connection), false, &mut driver.actions),
+            Checkout::Queued
+        );
+    }
+    for connection in 1..=3u64 {
+        driver.connect(&mut pool, 1.0, 1, connection);
+    }
+    for (connection, at) in [(1, 100.0), (2, 200.0), (3, 300.0)] {
+        pool.release(at, 1, ConnectionId(connection), &mut driver.actions);
+    }
+    driver.record_actions();
+    assert_eq!((driver.dials.len(), driver.assigned.len()), (3, 3));
+    assert_eq!(
+        pool.checkout(301.0, 1, WaiterId(4), false, &mut driver.actions),
+        Checkout::Reused {
+            connection: ConnectionId(2),
+            idle_ms: 101
+        }
+    );
+    assert_eq!(
+        pool.checkout(302.0, 1, WaiterId(5), false, &mut driver.actions),
+        Checkout::Reused {
+            connection: ConnectionId(1),
+            idle_ms: 202
+        }
+    );
+    assert_eq!(
+        pool.checkout(302.5, 1, WaiterId(6), false, &mut driver.actions),
+        Checkout::Reused {
+            connection: ConnectionId(3),
+            idle_ms: 2
+        }
+    );
+    pool.release(400.0, 1, ConnectionId(3), &mut driver.actions);
+    assert_eq!(
+        pool.checkout(18_500.0, 1, WaiterId(7), false, &mut driver.actions),
+        Checkout::Queued
+    );
+    pool.evict_expired(18_500.0, &mut driver.actions);
+    driver.record_actions();
+    assert_eq!(driver.closed, [ConnectionId(3)]);
+}
+
+/// Guards the dial in flight: a waiter takes a connection that is released first, and the dialed connection is kept for
+/// the next attempt; it is kept as well if the waiter cancels.
+#[test]
+fn a_waiter_takes_a_released_connection_and_its_dial_is_kept() {
+    let mut pool = pool();
+    let mut driver = Driver::default();
+    pool.checkout(0.0, 1, WaiterId(1), false, &mut driver.actions);
+    driver.connect(&mut pool, 1.0, 1, 1);
+    pool.checkout(2.0, 1, WaiterId(2), false, &mut driver.actions);
+    pool.release(3.0, 1, ConnectionId(1), &mut driver.actions);
+    driver.record_actions();
+    assert_eq!(
+        (driver.dials.len(), &driver.assigned[..]),
+        (
+            2,
+            &[
+                (WaiterId(1), ConnectionId(1)),
+                (WaiterId(2), ConnectionId(1))
+            ][..]
+        )
+    );
+    driver.connect(&mut pool, 4.0, 1, 2);
+    assert_eq!(
+        pool.checkout(10.0, 1, WaiterId(3), false, &mut driver.actions),
+        Checkout::Reused {
+            connection: ConnectionId(2),
+            idle_ms: 6
+        }
+    );
+    // One connection closes, so that another dial is within the limit.
+    pool.connection_closed(10.5, 1, &mut driver.actions);
+    pool.checkout(11.0, 1, WaiterId(4), false, &mut driver.actions);
+    pool.cancel_wait(12.0, 1, WaiterId(4));
+    driver.connect(&mut pool, 13.0, 1, 3);
+    assert_eq!(
+        pool.checkout(20.0, 1, WaiterId(5), false, &mut driver.actions),
+        Checkout::Reused {
+            connection: ConnectionId(3),
+            idle_ms: 7
+        }
+    );
+}
+
+/// Guards a backend against a burst of dials: few are in flight at a time, and no more connections are held than the mean
+/// demand and its variation call for; further attempts wait for a released connection.
+#[test]
+fn a_burst_limits_concurrent_dials_and_holds_what_demand_needs() {
+    let mut pool = ConnectionPool::new(
+        PoolLimits {
+            max_connections: 100,
+            ..limits()
+        },
+        7,
+    );
+    let mut driver = Driver::default();
+    for waiter in 0..40 {
+        assert_eq!(
+            pool.checkout(0.0, 1, WaiterId(waiter), false, &mut driver.actions),
+            Checkout::Queued
+        );
+    }
+    driver.record_actions();
+    assert_eq!(driver.dials.len(), MAX_CONCURRENT_DIALS);
+    let mut up = 0;
+    while up < driver.dials.len() {
+        driver.connect(&mut pool, 1.0, 1, up as u64);
+        up += 1;
+        driver.record_actions();
+    }
+    assert_eq!(
+        (driver.dials.len(), driver.assigned.len()),
+        (2, 2),
+        "no demand has been observed yet"
+    );
+    // The demand lasts, so the limit rises.
+    for now in 1..200 {
+        let connection = driver.assigned.last().expect("a connection").1;
+        pool.release(f64::from(now) * 100.0, 1, connection, &mut driver.actions);
+        pool.checkout(
+            f64::from(now) * 100.0,
+            1,
+            WaiterId(1000 + u64::from(now as u32)),
+            false,
+            &mut driver.actions,
+        );
+        driver.record_actions();
+        while up < driver.dials.len() {
+            driver.connect(&mut pool, f64::from(now) * 100.0, 1, up as u64);
+            up += 1;
+            driver.record_actions();
+        }
+    }
+    assert!(
+        (20..=60).contains(&driver.dials.len()),
+        "{} dials for a demand of forty",
+        driver.dials.len()
+    );
+}
+
+/// Guards a connection table that all gateways share: a dial refused beside working connections halves the limit there,
+/// the next dial comes after a backoff, and the limit grows slowly by one connection at a time.
+#[test]
+fn a_full_table_halves_the_limit_which_grows_back_slowly() {
+    let mut pool = pool();
+    let mut driver = Driver::default();
+    for waiter in 0..8 {
+        pool.checkout(0.0, 1, WaiterId(waiter), false, &mut driver.actions);
+        pool.endpoints.get_mut(&1).expect("a pool").mean_demand = 8.0;
+    }
+    for connection in 0..6 {
+        driver.connect(&mut pool, 1.0, 1, connection);
+    }
+    driver.record_actions();
+    driver.fail(&mut pool, 2.0, 1, DialFailure::Remote);
+    driver.fail(&mut pool, 2.0, 1, DialFailure::Remote);
+    driver.record_actions();
+    assert_eq!(
+        driver.failed,
+        [
+            (WaiterId(6), PoolError::EndpointFull),
+            (WaiterId(7), PoolError::EndpointFull)
+        ]
+    );
+    let endpoint_pool = &pool.endpoints[&1];
+    assert_eq!(
+        [
+            2.0,
+            2.0 + TABLE_LIMIT_GROWTH,
+            2.0 + 4.0 * TABLE_LIMIT_GROWTH
+        ]
+        .map(|at| endpoint_pool.connection_limit(at, 2.0)),
+        [3, 4, 7]
+    );
+    assert_eq!(
+        pool.checkout(3.0, 1, WaiterId(20), false, &mut driver.actions),
+        Checkout::Queued
+    );
+    assert_eq!(driver.actions, [], "a dial to a full table");
+}
+
+/// Guards the classes of failure: a backend where nothing works fails all waiters; a shortage of this gateway's own is
+/// reported as such.
+#[test]
+fn a_failed_dial_without_working_connections_fails_all_waiters() {
+    for (failure, error) in [
+        (DialFailure::Remote, PoolError::Unreachable),
+        (DialFailure::Local, PoolError::LocalLimit),
+    ] {
+        let mut pool = pool();
+        let mut driver = Driver::default();
+        for waiter in 0..3 {
+            pool.checkout(0.0, 1, WaiterId(waiter), false, &mut driver.actions);
+        }
+        driver.fail(&mut pool, 1.0, 1, failure);
+        driver.record_actions();
+        assert_eq!(driver.dials, [1, 1], "dialed again");
+        driver.fail(&mut pool, 2.0, 1, failure);
+        assert_eq!(
+            driver.failed,
+            [0, 1, 2].map(|waiter| (WaiterId(waiter), error))
+        );
+        assert_eq!(pool.open_connections(), 0);
+    }
+}
+
+/// Guards against connections to what a backend was before: those that are idle or being dialed when its address changes
+/// or it drains are closed, and the waiters fail at once.
+#[test]
+fn dials_started_before_a_reset_are_closed_when_they_come_up() {
+    for late in [false, true] {
+        let mut pool = pool();
+        let mut driver = Driver::default();
+        pool.checkout(0.0, 1, WaiterId(1), false, &mut driver.actions);
+        pool.reset_endpoint(1, &mut driver.actions);
+        pool.checkout(1.0, 1, WaiterId(2), false, &mut driver.actions);
+        driver.record_actions();
+        let [before, after] = [driver.in_flight[0].1, driver.in_flight[1].1];
+        // In whichever order they come up, the one started before the reset is known by its number.
+        let order = if late {
+            [after, before]
+        } else {
+            [before, after]
+        };
+        for (dial, connection) in order.into_iter().zip(1..) {
+            pool.dial_succeeded(2.0, 1, dial, ConnectionId(connection), &mut driver.actions);
+        }
+        driver.record_actions();
+        let [stale, good] = if late { [2, 1] } else { [1, 2] };
+        assert_eq!(driver.failed, [(WaiterId(1), PoolError::EndpointRemoved)]);
+        assert_eq!(
+            (driver.closed, driver.assigned),
+            (
+                vec![ConnectionId(stale)],
+                vec![(WaiterId(2), ConnectionId(good))]
+            )
+        );
+        assert_eq!(pool.open_connections(), 1);
+    }
+}
+
+/// Guards non-idempotent requests: none goes out on a connection of an idle age at which others have broken of late.
+#[test]
+fn run_once_checkout_avoids_unreliable_idle_ages() {
+    let mut pool = pool();
+    let mut driver = Driver::default();
+    for _ in 0..4 {
+        pool.record_reuse(5000.0, 5000.0, true);
+    }
+    pool.checkout(0.0, 1, WaiterId(1), true, &mut driver.actions);
+    driver.connect(&mut pool, 0.0, 1, 1);
+    pool.release(0.0, 1, ConnectionId(1), &mut driver.actions);
+    assert_eq!(
+        pool.checkout(6000.0, 1, WaiterId(2), true, &mut driver.actions),
+        Checkout::Queued
+    );
+    assert_eq!(
+        pool.checkout(6000.0, 1, WaiterId(3), false, &mut driver.actions),
+        Checkout::Reused {
+            connection: ConnectionId(1),
+            idle_ms: 6000
+        }
+    );
+}
+
+/// Guards a backend that a whole fleet learns of at one instant: the dials ahead of demand are spread over the given time,
+/// each gateway at a time of its own, and none is made where there is a connection already.
+#[test]
+fn preconnect_dials_are_spread_over_the_given_time() {
+    let mut tenths = [0; 10];
+    for seed in 0..300 {
+        let free_handshakes = PoolLimits {
+            handshake_cost: 0.0,
+            ..limits()
+        };
+        let mut driver = Driver::default();
+        let mut pool = ConnectionPool::<u32>::new(free_handshakes, seed);
+        pool.preconnect(0.0, 1, 1000.0, &mut driver.actions);
+        pool.preconnect(0.0, 1, 1000.0, &mut driver.actions);
+        driver.record_actions();
+        let [(1, at)] = driver.wakes[..] else {
+            panic!("{:?}", driver.wakes)
+        };
+        tenths[(at / 100.0) as usize] += 1;
+        if seed % 2 == 0 {
+            pool.checkout(at / 2.0, 1, WaiterId(1), false, &mut driver.actions);
+            driver.connect(&mut pool, at / 2.0, 1, 1);
+        }
+        pool.wake(at, 1, &mut driver.actions);
+        driver.record_actions();
+        assert_eq!(driver.dials, [1]);
+        let mut priced = ConnectionPool::<u32>::new(limits(), seed);
+        let mut none = Vec::new();
+        priced.preconnect(0.0, 1, 1000.0, &mut none);
+        assert_eq!(none, [], "a priced handshake on a guess");
+    }
+    assert!(
+        tenths.iter().all(|count| (10..=60).contains(count)),
+        "{tenths:?}"
+    );
+}
+
+/// Guards prices: where open connections cost and handshakes are cheap, no idle one is kept for longer than it is worth.
+#[test]
+fn idle_connections_are_kept_no_longer_than_they_are_worth() {
+    let mut pool: ConnectionPool<u32> = ConnectionPool::new(
+        PoolLimits {
+            connection_cost: 1.0,
+            ..limits()
+        },
+        7,
+    );
+    assert_eq!(pool.max_idle_time(), 18_000.0);
+    for waiter in 0..1000u32 {
+        pool.checkout(
+            f64::from(waiter) * 50.0,
+            waiter % 10,
+            WaiterId(u64::from(waiter)),
+            false,
+            &mut Vec::new(),
+        );
+    }
+    // 20 requests a second at each of 300 gateways, ten backends: 0.02 * 100 * 10 / 6000 s.
+    assert!(
+        (pool.max_idle_time() - 3.3).abs() < 0.3,
+        "{}",
+        pool.max_idle_time()
+    );
+    pool.limits.connection_cost = 0.0;
+    assert_eq!(pool.max_idle_time(), 18_000.0);
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -46,6 +46,7 @@
 
 #![forbid(unsafe_code)]
 
+pub mod connection_pool;
 mod measure;
 mod policy;
 mod policy_api;
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,7 +1,6 @@
 //! Connections to backends and the attempts that they carry.
 
 pub(super) mod attempt;
-pub(super) mod connection_pool;
 pub(super) mod pool_driver;
 pub(super) mod response;
 pub(super) mod send_permit;
--- a/src/net/upstream/pool_driver.rs
+++ b/src/net/upstream/pool_driver.rs
@@ -2,10 +2,11 @@
 
 use crate::net::messages::CONNECTION_BUFFER_BYTES;
 use crate::net::runtime::clock::Clock;
-use crate::net::upstream::connection_pool::{
-    self, Bounds, DialId, Effect, LinkId, Taken, Ticket, Why,
-};
 use crate::net::upstream::send_permit::SendPermit;
+use cometspool::connection_pool::{
+    self, Checkout, ConnectionId, ConnectionPool, DialFailure, DialId, PoolAction, PoolError,
+    PoolLimits, WaiterId,
+};
 use cometspool::settings;
 use cometspool::{BackendId, DeliveryMode, Millis};
 use http_body_util::Full;
@@ -301,11 +302,11 @@
 /// What dials, waiting attempts and connections that carry something have in common with the pools.
 struct Shared {
     clock: Clock,
-    core: RefCell<connection_pool::Links<BackendId>>,
+    core: RefCell<ConnectionPool<BackendId>>,
     /// Connections that carry nothing.
-    kept: RefCell<HashMap<LinkId, Connection>>,
+    kept: RefCell<HashMap<ConnectionId, Connection>>,
     /// Those who wait for one, and where for.
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Result<LinkId, Why>>>>,
+    waiting: RefCell<HashMap<WaiterId, oneshot::Sender<Result<ConnectionId, PoolError>>>>,
     places: RefCell<HashMap<BackendId, Place>>,
     dial_timeout: Duration,
     numbers: Cell<u64>,
@@ -327,16 +328,16 @@
         seed: u64,
         clock: Clock,
     ) -> UpstreamConnections {
-        let bounds = Bounds {
-            budget,
-            idle_close: told.idle_timeout,
-            doors,
-            handshake_price: told.handshake_cost,
-            connection_price: told.connection_cost,
+        let bounds = PoolLimits {
+            max_connections: budget,
+            endpoint_idle_timeout: told.idle_timeout,
+            gateway_count: doors,
+            handshake_cost: told.handshake_cost,
+            connection_cost: told.connection_cost,
         };
         let shared = Shared {
             clock,
-            core: RefCell::new(connection_pool::Links::new(bounds, seed)),
+            core: RefCell::new(ConnectionPool::new(bounds, seed)),
             kept: RefCell::default(),
             waiting: RefCell::default(),
             places: RefCell::default(),
@@ -352,7 +353,7 @@
 
     /// Paces dials for a fleet of so many front doors from now on.
     pub(crate) fn set_fleet_size(&self, doors: u32) {
-        self.shared.core.borrow_mut().fleet_of(doors);
+        self.shared.core.borrow_mut().set_gateway_count(doors);
     }
 
     /// A backend that may be sent to.
@@ -373,7 +374,7 @@
         drop(places);
         if moved {
             self.shared
-                .with_core(|core, _, effects| core.close(id, true, effects));
+                .with_core(|core, _, effects| core.reset_endpoint(id, effects));
         }
     }
 
@@ -383,20 +384,20 @@
             place.ready = false;
         }
         self.shared
-            .with_core(|core, _, effects| core.close(id, true, effects));
+            .with_core(|core, _, effects| core.reset_endpoint(id, effects));
     }
 
     /// A backend that is gone.
     pub(crate) fn remove_endpoint(&self, id: BackendId) {
         self.shared.places.borrow_mut().remove(&id);
         self.shared
-            .with_core(|core, _, effects| core.forget(id, effects));
+            .with_core(|core, _, effects| core.remove_endpoint(id, effects));
     }
 
     /// Closes idle connections to a backend.
     pub(crate) fn close_idle(&self, id: BackendId) {
         self.shared
-            .with_core(|core, _, effects| core.close(id, false, effects));
+            .with_core(|core, _, effects| core.close_idle(id, effects));
     }
 
     /// Whether a backend may be sent to.
@@ -422,7 +423,7 @@
     pub(crate) fn preconnect(&self, id: BackendId, spread: Millis) {
         if self.takes_new(id) {
             self.shared
-                .with_core(|core, now, effects| core.ahead(now, id, spread, effects));
+                .with_core(|core, now, effects| core.preconnect(now, id, spread, effects));
         }
     }
 
@@ -440,7 +441,7 @@
             if !self.takes_new(id) {
                 return Err(NoConnection::Own);
             }
-            let who = Ticket(shared.number());
+            let who = WaiterId(shared.number());
             let (sender, receiver) = oneshot::channel();
             shared.waiting.borrow_mut().insert(who, sender);
             let waiting = Waiting {
@@ -449,14 +450,17 @@
                 who,
                 receiver,
             };
-            match shared.with_core(|core, now, effects| core.take(now, id, who, once, effects)) {
-                Taken::Kept(link, _) => {
+            match shared.with_core(|core, now, effects| core.checkout(now, id, who, once, effects))
+            {
+                Checkout::Reused {
+                    connection: link, ..
+                } => {
                     if let Some(out) = shared.rested(shared.out(id, link)).await {
                         return Ok(out);
                     }
                 }
-                Taken::NoRoom => return Err(NoConnection::Own),
-                Taken::Waits => {
+                Checkout::Exhausted => return Err(NoConnection::Own),
+                Checkout::Queued => {
                     let left = Duration::try_from_secs_f64((end - shared.clock.now()) / 1000.0);
                     let out = waiting
                         .wait(left.unwrap_or_default().min(shared.dial_timeout))
@@ -498,7 +502,7 @@
             self.shared.kept.borrow_mut().insert(out.link, connection);
             let (id, link) = (out.backend, out.link);
             self.shared
-                .with_core(|core, now, effects| core.returned(now, id, link, idle, effects));
+                .with_core(|core, now, effects| core.release_unused(now, id, link, idle, effects));
         } else {
             out.connection = Some(connection);
         }
@@ -506,31 +510,38 @@
 
     /// A backend turned a new connection's first request away.
     pub(crate) fn crowded(&self, id: BackendId) {
-        self.shared.with_core(|core, now, _| core.crowded(now, id));
+        self.shared
+            .with_core(|core, now, _| core.record_table_full(now, id));
     }
 
     /// Connections to a backend that carry nothing, and how many may be held.
     #[cfg(test)]
     pub(crate) fn idle(&self, id: BackendId) -> usize {
-        self.shared.core.borrow().idle(id)
+        self.shared.core.borrow().idle_connections(id)
     }
 
     /// Connections to a backend that may be held.
     #[cfg(test)]
     pub(crate) fn most(&self, id: BackendId) -> usize {
-        self.shared.core.borrow().most(self.shared.clock.now(), id)
+        self.shared
+            .core
+            .borrow()
+            .connection_limit(self.shared.clock.now(), id)
     }
 
     /// Makes idle connections older.
     #[cfg(test)]
     pub(crate) fn age(&self, by: Duration) {
-        self.shared.core.borrow_mut().age(by.as_secs_f64() * 1000.0);
+        self.shared
+            .core
+            .borrow_mut()
+            .age_idle_connections(by.as_secs_f64() * 1000.0);
     }
 
     /// Learns whether a connection that had been idle so long has borne another request.
     pub(crate) fn learn(&self, idle: Millis, broke: bool) {
         self.shared
-            .with_core(|core, now, _| core.learn(now, idle, broke));
+            .with_core(|core, now, _| core.record_reuse(now, idle, broke));
     }
 
     /// How long a dial may take at most.
@@ -547,7 +558,8 @@
     pub(crate) async fn evict_expired(&self) {
         loop {
             tokio::time::sleep(TIDY).await;
-            self.shared.with_core(super::connection_pool::Links::tidy);
+            self.shared
+                .with_core(cometspool::connection_pool::ConnectionPool::evict_expired);
         }
     }
 }
@@ -570,11 +582,7 @@
     /// Tells the core something and does what comes of it.
     fn with_core<T>(
         self: &Rc<Self>,
-        tell: impl FnOnce(
-            &mut connection_pool::Links<BackendId>,
-            Millis,
-            &mut Vec<Effect<BackendId>>,
-        ) -> T,
+        tell: impl FnOnce(&mut ConnectionPool<BackendId>, Millis, &mut Vec<PoolAction<BackendId>>) -> T,
     ) -> T {
         let mut effects = Vec::new();
         let told = tell(&mut self.core.borrow_mut(), self.clock.now(), &mut effects);
@@ -582,14 +590,14 @@
         told
     }
 
-    fn carry_out(self: &Rc<Self>, effects: Vec<Effect<BackendId>>) {
+    fn carry_out(self: &Rc<Self>, effects: Vec<PoolAction<BackendId>>) {
         for effect in effects {
             match effect {
-                Effect::Dial(id, dial) => self.dial(id, dial),
-                Effect::Give(who, link) => self.give(who, Ok(link)),
-                Effect::Fail(who, why) => self.give(who, Err(why)),
-                Effect::Close(link) => drop(self.kept.borrow_mut().remove(&link)),
-                Effect::Wake(id, at) => {
+                PoolAction::Dial(id, dial) => self.dial(id, dial),
+                PoolAction::Assign(who, link) => self.give(who, Ok(link)),
+                PoolAction::Fail(who, why) => self.give(who, Err(why)),
+                PoolAction::Close(link) => drop(self.kept.borrow_mut().remove(&link)),
+                PoolAction::Wake(id, at) => {
                     let (shared, at) = (self.clone(), self.clock.instant_at(at));
                     tokio::task::spawn_local(async move {
                         tokio::time::sleep_until(at).await;
@@ -600,7 +608,7 @@
         }
     }
 
-    fn give(&self, who: Ticket, what: Result<LinkId, Why>) {
+    fn give(&self, who: WaiterId, what: Result<ConnectionId, PoolError>) {
         // One that left has told the core; what it was given in between its guard gives back.
         if let Some(sender) = self.waiting.borrow_mut().remove(&who) {
             let _ = sender.send(what);
@@ -608,7 +616,7 @@
     }
 
     /// Takes a connection out of those that carry nothing.
-    fn out(self: &Rc<Self>, backend: BackendId, link: LinkId) -> Option<Out> {
+    fn out(self: &Rc<Self>, backend: BackendId, link: ConnectionId) -> Option<Out> {
         let connection = self.kept.borrow_mut().remove(&link);
         let answered = connection
             .as_ref()
@@ -623,7 +631,7 @@
         };
         if out.connection.is_none() {
             // The core counts it as out.
-            self.with_core(|core, now, effects| core.lost(now, backend, effects));
+            self.with_core(|core, now, effects| core.connection_closed(now, backend, effects));
             return None;
         }
         Some(out)
@@ -635,7 +643,7 @@
     async fn rested(&self, out: Option<Out>) -> Option<Out> {
         let out = out?;
         if let Some(answered) = out.answered {
-            let rest = answered + connection_pool::SETTLED - self.clock.now();
+            let rest = answered + connection_pool::SETTLE_TIME - self.clock.now();
             if rest > 0.0 {
                 tokio::time::sleep(Duration::from_secs_f64(rest / 1000.0)).await;
             }
@@ -654,16 +662,20 @@
             };
             match dialled.unwrap_or(Err(NoConnection::Theirs)) {
                 Ok(connection) => {
-                    let link = LinkId(shared.number());
+                    let link = ConnectionId(shared.number());
                     shared.kept.borrow_mut().insert(link, connection);
                     shared.with_core(|core, now, effects| {
-                        core.dialled(now, id, number, link, effects);
+                        core.dial_succeeded(now, id, number, link, effects);
                     });
                 }
                 Err(why) => {
-                    let own = why == NoConnection::Own;
+                    let failure = if why == NoConnection::Own {
+                        DialFailure::Local
+                    } else {
+                        DialFailure::Remote
+                    };
                     shared.with_core(|core, now, effects| {
-                        core.refused(now, id, number, own, effects);
+                        core.dial_failed(now, id, number, failure, effects);
                     });
                 }
             }
@@ -712,8 +724,8 @@
 struct Waiting<'a> {
     shared: &'a Rc<Shared>,
     id: BackendId,
-    who: Ticket,
-    receiver: oneshot::Receiver<Result<LinkId, Why>>,
+    who: WaiterId,
+    receiver: oneshot::Receiver<Result<ConnectionId, PoolError>>,
 }
 
 impl Waiting<'_> {
@@ -723,13 +735,13 @@
         match given {
             Ok(Ok(Ok(link))) => Ok(self.shared.out(self.id, link)),
             Ok(Ok(Err(why))) => Err(match why {
-                Why::Unreachable => NoConnection::Theirs,
-                Why::Full => NoConnection::Full,
-                Why::Gone | Why::Own => NoConnection::Own,
+                PoolError::Unreachable => NoConnection::Theirs,
+                PoolError::EndpointFull => NoConnection::Full,
+                PoolError::EndpointRemoved | PoolError::LocalLimit => NoConnection::Own,
             }),
             Ok(Err(_)) => Err(NoConnection::Own),
             // Nothing came up, or nothing came free.
-            Err(_) if self.shared.core.borrow().dialling(self.id) => Err(NoConnection::Theirs),
+            Err(_) if self.shared.core.borrow().is_dialing(self.id) => Err(NoConnection::Theirs),
             Err(_) => Err(NoConnection::Full),
         }
     }
@@ -740,12 +752,12 @@
         let (id, who) = (self.id, self.who);
         if self.shared.waiting.borrow_mut().remove(&who).is_some() {
             self.shared
-                .with_core(|core, now, _| core.left(now, id, who));
+                .with_core(|core, now, _| core.cancel_wait(now, id, who));
         }
         self.receiver.close();
         if let Ok(Ok(link)) = self.receiver.try_recv() {
             self.shared
-                .with_core(|core, now, effects| core.freed(now, id, link, effects));
+                .with_core(|core, now, effects| core.release(now, id, link, effects));
         }
     }
 }
@@ -754,7 +766,7 @@
 pub(crate) struct Out {
     shared: Rc<Shared>,
     backend: BackendId,
-    link: LinkId,
+    link: ConnectionId,
     /// How long it had been idle, if it is a kept one.
     pub kept: Option<Millis>,
     connection: Option<Connection>,
@@ -780,12 +792,12 @@
         let id = self.backend;
         if self.connection.take().is_some() {
             self.shared
-                .with_core(|core, now, effects| core.lost(now, id, effects));
+                .with_core(|core, now, effects| core.connection_closed(now, id, effects));
         }
     }
 }
 
-/// Why there is no connection.
+/// PoolError there is no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoConnection {
     /// This front door has no room or no descriptor for one, or may not send there: no fault of the backend.
