--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -3,7 +3,9 @@
 use crate::net::messages::{AttemptResult, UpstreamRequest};
 use crate::net::runtime::budget::AttemptDeadline;
 use crate::net::runtime::clock::Clock;
-use crate::net::upstream::pool_driver::{AttemptHandle, NoConnection, Out, UpstreamConnections};
+use crate::net::upstream::pool_driver::{
+    AttemptHandle, CheckedOutConnection, CheckoutError, UpstreamConnections,
+};
 use crate::net::upstream::response::{read, ResponseReader};
 use crate::net::upstream::send_permit::SendPermit;
 use cometspool::{BackendId, DeliveryMode, Outcome};
@@ -60,8 +62,8 @@
                 }
             }
         };
-        line.set_connection(&connection.wire);
-        let kept = connection.kept.is_some();
+        line.set_connection(&connection.socket);
+        let kept = connection.idle_for.is_some();
         match transport
             .exchange(backend, connection, order, part, delivery, &permit)
             .await
@@ -105,23 +107,19 @@
         part: AttemptDeadline,
         delivery: DeliveryMode,
         permit: &SendPermit,
-    ) -> Result<Out, Outcome> {
+    ) -> Result<CheckedOutConnection, Outcome> {
         let pools = &self.connections;
         let limit = part.wait(self.clock.now(), pools.dial_timeout());
-        let taken = pools.take(backend, delivery, limit).await;
+        let taken = pools.checkout(backend, delivery, limit).await;
         // The wait for a connection may have outlasted its client's patience, or the time in which the attempt may begin: that
         // is no fault of the backend, and the connection serves another.
         if !permit.is_valid() {
             if let Ok(connection) = taken {
-                pools.put_back_unused(connection);
+                connection.release_unused();
             }
             return Err(Outcome::NotSent);
         }
-        let connection = taken.map_err(|why| match why {
-            NoConnection::Own => Outcome::NotSent,
-            NoConnection::Full => Outcome::Rejected,
-            NoConnection::Theirs => Outcome::ConnectFailed,
-        })?;
+        let connection = taken.map_err(CheckoutError::outcome)?;
         // It may have outlasted the backend's place in the list, too.
         if pools.takes_new(backend) {
             Ok(connection)
@@ -134,30 +132,30 @@
     async fn exchange(
         &self,
         backend: BackendId,
-        mut connection: Out,
+        mut connection: CheckedOutConnection,
         order: &UpstreamRequest,
         part: AttemptDeadline,
         delivery: DeliveryMode,
         permit: &SendPermit,
     ) -> Exchange {
-        connection.wire.begin(
+        connection.socket.start_request(
             order.body.len(),
             delivery != DeliveryMode::Normal,
             permit.clone(),
         );
         let sent = self.send(&mut connection, order, part).await;
-        let unsent = sent.is_none() && !connection.wire.whole();
+        let unsent = sent.is_none() && !connection.socket.is_fully_written();
         if unsent && !permit.is_valid() {
             return Exchange::NotPermitted;
         }
-        if let Some(idle) = connection.kept {
-            self.connections.learn(idle, sent.is_none());
+        if let Some(idle) = connection.idle_for {
+            self.connections.record_reuse(idle, sent.is_none());
         }
         let received = match sent {
             Some(answer) => read(&self.response_reader, answer).await,
             None => None,
         };
-        let whole = connection.wire.whole();
+        let whole = connection.socket.is_fully_written();
         // What is answered before it was written whole was answered unseen, and its connection is of no more use.
         let Some(received) =
             received.filter(|received| whole || received.result.outcome == Outcome::Rejected)
@@ -169,11 +167,11 @@
             };
         };
         // A new connection's first request turned away tells of a table that is full.
-        if received.result.outcome == Outcome::Rejected && connection.kept.is_none() {
-            self.connections.crowded(backend);
+        if received.result.outcome == Outcome::Rejected && connection.idle_for.is_none() {
+            self.connections.record_table_full(backend);
         }
         if whole && received.delimited {
-            self.connections.put_back(connection);
+            connection.release();
         }
         Exchange::Answered(received.result)
     }
@@ -181,12 +179,12 @@
     /// Sends the request; nothing if the connection breaks before the head of an answer.
     async fn send(
         &self,
-        connection: &mut Out,
+        connection: &mut CheckedOutConnection,
         order: &UpstreamRequest,
         part: AttemptDeadline,
     ) -> Option<Response<Incoming>> {
         connection.sender.ready().await.ok()?;
-        let told = part.header_value(self.clock.now(), self.connections.way_back());
+        let told = part.header_value(self.clock.now(), self.connections.one_way_delay());
         connection
             .sender
             .send_request(order.request(&told))
--- a/src/net/upstream/attempt/tests.rs
+++ b/src/net/upstream/attempt/tests.rs
@@ -176,13 +176,13 @@
         let send = |delivery| attempt(&transport, id, &order, long(), delivery, &line);
         for _ in 0..3 {
             assert_eq!(send(DeliveryMode::Normal).await.outcome, Outcome::Ok);
-            transport.connections.age(old);
+            transport.connections.age_idle_connections(old);
             assert_eq!(send(DeliveryMode::Normal).await.outcome, Outcome::Reset);
         }
         assert_eq!(send(DeliveryMode::Normal).await.body, "first");
-        transport.connections.age(old);
+        transport.connections.age_idle_connections(old);
         assert_eq!(send(DeliveryMode::Once).await.body, "on a new one");
-        transport.connections.age(old);
+        transport.connections.age_idle_connections(old);
         assert_eq!(send(DeliveryMode::Normal).await.body, "on a kept one");
         backend
             .await
@@ -270,7 +270,7 @@
         }
         let (mut stream, _) = listener.accept().await.expect("the dial");
         // Told as up to the pool, too.
-        while transport.connections.idle(BackendId(1)) == 0 {
+        while transport.connections.idle_connections(BackendId(1)) == 0 {
             tokio::task::yield_now().await;
         }
         let (ended, ()) = tokio::join!(send(), serve(&mut stream, "kept"));
@@ -372,7 +372,7 @@
             listener.local_addr().expect("an address"),
             0.0,
         );
-        let before = transport.connections.most(BackendId(1));
+        let before = transport.connections.connection_limit(BackendId(1));
         let answer = async {
             let (mut stream, _) = listener.accept().await.expect("a new connection");
             receive(&mut stream, b"hello").await;
@@ -390,9 +390,9 @@
         let (ended, ()) = tokio::join!(sent, answer);
         assert_eq!(ended.outcome, Outcome::Rejected);
         assert!(
-            before > 10 && transport.connections.most(BackendId(1)) == 1,
+            before > 10 && transport.connections.connection_limit(BackendId(1)) == 1,
             "{before}, {}",
-            transport.connections.most(BackendId(1))
+            transport.connections.connection_limit(BackendId(1))
         );
     });
 }
--- /dev/null
+++ b/src/net/upstream/pool_driver/attempt_handle.rs
@@ -0,0 +1,49 @@
+//! The driver's handle on an attempt in flight.
+
+use super::socket::ConnectionSocket;
+use std::cell::RefCell;
+use std::rc::Rc;
+use tokio::task::AbortHandle;
+
+/// A handle on an attempt in flight; its clones refer to the same attempt.
+#[derive(Clone, Default)]
+pub(crate) struct AttemptHandle {
+    socket: Rc<RefCell<Option<Rc<ConnectionSocket>>>>,
+    task: Rc<RefCell<Option<AbortHandle>>>,
+}
+
+impl AttemptHandle {
+    /// Sets the socket of the connection that carries the attempt.
+    pub(crate) fn set_connection(&self, socket: &Rc<ConnectionSocket>) {
+        *self.socket.borrow_mut() = Some(socket.clone());
+    }
+
+    /// Sets the task that carries out the attempt.
+    pub(crate) fn set_task(&self, task: AbortHandle) {
+        *self.task.borrow_mut() = Some(task);
+    }
+
+    /// Whether all of the request has been written: before that, the backend cannot have executed it.
+    pub(crate) fn is_fully_written(&self) -> bool {
+        self.socket
+            .borrow()
+            .as_ref()
+            .is_some_and(|socket| socket.is_fully_written())
+    }
+
+    /// Makes the request count as fully written, for a stand-in that writes nothing.
+    #[cfg(test)]
+    pub(crate) fn pretend_fully_written(&self) {
+        self.set_connection(&Rc::new(ConnectionSocket::fully_written()));
+    }
+
+    /// Abandons the attempt: its connection has been closed when this returns.
+    pub(crate) fn abandon(&self) {
+        if let Some(socket) = self.socket.borrow_mut().take() {
+            socket.close();
+        }
+        if let Some(task) = self.task.borrow_mut().take() {
+            task.abort();
+        }
+    }
+}
--- /dev/null
+++ b/src/net/upstream/pool_driver/request_progress.rs
@@ -0,0 +1,71 @@
+//! How much of a request has been written to a socket, as seen below the HTTP library.
+
+/// The empty line that ends the head of a request.
+const HEAD_TERMINATOR: &[u8] = b"\r\n\r\n";
+
+/// How far the request on a connection has been written.
+#[derive(Clone, Debug, Default)]
+pub(super) struct RequestProgress {
+    /// Whether any of it has been written.
+    has_started: bool,
+    /// Bytes of [`HEAD_TERMINATOR`] that end what has been written of the head.
+    terminator_matched: usize,
+    head_complete: bool,
+    body_remaining: usize,
+}
+
+impl RequestProgress {
+    /// The progress of a request with a body of `body_len` bytes, of which nothing has been written.
+    pub(super) fn new(body_len: usize) -> RequestProgress {
+        RequestProgress {
+            body_remaining: body_len,
+            ..RequestProgress::default()
+        }
+    }
+
+    /// The progress of a request that has been written to its end, for a stand-in that writes nothing.
+    #[cfg(test)]
+    pub(super) fn complete() -> RequestProgress {
+        RequestProgress {
+            head_complete: true,
+            ..RequestProgress::default()
+        }
+    }
+
+    /// Records the next bytes that have been written.
+    pub(super) fn record(&mut self, bytes: &[u8]) {
+        self.has_started |= !bytes.is_empty();
+        for (index, byte) in bytes.iter().enumerate() {
+            if self.head_complete {
+                let body_len = bytes.len() - index;
+                self.body_remaining = self.body_remaining.saturating_sub(body_len);
+                return;
+            }
+            self.terminator_matched = match *byte {
+                byte if byte == HEAD_TERMINATOR[self.terminator_matched] => {
+                    self.terminator_matched + 1
+                }
+                b'\r' => 1,
+                _ => 0,
+            };
+            self.head_complete = self.terminator_matched == HEAD_TERMINATOR.len();
+        }
+    }
+
+    /// Whether any of the request has been written.
+    pub(super) fn has_started(&self) -> bool {
+        self.has_started
+    }
+
+    /// Whether all of the request has been written.
+    pub(super) fn is_complete(&self) -> bool {
+        self.head_complete && self.body_remaining == 0
+    }
+
+    /// Whether these bytes, written next, would complete the request.
+    pub(super) fn would_complete(&self, bytes: &[u8]) -> bool {
+        let mut progress = self.clone();
+        progress.record(bytes);
+        progress.is_complete()
+    }
+}
--- a/src/net/upstream/pool_driver/tests.rs
+++ b/src/net/upstream/pool_driver/tests.rs
@@ -1,31 +1,34 @@
-//! Unit tests of `pool.rs`.
+//! When a request counts as written, by the bytes that have gone to its socket.
 
-use super::*;
+use super::request_progress::RequestProgress;
 
 const HEAD: &[u8] = b"POST /a HTTP/1.1\r\nhost: x\r\n\r\n";
 
-/// Guards the line between "could not connect" and "reset": only the last byte makes a request whole,
-/// however the writes are cut.
+/// Guards the distinction between "could not connect" and "reset": only the last byte completes a request, however the
+/// writes are divided.
 #[test]
-fn a_request_is_whole_with_its_last_byte_and_not_before() {
+fn a_request_is_complete_with_its_last_byte_and_not_before() {
     let bytes = [HEAD, b"\r\n\r\nbody"].concat();
     for cut in 1..bytes.len() {
-        let mut written = Written::begin(8);
-        written.note(&bytes[..cut]);
-        assert!(!written.whole(), "whole after {cut} bytes");
-        written.note(&bytes[cut..]);
-        assert!(written.whole(), "not whole when cut after {cut} bytes");
+        let mut progress = RequestProgress::new(8);
+        progress.record(&bytes[..cut]);
+        assert!(!progress.is_complete(), "complete after {cut} bytes");
+        progress.record(&bytes[cut..]);
+        assert!(
+            progress.is_complete(),
+            "not complete when divided after {cut} bytes"
+        );
     }
 }
 
-/// Guards requests without a body: they are whole with the empty line, written byte by byte too.
+/// Guards requests without a body: they are complete with the empty line, also when written byte by byte.
 #[test]
-fn a_request_without_a_body_is_whole_with_its_head() {
-    let mut written = Written::begin(0);
+fn a_request_without_a_body_is_complete_with_its_head() {
+    let mut progress = RequestProgress::new(0);
     for byte in &HEAD[..HEAD.len() - 1] {
-        written.note(&[*byte]);
-        assert!(!written.whole());
+        progress.record(&[*byte]);
+        assert!(!progress.is_complete());
     }
-    written.note(b"\n");
-    assert!(written.whole());
+    progress.record(b"\n");
+    assert!(progress.is_complete());
 }
