--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: what goes on to a backend, what comes back, and what the end of an attempt means.
+//! One attempt of a request: its connection, the exchange on it, and what the way it ended says of the backend.
 
 use crate::net::messages::{AttemptResult, UpstreamRequest};
 use crate::net::runtime::budget::AttemptDeadline;
@@ -6,190 +6,184 @@
 use crate::net::upstream::pool_driver::{
     AttemptHandle, CheckedOutConnection, CheckoutError, UpstreamConnections,
 };
-use crate::net::upstream::response::{read, ResponseReader};
+use crate::net::upstream::response::ResponseReader;
 use crate::net::upstream::send_permit::SendPermit;
 use cometspool::{BackendId, DeliveryMode, Outcome};
 use hyper::body::Incoming;
 use hyper::Response;
 use std::rc::Rc;
 
-/// What carries attempts to the backends.
+/// What attempts have in common.
 #[derive(Clone)]
 pub(crate) struct UpstreamTransport {
-    /// Connections to them.
+    /// The connections to backends.
     pub connections: Rc<UpstreamConnections>,
-    /// How their answers are read.
+    /// Reads the responses of backends.
     pub response_reader: Rc<ResponseReader>,
-    /// The clock.
+    /// The clock of this gateway.
     pub clock: Clock,
 }
 
-/// How a request on one connection ended.
+/// How the exchange on one connection ended.
 enum Exchange {
-    /// With a whole answer.
-    Answered(AttemptResult),
-    /// Before it was written whole, as its permit had ended.
+    /// With a complete response.
+    Completed(AttemptResult),
+    /// Before the request had been fully written, as its permit was no longer valid.
     NotPermitted,
-    /// The connection broke before it was written whole.
-    BrokenUnsent,
+    /// The connection broke before the request had been fully written.
+    BrokeBeforeSent,
     /// The connection broke after that.
-    BrokenSent,
+    BrokeAfterSent,
 }
 
-/// Carries out one attempt within its part of the request's time and tells how it ended. Whoever set the part ends it: it is
-/// dropped when the part is over.
+/// Carries out one attempt within its deadline and returns how it ended. The caller enforces the deadline, by dropping
+/// the future when it has passed.
 pub(crate) async fn attempt(
     transport: &UpstreamTransport,
     backend: BackendId,
-    order: &UpstreamRequest,
-    part: AttemptDeadline,
+    request: &UpstreamRequest,
+    deadline: AttemptDeadline,
     delivery: DeliveryMode,
-    line: &AttemptHandle,
+    handle: &AttemptHandle,
 ) -> AttemptResult {
-    let permit = SendPermit::new(order.client.clone(), part, transport.clock);
-    let mut broken = 0;
-    loop {
-        let connection = match transport.connect(backend, part, delivery, &permit).await {
-            Ok(connection) => connection,
-            // Refused: that says more than what broke before.
-            Err(Outcome::ConnectFailed) => {
-                return AttemptResult::without_response(Outcome::ConnectFailed)
-            }
-            Err(outcome) => {
-                return AttemptResult {
-                    broken_connections: broken,
-                    ..AttemptResult::without_response(outcome)
-                }
-            }
-        };
-        line.set_connection(&connection.socket);
-        let kept = connection.idle_for.is_some();
-        match transport
-            .exchange(backend, connection, order, part, delivery, &permit)
-            .await
-        {
-            Exchange::Answered(ended) => {
-                return AttemptResult {
-                    broken_connections: broken,
-                    ..ended
-                }
-            }
-            Exchange::NotPermitted => {
-                return AttemptResult {
-                    broken_connections: broken,
-                    ..AttemptResult::without_response(Outcome::NotSent)
+    let attempt = Attempt {
+        transport,
+        backend,
+        request,
+        deadline,
+        delivery,
+        permit: SendPermit::new(request.client.clone(), deadline, transport.clock),
+    };
+    attempt.run(handle).await
+}
+
+/// One attempt, with what it has to keep to.
+struct Attempt<'a> {
+    transport: &'a UpstreamTransport,
+    backend: BackendId,
+    request: &'a UpstreamRequest,
+    deadline: AttemptDeadline,
+    delivery: DeliveryMode,
+    permit: SendPermit,
+}
+
+impl Attempt<'_> {
+    /// Tries connections until one carries the request, or tells why none will.
+    async fn run(&self, handle: &AttemptHandle) -> AttemptResult {
+        let mut broken_connections = 0;
+        loop {
+            let connection = match self.connect().await {
+                Ok(connection) => connection,
+                // That the backend refuses says more of it than the connections that broke before.
+                Err(Outcome::ConnectFailed) => return failed(Outcome::ConnectFailed, 0),
+                Err(outcome) => return failed(outcome, broken_connections),
+            };
+            handle.set_connection(&connection.socket);
+            let is_reused = connection.idle_for.is_some();
+            match self.exchange(connection).await {
+                Exchange::Completed(result) => {
+                    return AttemptResult {
+                        broken_connections,
+                        ..result
+                    }
                 }
-            }
-            // A connection from the pool that broke before the request was whole tells little of the backend, and
-            // nothing ran: the next one stands in. Each turn takes one out of the pool, so this ends.
-            Exchange::BrokenUnsent if kept => broken += 1,
-            Exchange::BrokenUnsent => {
-                return AttemptResult {
-                    broken_connections: broken + 1,
-                    ..AttemptResult::without_response(Outcome::ConnectFailed)
-                };
-            }
-            Exchange::BrokenSent => {
-                return AttemptResult {
-                    broken_connections: broken + 1,
-                    ..AttemptResult::without_response(Outcome::Reset)
+                Exchange::NotPermitted => return failed(Outcome::NotSent, broken_connections),
+                // A pooled connection that broke before the request had been fully written says little of the backend,
+                // and nothing has been executed: the next connection takes over. Each turn takes one out of the pool,
+                // so this ends.
+                Exchange::BrokeBeforeSent if is_reused => broken_connections += 1,
+                Exchange::BrokeBeforeSent => {
+                    return failed(Outcome::ConnectFailed, broken_connections + 1)
                 }
+                Exchange::BrokeAfterSent => return failed(Outcome::Reset, broken_connections + 1),
             }
         }
     }
-}
 
-impl UpstreamTransport {
-    /// A connection on which the attempt may begin, or how the attempt ends without one.
-    async fn connect(
-        &self,
-        backend: BackendId,
-        part: AttemptDeadline,
-        delivery: DeliveryMode,
-        permit: &SendPermit,
-    ) -> Result<CheckedOutConnection, Outcome> {
-        let pools = &self.connections;
-        let limit = part.wait(self.clock.now(), pools.dial_timeout());
-        let taken = pools.checkout(backend, delivery, limit).await;
-        // The wait for a connection may have outlasted its client's patience, or the time in which the attempt may begin: that
-        // is no fault of the backend, and the connection serves another.
-        if !permit.is_valid() {
-            if let Ok(connection) = taken {
+    /// A connection on which the request may be sent, or the outcome of the attempt without one.
+    async fn connect(&self) -> Result<CheckedOutConnection, Outcome> {
+        let connections = &self.transport.connections;
+        let now = self.transport.clock.now();
+        let timeout = self.deadline.wait(now, connections.dial_timeout());
+        let checkout = connections
+            .checkout(self.backend, self.delivery, timeout)
+            .await;
+        // During the wait the client may have disconnected, or the time in which the attempt may start may have ended.
+        // That is no fault of the backend, and the connection serves another attempt.
+        if !self.permit.is_valid() {
+            if let Ok(connection) = checkout {
                 connection.release_unused();
             }
             return Err(Outcome::NotSent);
         }
-        let connection = taken.map_err(CheckoutError::outcome)?;
-        // It may have outlasted the backend's place in the list, too.
-        if pools.takes_new(backend) {
+        let connection = checkout.map_err(CheckoutError::outcome)?;
+        // The backend may have been removed or drained during the wait, too.
+        if connections.takes_new(self.backend) {
             Ok(connection)
         } else {
             Err(Outcome::NotSent)
         }
     }
 
-    /// Sends the request on a connection and reads its answer.
-    async fn exchange(
-        &self,
-        backend: BackendId,
-        mut connection: CheckedOutConnection,
-        order: &UpstreamRequest,
-        part: AttemptDeadline,
-        delivery: DeliveryMode,
-        permit: &SendPermit,
-    ) -> Exchange {
-        connection.socket.start_request(
-            order.body.len(),
-            delivery != DeliveryMode::Normal,
-            permit.clone(),
-        );
-        let sent = self.send(&mut connection, order, part).await;
-        let unsent = sent.is_none() && !connection.socket.is_fully_written();
-        if unsent && !permit.is_valid() {
+    /// Sends the request on a connection and reads the response.
+    async fn exchange(&self, mut connection: CheckedOutConnection) -> Exchange {
+        let is_cautious = self.delivery != DeliveryMode::Normal;
+        connection
+            .socket
+            .start_request(self.request.body.len(), is_cautious, self.permit.clone());
+        let sent = self.send(&mut connection).await;
+        let is_unsent = sent.is_err() && !connection.socket.is_fully_written();
+        if is_unsent && !self.permit.is_valid() {
             return Exchange::NotPermitted;
         }
-        if let Some(idle) = connection.idle_for {
-            self.connections.record_reuse(idle, sent.is_none());
+        let connections = &self.transport.connections;
+        if let Some(idle_for) = connection.idle_for {
+            connections.record_reuse(idle_for, sent.is_err());
         }
         let received = match sent {
-            Some(answer) => read(&self.response_reader, answer).await,
-            None => None,
+            Ok(response) => self.transport.response_reader.read(response).await.ok(),
+            Err(_) => None,
         };
-        let whole = connection.socket.is_fully_written();
-        // What is answered before it was written whole was answered unseen, and its connection is of no more use.
-        let Some(received) =
-            received.filter(|received| whole || received.result.outcome == Outcome::Rejected)
+        let is_fully_written = connection.socket.is_fully_written();
+        // A response to a request that the backend has not seen to its end is valid only as a rejection.
+        let Some(received) = received
+            .filter(|received| is_fully_written || received.result.outcome == Outcome::Rejected)
         else {
-            return if whole {
-                Exchange::BrokenSent
+            return if is_fully_written {
+                Exchange::BrokeAfterSent
             } else {
-                Exchange::BrokenUnsent
+                Exchange::BrokeBeforeSent
             };
         };
-        // A new connection's first request turned away tells of a table that is full.
+        // The first request on a new connection is rejected where the backend's connection table is full.
         if received.result.outcome == Outcome::Rejected && connection.idle_for.is_none() {
-            self.connections.record_table_full(backend);
+            connections.record_table_full(self.backend);
         }
-        if whole && received.delimited {
+        if is_fully_written && received.is_delimited {
             connection.release();
         }
-        Exchange::Answered(received.result)
+        Exchange::Completed(received.result)
     }
 
-    /// Sends the request; nothing if the connection breaks before the head of an answer.
+    /// Sends the request and waits for the head of the response.
     async fn send(
         &self,
         connection: &mut CheckedOutConnection,
-        order: &UpstreamRequest,
-        part: AttemptDeadline,
-    ) -> Option<Response<Incoming>> {
-        connection.sender.ready().await.ok()?;
-        let told = part.header_value(self.clock.now(), self.connections.one_way_delay());
-        connection
-            .sender
-            .send_request(order.request(&told))
-            .await
-            .ok()
+    ) -> Result<Response<Incoming>, hyper::Error> {
+        connection.sender.ready().await?;
+        let now = self.transport.clock.now();
+        let response_delay = self.transport.connections.one_way_delay();
+        let timeout_header = self.deadline.header_value(now, response_delay);
+        let request = self.request.request(&timeout_header);
+        connection.sender.send_request(request).await
+    }
+}
+
+/// The result of an attempt without a response.
+fn failed(outcome: Outcome, broken_connections: u32) -> AttemptResult {
+    AttemptResult {
+        broken_connections,
+        ..AttemptResult::without_response(outcome)
     }
 }
 
--- a/src/net/upstream/attempt/tests.rs
+++ b/src/net/upstream/attempt/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `backends.rs`.
+//! Attempts against backends that a test scripts on loopback.
 
 use super::*;
 use crate::net::messages::ClientConnection;
@@ -11,13 +11,15 @@
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
+use tokio::net::{TcpListener, TcpStream};
 
-/// Longest time that a scene may take.
-const SCENE: Duration = Duration::from_secs(20);
+/// Longest time that a test may take.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// The backend of the tests.
+const BACKEND: BackendId = BackendId(1);
 
-/// Time that no attempt of these scenes uses up.
-fn long() -> AttemptDeadline {
+/// A deadline that no attempt of these tests reaches.
+fn generous_deadline() -> AttemptDeadline {
     let now = Clock::new().now();
     Budget::from_header("20", now, 20_000.0)
         .and_then(|budget| budget.attempt_deadline(now, None))
@@ -25,44 +27,64 @@
 }
 
 fn transport() -> UpstreamTransport {
-    let links = ConnectionSettings {
+    let connection_settings = ConnectionSettings {
         dial_timeout: 20_000.0,
         idle_timeout: 600_000.0,
         ..ConnectionSettings::default()
     };
-    let told = settings::parse("extra.max_units=8").expect("settings");
-    let (clock, reading) = (Clock::new(), Rc::new(ResponseReader::new(&told, 0)));
+    let settings = settings::parse("extra.max_units=8").expect("settings");
+    let clock = Clock::new();
+    let connections = UpstreamConnections::new(connection_settings, 8, 1, 1, clock);
     UpstreamTransport {
-        connections: Rc::new(UpstreamConnections::new(links, 8, 1, 1, clock)),
-        response_reader: reading,
+        connections: Rc::new(connections),
+        response_reader: Rc::new(ResponseReader::new(&settings, 0)),
         clock,
     }
 }
 
+/// A listener on loopback that is the address of [`BACKEND`].
+async fn listen(transport: &UpstreamTransport) -> TcpListener {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("an address");
+    transport.connections.add_endpoint(BACKEND, address, 0.0);
+    listener
+}
+
+/// An attempt at [`BACKEND`] with time enough.
+async fn send(
+    transport: &UpstreamTransport,
+    request: &UpstreamRequest,
+    delivery: DeliveryMode,
+) -> AttemptResult {
+    let deadline = generous_deadline();
+    let handle = AttemptHandle::default();
+    attempt(transport, BACKEND, request, deadline, delivery, &handle).await
+}
+
 #[derive(Debug)]
-struct Stays;
+struct ConnectedClient;
 
-impl ClientConnection for Stays {
+impl ClientConnection for ConnectedClient {
     fn is_disconnected(&self) -> bool {
         false
     }
 }
 
-/// Has left when it is looked at for the second time.
+/// Is disconnected when that is checked for the second time.
 #[derive(Debug, Default)]
-struct LeavesBetween(Cell<bool>);
+struct DisconnectsAfterFirstCheck(Cell<bool>);
 
-impl ClientConnection for LeavesBetween {
+impl ClientConnection for DisconnectsAfterFirstCheck {
     fn is_disconnected(&self) -> bool {
         self.0.replace(true)
     }
 }
 
-fn order() -> UpstreamRequest {
-    order_of(Rc::new(Stays))
+fn request() -> UpstreamRequest {
+    request_of(Rc::new(ConnectedClient))
 }
 
-fn order_of(client: Rc<dyn ClientConnection>) -> UpstreamRequest {
+fn request_of(client: Rc<dyn ClientConnection>) -> UpstreamRequest {
     let value = HeaderValue::from_static("id-1");
     UpstreamRequest {
         client,
@@ -77,67 +99,93 @@
     }
 }
 
-/// Reads until the request has come up to its last byte but one, or whole.
-async fn receive(stream: &mut TcpStream, to: &[u8]) {
-    let mut got = Vec::new();
-    while !got.ends_with(to) {
+/// Reads until what has been received ends with `suffix`: the end of the request, or all but its last byte.
+async fn receive(stream: &mut TcpStream, suffix: &[u8]) {
+    let mut received = Vec::new();
+    while !received.ends_with(suffix) {
         assert!(
-            stream.read_buf(&mut got).await.expect("a request") > 0,
+            stream.read_buf(&mut received).await.expect("a request") > 0,
             "ended"
         );
     }
 }
 
-/// Guards requests that must not run twice against connections that are dead unseen, kept or new: the reset
-/// answers the bytes before the last, so nothing ran. A kept one has the next connection stand in for it
-/// within the attempt; a new one ends it as never run.
+/// Reads a request and responds to it with this body.
+async fn respond(stream: &mut TcpStream, body: &str) {
+    receive(stream, b"hello").await;
+    let response = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
+    stream
+        .write_all(response.as_bytes())
+        .await
+        .expect("a reader");
+}
+
+/// Closes a connection with a reset.
+fn reset(stream: TcpStream) {
+    SockRef::from(&stream)
+        .set_linger(Some(Duration::ZERO))
+        .expect("a socket");
+}
+
+/// Runs a test on one thread, within a time that only a fault uses up.
+fn run<T>(test: impl std::future::Future<Output = T>) -> T {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
+    let local = tokio::task::LocalSet::new();
+    let limited = async { tokio::time::timeout(TEST_TIMEOUT, test).await };
+    runtime
+        .block_on(local.run_until(limited))
+        .expect("an end in time")
+}
+
+/// Guards requests that must not run twice against connections that are dead without a sign of it, pooled or new: the
+/// reset answers the bytes before the last, so nothing has run. For a pooled one the next connection takes over within
+/// the attempt; a new one ends the attempt as never run.
 #[test]
-fn what_a_dead_connection_swallows_has_not_run() {
-    let ends = play(async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-            .await
-            .expect("a port");
-        let address = listener.local_addr().expect("an address");
+fn a_request_reset_before_its_last_byte_has_not_run() {
+    let results = run(async {
+        let transport = transport();
+        let listener = listen(&transport).await;
         let backend = tokio::task::spawn_local(async move {
-            let (mut kept, _) = listener.accept().await.expect("a connection");
-            serve(&mut kept, "one").await;
-            receive(&mut kept, b"hell").await;
-            reset(kept);
-            let (mut fresh, _) = listener.accept().await.expect("a connection in its place");
-            serve(&mut fresh, "two").await;
-            receive(&mut fresh, b"hell").await;
-            reset(fresh);
-            let (mut fresh, _) = listener.accept().await.expect("a connection in its place");
-            receive(&mut fresh, b"hell").await;
-            reset(fresh);
+            let (mut pooled, _) = listener.accept().await.expect("a connection");
+            respond(&mut pooled, "one").await;
+            receive(&mut pooled, b"hell").await;
+            reset(pooled);
+            let (mut new, _) = listener.accept().await.expect("a connection in its place");
+            respond(&mut new, "two").await;
+            receive(&mut new, b"hell").await;
+            reset(new);
+            let (mut new, _) = listener.accept().await.expect("a connection in its place");
+            receive(&mut new, b"hell").await;
+            reset(new);
         });
-        let (transport, order, id) = (transport(), order(), BackendId(1));
-        transport.connections.add_endpoint(id, address, 0.0);
-        let mut ends = Vec::new();
+        let request = request();
+        let mut results = Vec::new();
         for _ in 0..3 {
-            ends.push(
-                attempt(
-                    &transport,
-                    id,
-                    &order,
-                    long(),
-                    DeliveryMode::Once,
-                    &AttemptHandle::default(),
-                )
-                .await,
-            );
+            results.push(send(&transport, &request, DeliveryMode::Once).await);
         }
         backend
             .await
             .expect("a backend that saw what it waited for");
-        ends
+        results
     });
-    let told: Vec<_> = ends
+    let summaries: Vec<_> = results
         .iter()
-        .map(|end| (end.outcome, end.body.as_ref(), end.broken_connections))
+        .map(|result| {
+            (
+                result.outcome,
+                result.body.as_ref(),
+                result.broken_connections,
+            )
+        })
         .collect();
     assert_eq!(
-        told,
+        summaries,
         [
             (Outcome::Ok, &b"one"[..], 0),
             (Outcome::Ok, b"two", 1),
@@ -146,34 +194,30 @@
     );
 }
 
-/// Guards requests that must not run twice against connections that only look alive: where kept ones of some age
-/// have taken a request and broken, such a request gets a new one, and others go on finding out.
+/// Guards requests that must not run twice against connections that only look alive: where pooled ones of some idle age
+/// have taken a request and broken, such a request gets a new connection, while others go on using the pooled ones.
 #[test]
-fn what_must_not_run_twice_takes_no_connection_of_an_age_that_fails() {
+fn a_run_once_request_avoids_connections_of_a_failing_idle_age() {
     let old = Duration::from_millis(300);
-    play(async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-            .await
-            .expect("a port");
-        let address = listener.local_addr().expect("an address");
+    run(async {
+        let transport = transport();
+        let listener = listen(&transport).await;
         let backend = tokio::task::spawn_local(async move {
             for _ in 0..3 {
                 let (mut failing, _) = listener.accept().await.expect("a connection");
-                serve(&mut failing, "good").await;
+                respond(&mut failing, "good").await;
                 receive(&mut failing, b"hello").await;
                 reset(failing);
             }
             let (mut old, _) = listener.accept().await.expect("a connection");
-            serve(&mut old, "first").await;
+            respond(&mut old, "first").await;
             let (mut new, _) = listener.accept().await.expect("a new connection");
-            serve(&mut new, "on a new one").await;
-            serve(&mut new, "on a kept one").await;
+            respond(&mut new, "on a new one").await;
+            respond(&mut new, "on a pooled one").await;
             drop(old);
         });
-        let (transport, order, id, line) =
-            (transport(), order(), BackendId(1), AttemptHandle::default());
-        transport.connections.add_endpoint(id, address, 0.0);
-        let send = |delivery| attempt(&transport, id, &order, long(), delivery, &line);
+        let request = request();
+        let send = |delivery| send(&transport, &request, delivery);
         for _ in 0..3 {
             assert_eq!(send(DeliveryMode::Normal).await.outcome, Outcome::Ok);
             transport.connections.age_idle_connections(old);
@@ -183,17 +227,17 @@
         transport.connections.age_idle_connections(old);
         assert_eq!(send(DeliveryMode::Once).await.body, "on a new one");
         transport.connections.age_idle_connections(old);
-        assert_eq!(send(DeliveryMode::Normal).await.body, "on a kept one");
+        assert_eq!(send(DeliveryMode::Normal).await.body, "on a pooled one");
         backend
             .await
             .expect("a backend that saw what it waited for");
     });
 }
 
-/// Guards reuse: a request whose dial hangs takes the link of another that comes free first.
+/// Guards reuse: a request whose dial hangs takes the connection that another request releases first.
 #[test]
-fn a_request_whose_dial_hangs_takes_a_link_that_comes_free() {
-    play(async {
+fn a_request_whose_dial_hangs_takes_a_released_connection() {
+    run(async {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket
             .bind("127.0.0.1:0".parse().expect("an address"))
@@ -201,156 +245,113 @@
         let listener = socket.listen(1).expect("a listener");
         let address = listener.local_addr().expect("an address");
         let transport = transport();
-        transport
-            .connections
-            .add_endpoint(BackendId(1), address, 0.0);
-        let begin = |transport: &UpstreamTransport| {
+        transport.connections.add_endpoint(BACKEND, address, 0.0);
+        let start = |transport: &UpstreamTransport| {
             let transport = transport.clone();
             tokio::task::spawn_local(async move {
-                let (id, line) = (BackendId(1), AttemptHandle::default());
-                attempt(
-                    &transport,
-                    id,
-                    &order(),
-                    long(),
-                    DeliveryMode::Normal,
-                    &line,
-                )
-                .await
+                send(&transport, &request(), DeliveryMode::Normal).await
             })
         };
-        let first = begin(&transport);
+        let first = start(&transport);
         let (mut stream, _) = listener.accept().await.expect("a connection");
         receive(&mut stream, b"hello").await;
-        // The waiting line of the listener is full: a further dial hangs.
+        // The backlog of the listener is full, so a further dial hangs.
         let _fillers = [
             TcpStream::connect(address).await,
             TcpStream::connect(address).await,
         ];
-        let second = begin(&transport);
+        let second = start(&transport);
         tokio::task::yield_now().await;
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none")
             .await
             .expect("a reader");
         assert_eq!(first.await.expect("an end").body, "one");
-        serve(&mut stream, "two").await;
+        respond(&mut stream, "two").await;
         assert_eq!(second.await.expect("an end").body, "two");
     });
 }
 
-/// Guards dials against waste: one whose request has left comes up for the next.
+/// Guards dials against waste: one whose request has been cancelled comes up for the next request.
 #[test]
-fn a_dial_whose_request_has_left_is_kept() {
-    play(async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-            .await
-            .expect("a port");
+fn a_dial_whose_request_was_cancelled_is_kept() {
+    run(async {
         let transport = transport();
-        transport.connections.add_endpoint(
-            BackendId(1),
-            listener.local_addr().expect("an address"),
-            0.0,
-        );
-        let (order, line) = (order(), AttemptHandle::default());
-        let send = || {
-            attempt(
-                &transport,
-                BackendId(1),
-                &order,
-                long(),
-                DeliveryMode::Normal,
-                &line,
-            )
-        };
+        let listener = listen(&transport).await;
+        let request = request();
+        let send = || send(&transport, &request, DeliveryMode::Normal);
         tokio::select! {
             biased;
-            _ = send() => panic!("answered by nobody"),
+            _ = send() => panic!("a response without a backend"),
             () = std::future::ready(()) => {}
         }
         let (mut stream, _) = listener.accept().await.expect("the dial");
-        // Told as up to the pool, too.
-        while transport.connections.idle_connections(BackendId(1)) == 0 {
+        // Until the pool knows of the connection, too.
+        while transport.connections.idle_connections(BACKEND) == 0 {
             tokio::task::yield_now().await;
         }
-        let (ended, ()) = tokio::join!(send(), serve(&mut stream, "kept"));
-        assert_eq!(ended.body, "kept");
+        let (result, ()) = tokio::join!(send(), respond(&mut stream, "kept"));
+        assert_eq!(result.body, "kept");
     });
 }
 
-/// Guards against links to what a backend was before: a new address or a new start ends those that are kept, and the
-/// next request goes to where it is now.
+/// Guards against connections to what a backend was before: a new address or a restart closes the pooled ones, and the
+/// next request goes to where the backend is now.
 #[test]
-fn a_backend_that_moves_or_restarts_is_dialled_anew() {
-    play(async {
-        let places = [0, 1].map(|_| std::net::TcpListener::bind("127.0.0.1:0").expect("a port"));
-        let places = places.map(|place| {
-            place.set_nonblocking(true).expect("a listener");
-            tokio::net::TcpListener::from_std(place).expect("a listener")
-        });
-        let addresses = [0, 1].map(|i: usize| places[i].local_addr().expect("an address"));
-        let (transport, order, line) = (transport(), order(), AttemptHandle::default());
-        let send = || {
-            attempt(
-                &transport,
-                BackendId(1),
-                &order,
-                long(),
-                DeliveryMode::Once,
-                &line,
-            )
-        };
-        let mut before: Option<TcpStream> = None;
-        for (place, born) in [(0, 0.0), (0, 5.0), (1, 5.0)] {
+fn a_backend_that_moves_or_restarts_gets_new_connections() {
+    run(async {
+        let transport = transport();
+        let listeners = [listen(&transport).await, listen(&transport).await];
+        transport.connections.remove_endpoint(BACKEND);
+        let request = request();
+        let mut previous: Option<TcpStream> = None;
+        for (index, started_at) in [(0, 0.0), (0, 5.0), (1, 5.0)] {
+            let listener = &listeners[index];
+            let address = listener.local_addr().expect("an address");
             transport
                 .connections
-                .add_endpoint(BackendId(1), addresses[place], born);
-            let answer = async {
-                let (mut stream, _) = places[place].accept().await.expect("a new connection");
-                serve(&mut stream, "here").await;
+                .add_endpoint(BACKEND, address, started_at);
+            let backend = async {
+                let (mut stream, _) = listener.accept().await.expect("a new connection");
+                respond(&mut stream, "here").await;
                 stream
             };
-            let (ended, stream) = tokio::join!(send(), answer);
-            assert_eq!(ended.body, "here");
-            if let Some(mut old) = before.replace(stream) {
+            let (result, stream) =
+                tokio::join!(send(&transport, &request, DeliveryMode::Once), backend);
+            assert_eq!(result.body, "here");
+            if let Some(mut old) = previous.replace(stream) {
                 assert_eq!(
                     old.read(&mut [0]).await.ok(),
                     Some(0),
-                    "a link to what was there before"
+                    "a connection to what was there before"
                 );
             }
         }
     });
 }
 
-/// Guards against a backend that ends each connection with its answer: each request costs a dial, and none fails.
+/// Guards against a backend that closes each connection after its response: each request costs a dial, and none fails.
 #[test]
-fn a_backend_that_closes_after_each_answer_costs_a_dial_each() {
-    play(async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-            .await
-            .expect("a port");
-        let (transport, order, line) = (transport(), order(), AttemptHandle::default());
-        transport.connections.add_endpoint(
-            BackendId(1),
-            listener.local_addr().expect("an address"),
-            0.0,
-        );
+fn a_backend_that_closes_after_each_response_costs_one_dial_each() {
+    run(async {
+        let transport = transport();
+        let listener = listen(&transport).await;
+        let request = request();
         for delivery in [
             DeliveryMode::Normal,
             DeliveryMode::Once,
             DeliveryMode::Cautious,
         ] {
-            let answer = async {
+            let backend = async {
                 let (mut stream, _) = listener.accept().await.expect("a new connection");
                 receive(&mut stream, b"hello").await;
-                let answer = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok";
-                stream.write_all(answer).await.expect("a reader");
+                let response =
+                    b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok";
+                stream.write_all(response).await.expect("a reader");
             };
-            let sent = attempt(&transport, BackendId(1), &order, long(), delivery, &line);
-            let (ended, ()) = tokio::join!(sent, answer);
+            let (result, ()) = tokio::join!(send(&transport, &request, delivery), backend);
             assert_eq!(
-                (ended.outcome, ended.broken_connections),
+                (result.outcome, result.broken_connections),
                 (Outcome::Ok, 0),
                 "{delivery:?}"
             );
@@ -358,149 +359,88 @@
     });
 }
 
-/// Guards a table of connections that is full: a first request that is turned away on a new connection brings down what
-/// is held there, and is no more than a backend that is full.
+/// Guards a full connection table: a rejected first request on a new connection lowers the limit of connections there, and
+/// says no more than that the backend is full.
 #[test]
-fn a_new_connection_turned_away_is_a_full_backend() {
-    play(async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-            .await
-            .expect("a port");
-        let (transport, order, line) = (transport(), order(), AttemptHandle::default());
-        transport.connections.add_endpoint(
-            BackendId(1),
-            listener.local_addr().expect("an address"),
-            0.0,
-        );
-        let before = transport.connections.connection_limit(BackendId(1));
-        let answer = async {
+fn a_rejected_first_request_on_a_new_connection_means_a_full_backend() {
+    run(async {
+        let transport = transport();
+        let listener = listen(&transport).await;
+        let request = request();
+        let before = transport.connections.connection_limit(BACKEND);
+        let backend = async {
             let (mut stream, _) = listener.accept().await.expect("a new connection");
             receive(&mut stream, b"hello").await;
-            let answer = b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
-            stream.write_all(answer).await.expect("a reader");
+            let response = b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
+            stream.write_all(response).await.expect("a reader");
         };
-        let sent = attempt(
-            &transport,
-            BackendId(1),
-            &order,
-            long(),
-            DeliveryMode::Normal,
-            &line,
-        );
-        let (ended, ()) = tokio::join!(sent, answer);
-        assert_eq!(ended.outcome, Outcome::Rejected);
-        assert!(
-            before > 10 && transport.connections.connection_limit(BackendId(1)) == 1,
-            "{before}, {}",
-            transport.connections.connection_limit(BackendId(1))
-        );
+        let sent = send(&transport, &request, DeliveryMode::Normal);
+        let (result, ()) = tokio::join!(sent, backend);
+        assert_eq!(result.outcome, Outcome::Rejected);
+        let after = transport.connections.connection_limit(BACKEND);
+        assert!(before > 10 && after == 1, "{before}, {after}");
     });
 }
 
-async fn serve(stream: &mut TcpStream, body: &str) {
-    receive(stream, b"hello").await;
-    let answer = format!(
-        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
-        body.len()
-    );
-    stream.write_all(answer.as_bytes()).await.expect("a reader");
-}
-
-/// Plays a scene on one thread, within a time that only a fault uses up.
-fn play<T>(scene: impl std::future::Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .expect("a runtime");
-    let local = tokio::task::LocalSet::new();
-    let all = async { tokio::time::timeout(SCENE, scene).await };
-    runtime
-        .block_on(local.run_until(all))
-        .expect("an end in time")
-}
-
-fn reset(stream: TcpStream) {
-    SockRef::from(&stream)
-        .set_linger(Some(Duration::ZERO))
-        .expect("a socket");
-}
-
-/// Guards against requests of nobody: where the last byte waits, and the client leaves meanwhile, it is not written, and the
-/// backend is not blamed.
+/// Guards backends against requests whose client has gone: if the client disconnects while the last byte is held back, the
+/// byte is not written, and the backend is not blamed.
 #[test]
-fn the_last_byte_is_not_written_for_a_client_that_has_left() {
+fn the_last_byte_is_not_written_for_a_disconnected_client() {
     for delivery in [DeliveryMode::Once, DeliveryMode::Cautious] {
-        play(async {
-            let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-                .await
-                .expect("a port");
-            let (transport, line) = (transport(), AttemptHandle::default());
-            transport.connections.add_endpoint(
-                BackendId(1),
-                listener.local_addr().expect("an address"),
-                0.0,
-            );
+        run(async {
+            let transport = transport();
+            let listener = listen(&transport).await;
             let backend = async {
                 let (mut stream, _) = listener.accept().await.expect("a connection");
-                let mut got = Vec::new();
-                stream.read_to_end(&mut got).await.expect("an end in order");
-                got
+                let mut received = Vec::new();
+                stream
+                    .read_to_end(&mut received)
+                    .await
+                    .expect("an end in order");
+                received
             };
-            let order = order_of(Rc::new(LeavesBetween::default()));
-            let (ended, got) = tokio::join!(
-                attempt(&transport, BackendId(1), &order, long(), delivery, &line),
-                backend
-            );
+            let request = request_of(Rc::new(DisconnectsAfterFirstCheck::default()));
+            let (result, received) = tokio::join!(send(&transport, &request, delivery), backend);
             assert_eq!(
-                (ended.outcome, ended.broken_connections),
+                (result.outcome, result.broken_connections),
                 (Outcome::NotSent, 0),
                 "{delivery:?}"
             );
             assert!(
-                got.ends_with(b"hell"),
+                received.ends_with(b"hell"),
                 "{delivery:?}: {}",
-                String::from_utf8_lossy(&got)
+                String::from_utf8_lossy(&received)
             );
         });
     }
 }
 
-/// Guards keyed requests: an attempt that may begin no more is not sent, and its connection serves the next one.
+/// Guards requests with an idempotency key: an attempt past its start deadline is not sent, and its connection serves the
+/// next one.
 #[test]
-fn an_attempt_that_may_begin_no_more_leaves_its_connection() {
-    play(async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-            .await
-            .expect("a port");
-        let (transport, order, line) = (transport(), order(), AttemptHandle::default());
-        transport.connections.add_endpoint(
-            BackendId(1),
-            listener.local_addr().expect("an address"),
-            0.0,
-        );
-        let send = |part| {
-            attempt(
-                &transport,
-                BackendId(1),
-                &order,
-                part,
-                DeliveryMode::Normal,
-                &line,
-            )
+fn an_attempt_past_its_start_deadline_releases_its_connection() {
+    run(async {
+        let transport = transport();
+        let listener = listen(&transport).await;
+        let request = request();
+        let handle = AttemptHandle::default();
+        let send = |deadline| {
+            let delivery = DeliveryMode::Normal;
+            attempt(&transport, BACKEND, &request, deadline, delivery, &handle)
         };
         let backend = async {
             let (mut stream, _) = listener.accept().await.expect("a connection");
-            serve(&mut stream, "first").await;
+            respond(&mut stream, "first").await;
             stream
         };
-        let (first, mut stream) = tokio::join!(send(long()), backend);
+        let (first, mut stream) = tokio::join!(send(generous_deadline()), backend);
         assert_eq!(first.body, "first");
-        let late = send(long().begin_before(Some(transport.clock.now()))).await;
+        let late = send(generous_deadline().begin_before(Some(transport.clock.now()))).await;
         assert_eq!(
             (late.outcome, late.broken_connections),
             (Outcome::NotSent, 0)
         );
-        let (next, ()) = tokio::join!(send(long()), serve(&mut stream, "next"));
+        let (next, ()) = tokio::join!(send(generous_deadline()), respond(&mut stream, "next"));
         assert_eq!(next.body, "next");
     });
 }
--- a/src/net/upstream/response/tests.rs
+++ b/src/net/upstream/response/tests.rs
@@ -1,19 +1,17 @@
-//! Unit tests of `answers.rs`.
+//! What is read from the headers of responses.
 
 use super::*;
 
-/// Guards load reports: the values that the settings name are read, whatever stands between them.
+/// Guards load reports: the metrics that the settings name are read, whatever stands between them.
 #[test]
-fn a_load_report_is_read_by_its_names() {
-    let names = vec!["depth".to_owned(), "load_share".to_owned()];
-    let metrics = vec![Metric::Queue, Metric::Utilisation];
-    let reading = ResponseReader {
-        names,
-        metrics,
+fn a_load_report_is_parsed_by_the_configured_metric_names() {
+    let reader = ResponseReader {
+        metric_names: vec!["depth".to_owned(), "load_share".to_owned()],
+        metrics: vec![Metric::Queue, Metric::Utilisation],
         max_units: 8.0,
         budget: MemoryBudget::new(0),
     };
-    let report = reading.report("other=3, depth=2,load_share=0.61,broken");
+    let report = reader.parse_load_report("other=3, depth=2,load_share=0.61,broken");
     assert_eq!((report.queue, report.in_flight), (Some(2.0), None));
     assert!((report.utilisation.unwrap() - 0.61).abs() < 1e-6);
 }
