--- a/crates/fleet-simulation/src/pooling.rs
+++ b/crates/fleet-simulation/src/pooling.rs
@@ -1,4 +1,5 @@
-//! The connections between gateways and backends: the pools as they serve, and as they were before they had a core.
+//! The connections between gateways and backends: the pools as they serve, and as they were before
+//! they had a core.
 
 #[cfg(not(feature = "base"))]
 use cometspool::connection_pool::{
@@ -38,10 +39,11 @@
     /// With this connection.
     Connected(u64),
     /// Without one: refused, or not answered in time.
-    Refused,
+    Failed,
 }
 
-/// Connections that a gateway may have: two fifths of 576 descriptors, as on the test days with many clients.
+/// Connections that a gateway may have: two fifths of 576 descriptors, as on the test days with
+/// many clients.
 const MAX_CONNECTIONS: usize = 220;
 /// Idle time after which a backend closes a connection.
 const BACKEND_IDLE_TIMEOUT: Millis = 30_000.0;
@@ -130,12 +132,12 @@
                 self.open -= 1;
                 steps.push(PoolStep::Close(connection));
             }
-            (DialResult::Refused, Some(call)) => {
+            (DialResult::Failed, Some(call)) => {
                 self.open -= 1;
                 let is_full = false;
                 steps.push(PoolStep::Fail { call, is_full });
             }
-            (DialResult::Refused, None) => self.open -= 1,
+            (DialResult::Failed, None) => self.open -= 1,
         }
     }
 
@@ -254,7 +256,7 @@
             DialResult::Connected(connection) => {
                 pool.dial_succeeded(now, backend, dial, ConnectionId(connection), actions);
             }
-            DialResult::Refused => {
+            DialResult::Failed => {
                 pool.dial_failed(now, backend, dial, DialFailure::Remote, actions);
             }
         });
--- a/crates/fleet-simulation/src/world/links.rs
+++ b/crates/fleet-simulation/src/world/links.rs
@@ -133,7 +133,7 @@
             DialResult::Connected(self.links.len() as u64 - 1)
         } else {
             self.tally.crowded += u64::from(answered && full);
-            DialResult::Refused
+            DialResult::Failed
         };
         self.pool(door, |pool, now, steps| {
             pool.dial_finished(now, backend, call, result, steps);
--- a/src/connection_pool/endpoint_pool.rs
+++ b/src/connection_pool/endpoint_pool.rs
@@ -1,4 +1,5 @@
-//! The connections to one backend: idle, busy and being dialed, the attempts that wait for one, and how many may be held.
+//! The connections to one backend: idle, busy and being dialed, the attempts that wait for one, and
+//! how many may be held.
 
 use super::{ConnectionId, DialId, WaiterId, SETTLE_TIME};
 use crate::policy_api::Millis;
@@ -15,8 +16,8 @@
 pub(super) const MAX_CONCURRENT_DIALS: usize = 2;
 /// Once a backend's table is full, no dial starts, and no further refusal counts, for this long.
 const TABLE_FULL_BACKOFF: Millis = 250.0;
-/// Time in which the limit taken from a full table grows by one connection. It is slow against the halving so that the
-/// gateways of a fleet settle at a level.
+/// Time in which the limit taken from a full table grows by one connection. It is slow against the
+/// halving so that the gateways of a fleet settle at a level.
 pub(super) const TABLE_LIMIT_GROWTH: Millis = 2_000.0;
 /// A limit taken from a full table is forgotten once it has grown to this many connections.
 const FORGOTTEN_TABLE_LIMIT: f64 = 64.0;
@@ -51,7 +52,8 @@
     pub(super) idle: Vec<IdleConnection>,
     /// Connections that carry an attempt.
     pub(super) busy: usize,
-    /// Dials in flight. A dial that started before the backend changed is not among them: it leads elsewhere.
+    /// Dials in flight. A dial that started before the backend changed is not among them: it leads
+    /// elsewhere.
     pub(super) dials: Vec<DialId>,
     /// Attempts that wait for a connection, the first come first.
     pub(super) waiters: VecDeque<WaiterId>,
@@ -110,7 +112,8 @@
         needed.min(table_limit.floor()).max(1.0) as usize
     }
 
-    /// Index of the idle connection to reuse: the most recently used one that has settled, or else the most recent one.
+    /// Index of the idle connection to reuse: the most recently used one that has settled, or else
+    /// the most recent one.
     pub(super) fn best_idle(&self, now: Millis) -> Option<usize> {
         let settled = self
             .idle
@@ -127,8 +130,8 @@
         self.idle.insert(index, IdleConnection { id, idle_since });
     }
 
-    /// Takes out the idle connections that have been idle for `max_idle_time` or exceed the limit, the least recently
-    /// used first.
+    /// Takes out the idle connections that have been idle for `max_idle_time` or exceed the limit,
+    /// the least recently used first.
     pub(super) fn remove_surplus(
         &mut self,
         now: Millis,
@@ -146,8 +149,8 @@
         self.idle.drain(..removed)
     }
 
-    /// Takes a finished dial out of those in flight; whether it was one of them. It is not if the backend has changed
-    /// since the dial started.
+    /// Takes a finished dial out of those in flight; whether it was one of them. It is not if the
+    /// backend has changed since the dial started.
     pub(super) fn remove_dial(&mut self, dial: DialId) -> bool {
         let index = self.dials.iter().position(|in_flight| *in_flight == dial);
         index.map(|index| self.dials.remove(index)).is_some()
@@ -158,7 +161,8 @@
         now < self.no_dial_before
     }
 
-    /// The time at which to wake the pool for the end of the backoff, unless the driver has been asked already.
+    /// The time at which to wake the pool for the end of the backoff, unless the driver has been
+    /// asked already.
     pub(super) fn request_wakeup(&mut self) -> Option<Millis> {
         if self.wakeup_at >= self.no_dial_before {
             return None;
@@ -167,7 +171,8 @@
         Some(self.no_dial_before)
     }
 
-    /// Halves the limit because the backend's connection table is full. Several refusals at a time count once.
+    /// Halves the limit because the backend's connection table is full. Several refusals at a time
+    /// count once.
     pub(super) fn record_table_full(&mut self, now: Millis, spare: f64) {
         if self.is_backing_off(now) {
             return;
@@ -181,7 +186,8 @@
         self.no_dial_before = now + TABLE_FULL_BACKOFF;
     }
 
-    /// Forgets what is known of a backend that another process has replaced: its dials, its limit and its backoff.
+    /// Forgets what is known of a backend that another process has replaced: its dials, its limit
+    /// and its backoff.
     pub(super) fn forget_endpoint(&mut self) {
         self.dials.clear();
         self.table_limit = None;
--- a/src/connection_pool/idle_age.rs
+++ b/src/connection_pool/idle_age.rs
@@ -2,7 +2,8 @@
 
 use crate::policy_api::Millis;
 
-/// Ages below this fall into the first bucket; each later bucket starts at twice the age of the one before.
+/// Ages below this fall into the first bucket; each later bucket starts at twice the age of the one
+/// before.
 const FIRST_BUCKET_END: Millis = 4.0;
 /// Number of buckets: the last one starts at about 16 s.
 const BUCKETS: usize = 13;
@@ -43,11 +44,13 @@
 
 /// Estimates up to which idle age pooled connections are alive.
 ///
-/// Backends close earlier than they announce, and middleboxes drop idle connections silently. Every request on a pooled
-/// connection is an observation; idempotent requests go on using old connections, so a recovery is observed as well.
+/// Backends close earlier than they announce, and middleboxes drop idle connections silently. Every
+/// request on a pooled connection is an observation; idempotent requests go on using old
+/// connections, so a recovery is observed as well.
 ///
-/// The estimate is one for all backends: a single backend that breaks young connections is not told apart, and breaks
-/// that have nothing to do with age cost needless new connections once they pass [`MIN_BROKEN_PART`].
+/// The estimate is one for all backends: a single backend that breaks young connections is not told
+/// apart, and breaks that have nothing to do with age cost needless new connections once they pass
+/// [`MIN_BROKEN_PART`].
 #[derive(Default)]
 pub(super) struct IdleAgeEstimator([AgeBucket; BUCKETS]);
 
--- a/src/connection_pool/limits.rs
+++ b/src/connection_pool/limits.rs
@@ -2,12 +2,14 @@
 
 use crate::policy_api::Millis;
 
-/// Part of the backends' idle timeout for which an idle connection is kept. One that the backend closes first may cost
-/// a request.
+/// Part of the backends' idle timeout for which an idle connection is kept. One that the backend
+/// closes first may cost a request.
 const IDLE_TIMEOUT_PART: f64 = 0.6;
-/// Connections that all gateways together may hold at a backend before any demand has been observed.
+/// Connections that all gateways together may hold at a backend before any demand has been
+/// observed.
 const FLEET_SPARE_CONNECTIONS: f64 = 64.0;
-/// Connections that each gateway may hold at a backend at least before any demand has been observed.
+/// Connections that each gateway may hold at a backend at least before any demand has been
+/// observed.
 const MIN_SPARE_CONNECTIONS: f64 = 2.0;
 
 /// The limits of the pools, from the settings and from the resources of the machine.
@@ -33,12 +35,12 @@
             .floor()
     }
 
-    /// For how many milliseconds an idle connection is kept: well short of the backends' own idle timeout, and no longer
-    /// than keeping it costs less than a new one.
+    /// For how many milliseconds an idle connection is kept: well short of the backends' own idle
+    /// timeout, and no longer than keeping it costs less than a new one.
     ///
-    /// The settings price both over the whole fleet, a handshake for each first attempt and the open connections for each
-    /// hundred per backend. The fleet's rate is taken as `request_rate` (a second, at this gateway) times the number of
-    /// gateways.
+    /// The settings price both over the whole fleet, a handshake for each first attempt and the
+    /// open connections for each hundred per backend. The fleet's rate is taken as `request_rate`
+    /// (a second, at this gateway) times the number of gateways.
     pub(super) fn max_idle_time(&self, request_rate: f64, endpoint_count: usize) -> Millis {
         let longest = IDLE_TIMEOUT_PART * self.endpoint_idle_timeout;
         let fleet_rate = request_rate * f64::from(self.gateway_count.max(1));
--- a/src/connection_pool/mod.rs
+++ b/src/connection_pool/mod.rs
@@ -1,13 +1,15 @@
-//! The connection pools as a pure state machine: which connection an attempt takes, when one is dialed, which are kept.
+//! The connection pools as a pure state machine: which connection an attempt takes, when one is
+//! dialed, which are kept.
 //!
-//! Nothing here owns a socket or reads a clock. Events come in with the time at which they happened, and what the driver
-//! has to do goes out as [`PoolAction`]s. Connections, waiters and dials are numbers that the driver or the pool assigns.
-//! The gateway drives this with sockets (`src/net/upstream/pool_driver`), and `crates/fleet-simulation` with simulated
-//! connections.
+//! Nothing here owns a socket or reads a clock. Events come in with the time at which they
+//! happened, and what the driver has to do goes out as [`PoolAction`]s. Connections, waiters and
+//! dials are numbers that the driver or the pool assigns. The gateway drives this with sockets
+//! (`src/net/upstream/pool_driver`), and `crates/fleet-simulation` with simulated connections.
 //!
-//! A backend announces the size of its connection table nowhere, and all gateways share it. Each gateway therefore holds
-//! what its own attempts need by Little's law, with a margin for random variation. It takes a refused dial beside working
-//! connections as a sign that the table is full, halves what it holds there, and grows slowly again.
+//! A backend announces the size of its connection table nowhere, and all gateways share it. Each
+//! gateway therefore holds what its own attempts need by Little's law, with a margin for random
+//! variation. It takes a refused dial beside working connections as a sign that the table is full,
+//! halves what it holds there, and grows slowly again.
 
 mod endpoint_pool;
 mod idle_age;
@@ -27,7 +29,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaiterId(pub u64);
 
-/// A dial, numbered by the pool when it starts; the driver reports its result under the same number.
+/// A dial, numbered by the pool when it starts; the driver reports its result under the same
+/// number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DialId(pub u64);
 
@@ -88,9 +91,9 @@
     Exhausted,
 }
 
-/// An attempt takes a connection that has been idle for this long since its last response rather than a more recent one.
-/// Whatever a backend sends after a response has arrived by then. Where there is no other connection, the attempt waits
-/// for the rest of this time.
+/// An attempt takes a connection that has been idle for this long since its last response rather
+/// than a more recent one. Whatever a backend sends after a response has arrived by then. Where
+/// there is no other connection, the attempt waits for the rest of this time.
 pub const SETTLE_TIME: Millis = 3.0;
 
 #[cfg(test)]
--- a/src/connection_pool/pool.rs
+++ b/src/connection_pool/pool.rs
@@ -12,8 +12,8 @@
 
 /// The connections to all backends, which `B` names.
 ///
-/// The owner reports every event with its time and carries out the [`PoolAction`]s that each call appends, in order.
-/// Times must not run backwards.
+/// The owner reports every event with its time and carries out the [`PoolAction`]s that each call
+/// appends, in order. Times must not run backwards.
 pub struct ConnectionPool<B> {
     pub(super) limits: PoolLimits,
     pub(super) endpoints: BTreeMap<B, EndpointPool>,
@@ -91,8 +91,8 @@
 
     /// Takes a connection to a backend for an attempt, or queues the attempt as `waiter`.
     ///
-    /// An attempt that must run no more than once (`run_once`) gets no connection of an idle age at which connections
-    /// have broken of late.
+    /// An attempt that must run no more than once (`run_once`) gets no connection of an idle age at
+    /// which connections have broken of late.
     pub fn checkout(
         &mut self,
         now: Millis,
@@ -122,7 +122,8 @@
         let index = pool.best_idle(now)?;
         let connection = pool.idle[index];
         let idle_for = now - connection.idle_since;
-        // A request that must run once would be lost with a broken connection; any other costs no more than a dial.
+        // A request that must run once would be lost with a broken connection; any other costs no
+        // more than a dial.
         let is_reliable = !run_once || self.idle_ages.is_reliable(now, idle_for);
         if idle_for >= max_idle_time || !is_reliable {
             return None;
@@ -143,12 +144,12 @@
         }
     }
 
-    /// Schedules a dial to a backend that demand is about to reach and to which there is no connection, at a random time
-    /// within `within` milliseconds.
+    /// Schedules a dial to a backend that demand is about to reach and to which there is no
+    /// connection, at a random time within `within` milliseconds.
     ///
-    /// The random time spreads the dials of a fleet that learns of a backend at one instant; a request that comes sooner
-    /// dials at once. Where handshakes have a price no dial is made on a guess: one in twenty-five is never used, and all
-    /// that it saves is a round trip.
+    /// The random time spreads the dials of a fleet that learns of a backend at one instant; a
+    /// request that comes sooner dials at once. Where handshakes have a price no dial is made on a
+    /// guess: one in twenty-five is never used, and all that it saves is a round trip.
     pub fn preconnect(
         &mut self,
         now: Millis,
@@ -180,14 +181,16 @@
         self.start_due_dials(now, endpoint, actions);
     }
 
-    /// Starts the dials that are due: no more than there are waiters, few at a time, and none beyond the limit.
+    /// Starts the dials that are due: no more than there are waiters, few at a time, and none
+    /// beyond the limit.
     fn start_due_dials(&mut self, now: Millis, endpoint: B, actions: &mut Vec<PoolAction<B>>) {
         while self.is_dial_due(now, endpoint, actions) {
             self.start_dial(endpoint, actions);
         }
     }
 
-    /// Whether a dial for a waiter may start now. Asks to be woken where only the backoff forbids it.
+    /// Whether a dial for a waiter may start now. Asks to be woken where only the backoff forbids
+    /// it.
     fn is_dial_due(&mut self, now: Millis, endpoint: B, actions: &mut Vec<PoolAction<B>>) -> bool {
         let is_exhausted = self.is_exhausted();
         let spare = self.limits.spare_connections();
@@ -198,7 +201,8 @@
         if is_exhausted || pool.dials.len() >= wanted_dials {
             return false;
         }
-        // Idle connections do not count: a waiter dials although they are there, so they were not good enough for it.
+        // Idle connections do not count: a waiter dials although they are there, so they were not
+        // good enough for it.
         let in_use = pool.busy + pool.dials.len();
         if in_use == 0 {
             return true;
@@ -244,8 +248,9 @@
 
     /// A dial failed.
     ///
-    /// Beside working connections a remote failure counts as a full table and fails the first waiter only: the others
-    /// wait for a connection that is released. Where nothing works it fails all waiters, who are better off elsewhere.
+    /// Beside working connections a remote failure counts as a full table and fails the first
+    /// waiter only: the others wait for a connection that is released. Where nothing works it fails
+    /// all waiters, who are better off elsewhere.
     pub fn dial_failed(
         &mut self,
         now: Millis,
@@ -280,7 +285,8 @@
         self.start_due_dials(now, endpoint, actions);
     }
 
-    /// Takes a finished dial off its backend's pool; `None` if the backend has changed since the dial started.
+    /// Takes a finished dial off its backend's pool; `None` if the backend has changed since the
+    /// dial started.
     fn take_dialed(&mut self, endpoint: B, dial: DialId) -> Option<&mut EndpointPool> {
         let pool = self.endpoints.get_mut(&endpoint)?;
         pool.remove_dial(dial).then_some(pool)
@@ -293,7 +299,8 @@
         }
     }
 
-    /// A connection has carried its request to the end, and goes to the first waiter or is kept idle.
+    /// A connection has carried its request to the end, and goes to the first waiter or is kept
+    /// idle.
     pub fn release(
         &mut self,
         now: Millis,
@@ -304,7 +311,8 @@
         self.release_unused(now, endpoint, connection, 0.0, actions);
     }
 
-    /// A connection comes back that has carried nothing since it was checked out; it has been idle for `idle_for`.
+    /// A connection comes back that has carried nothing since it was checked out; it has been idle
+    /// for `idle_for`.
     pub fn release_unused(
         &mut self,
         now: Millis,
@@ -352,8 +360,8 @@
         }
     }
 
-    /// Another process has a backend's address, or the backend drains: closes its idle connections, fails its waiters and
-    /// disowns its dials in flight.
+    /// Another process has a backend's address, or the backend drains: closes its idle connections,
+    /// fails its waiters and disowns its dials in flight.
     pub fn reset_endpoint(&mut self, endpoint: B, actions: &mut Vec<PoolAction<B>>) {
         self.close_idle(endpoint, actions);
         let Some(pool) = self.endpoints.get_mut(&endpoint) else {
@@ -365,7 +373,8 @@
         }
     }
 
-    /// Resets a backend that is gone, and forgets it. Connections that carry attempts close when these end.
+    /// Resets a backend that is gone, and forgets it. Connections that carry attempts close when
+    /// these end.
     pub fn remove_endpoint(&mut self, endpoint: B, actions: &mut Vec<PoolAction<B>>) {
         self.reset_endpoint(endpoint, actions);
         let Some(removed) = self.endpoints.remove(&endpoint) else {
@@ -383,8 +392,8 @@
         self.idle_ages.record(now, idle_for, broke);
     }
 
-    /// Closes connections that have been idle for too long or exceed the limit, and forgets backends of which nothing is
-    /// held. To be called at regular intervals.
+    /// Closes connections that have been idle for too long or exceed the limit, and forgets
+    /// backends of which nothing is held. To be called at regular intervals.
     pub fn evict_expired(&mut self, now: Millis, actions: &mut Vec<PoolAction<B>>) {
         let max_idle_time = self.max_idle_time();
         let spare = self.limits.spare_connections();
@@ -424,7 +433,8 @@
         actions.push(PoolAction::Close(connection));
     }
 
-    /// Closes the connection that has been idle longest, to whichever backend; whether there was one.
+    /// Closes the connection that has been idle longest, to whichever backend; whether there was
+    /// one.
     fn close_longest_idle(&mut self, actions: &mut Vec<PoolAction<B>>) -> bool {
         let with_idle = self
             .endpoints
--- a/src/connection_pool/tests/churn.rs
+++ b/src/connection_pool/tests/churn.rs
@@ -215,15 +215,17 @@
         ..Config::default()
     })]
 
-    /// Guards the accounting: whatever happens in whatever order, each connection and each waiter is accounted for once,
-    /// the limit of connections holds, no waiter waits in vain, and removed backends leave nothing behind.
+    /// Guards the accounting: whatever happens in whatever order, each connection and each waiter
+    /// is accounted for once, the limit of connections holds, no waiter waits in vain, and removed
+    /// backends leave nothing behind.
     #[test]
     fn every_connection_and_every_waiter_is_accounted_for(seed in any::<u64>()) {
         churn(seed, 600);
     }
 }
 
-/// Guards memory over an hour and more of simulated churn: ten steps a second, all backends replaced every 30 s.
+/// Guards memory over an hour and more of simulated churn: ten steps a second, all backends
+/// replaced every 30 s.
 #[test]
 fn an_hour_of_endpoint_churn_leaves_nothing_behind() {
     churn(1, 36_000);
--- a/src/connection_pool/tests/mod.rs
+++ b/src/connection_pool/tests/mod.rs
@@ -20,6 +20,13 @@
     ConnectionPool::new(limits(), 7)
 }
 
+fn reused(connection: u64, idle_ms: u32) -> Checkout {
+    Checkout::Reused {
+        connection: ConnectionId(connection),
+        idle_ms,
+    }
+}
+
 /// A driver that carries nothing out and records every action of the pool.
 #[derive(Default)]
 struct Driver {
@@ -90,8 +97,9 @@
     }
 }
 
-/// Guards the estimate of reliable idle ages: failures of old connections speak against that age and higher ones, not
-/// against lower ones; an occasional break speaks against none; and an age that recovers is trusted again.
+/// Guards the estimate of reliable idle ages: failures of old connections speak against that age
+/// and higher ones, not against lower ones; an occasional break speaks against none; and an age
+/// that recovers is trusted again.
 #[test]
 fn only_idle_ages_at_which_connections_break_are_unreliable() {
     let [young, old, older] = [20.0, 200.0, 2000.0];
@@ -121,8 +129,9 @@
     assert!(ages.is_reliable(start + 60_000.0, older));
 }
 
-/// Guards reuse: the most recently used connection is taken first, and one whose response has only just ended only where
-/// there is no other; one that has been idle beyond the limit is closed, not taken.
+/// Guards reuse: the most recently used connection is taken first, and one whose response has only
+/// just ended only where there is no other; one that has been idle beyond the limit is closed, not
+/// taken.
 #[test]
 fn checkout_prefers_the_most_recently_used_settled_connection() {
     let mut pool = ConnectionPool::new(
@@ -149,24 +158,15 @@
     assert_eq!((driver.dials.len(), driver.assigned.len()), (3, 3));
     assert_eq!(
         pool.checkout(301.0, 1, WaiterId(4), false, &mut driver.actions),
-        Checkout::Reused {
-            connection: ConnectionId(2),
-            idle_ms: 101
-        }
+        reused(2, 101)
     );
     assert_eq!(
         pool.checkout(302.0, 1, WaiterId(5), false, &mut driver.actions),
-        Checkout::Reused {
-            connection: ConnectionId(1),
-            idle_ms: 202
-        }
+        reused(1, 202)
     );
     assert_eq!(
         pool.checkout(302.5, 1, WaiterId(6), false, &mut driver.actions),
-        Checkout::Reused {
-            connection: ConnectionId(3),
-            idle_ms: 2
-        }
+        reused(3, 2)
     );
     pool.release(400.0, 1, ConnectionId(3), &mut driver.actions);
     assert_eq!(
@@ -178,8 +178,8 @@
     assert_eq!(driver.closed, [ConnectionId(3)]);
 }
 
-/// Guards the dial in flight: a waiter takes a connection that is released first, and the dialed connection is kept for
-/// the next attempt; it is kept as well if the waiter cancels.
+/// Guards the dial in flight: a waiter takes a connection that is released first, and the dialed
+/// connection is kept for the next attempt; it is kept as well if the waiter cancels.
 #[test]
 fn a_waiter_takes_a_released_connection_and_its_dial_is_kept() {
     let mut pool = pool();
@@ -202,10 +202,7 @@
     driver.connect(&mut pool, 4.0, 1, 2);
     assert_eq!(
         pool.checkout(10.0, 1, WaiterId(3), false, &mut driver.actions),
-        Checkout::Reused {
-            connection: ConnectionId(2),
-            idle_ms: 6
-        }
+        reused(2, 6)
     );
     // One connection closes, so that another dial is within the limit.
     pool.connection_closed(10.5, 1, &mut driver.actions);
@@ -214,15 +211,13 @@
     driver.connect(&mut pool, 13.0, 1, 3);
     assert_eq!(
         pool.checkout(20.0, 1, WaiterId(5), false, &mut driver.actions),
-        Checkout::Reused {
-            connection: ConnectionId(3),
-            idle_ms: 7
-        }
+        reused(3, 7)
     );
 }
 
-/// Guards a backend against a burst of dials: few are in flight at a time, and no more connections are held than the mean
-/// demand and its variation call for; further attempts wait for a released connection.
+/// Guards a backend against a burst of dials: few are in flight at a time, and no more connections
+/// are held than the mean demand and its variation call for; further attempts wait for a released
+/// connection.
 #[test]
 fn a_burst_limits_concurrent_dials_and_holds_what_demand_needs() {
     let mut pool = ConnectionPool::new(
@@ -253,19 +248,15 @@
         "no demand has been observed yet"
     );
     // The demand lasts, so the limit rises.
-    for now in 1..200 {
+    for step in 1..200u32 {
+        let now = f64::from(step) * 100.0;
+        let waiter = WaiterId(1000 + u64::from(step));
         let connection = driver.assigned.last().expect("a connection").1;
-        pool.release(f64::from(now) * 100.0, 1, connection, &mut driver.actions);
-        pool.checkout(
-            f64::from(now) * 100.0,
-            1,
-            WaiterId(1000 + u64::from(now as u32)),
-            false,
-            &mut driver.actions,
-        );
+        pool.release(now, 1, connection, &mut driver.actions);
+        pool.checkout(now, 1, waiter, false, &mut driver.actions);
         driver.record_actions();
         while up < driver.dials.len() {
-            driver.connect(&mut pool, f64::from(now) * 100.0, 1, up as u64);
+            driver.connect(&mut pool, now, 1, up as u64);
             up += 1;
             driver.record_actions();
         }
@@ -277,8 +268,9 @@
     );
 }
 
-/// Guards a connection table that all gateways share: a dial refused beside working connections halves the limit there,
-/// the next dial comes after a backoff, and the limit grows slowly by one connection at a time.
+/// Guards a connection table that all gateways share: a dial refused beside working connections
+/// halves the limit there, the next dial comes after a backoff, and the limit grows slowly by one
+/// connection at a time.
 #[test]
 fn a_full_table_halves_the_limit_which_grows_back_slowly() {
     let mut pool = pool();
@@ -318,8 +310,8 @@
     assert_eq!(driver.actions, [], "a dial to a full table");
 }
 
-/// Guards the classes of failure: a backend where nothing works fails all waiters; a shortage of this gateway's own is
-/// reported as such.
+/// Guards the classes of failure: a backend where nothing works fails all waiters; a shortage of
+/// this gateway's own is reported as such.
 #[test]
 fn a_failed_dial_without_working_connections_fails_all_waiters() {
     for (failure, error) in [
@@ -343,8 +335,8 @@
     }
 }
 
-/// Guards against connections to what a backend was before: those that are idle or being dialed when its address changes
-/// or it drains are closed, and the waiters fail at once.
+/// Guards against connections to what a backend was before: those that are idle or being dialed
+/// when its address changes or it drains are closed, and the waiters fail at once.
 #[test]
 fn dials_started_before_a_reset_are_closed_when_they_come_up() {
     for late in [false, true] {
@@ -378,7 +370,8 @@
     }
 }
 
-/// Guards non-idempotent requests: none goes out on a connection of an idle age at which others have broken of late.
+/// Guards non-idempotent requests: none goes out on a connection of an idle age at which others
+/// have broken of late.
 #[test]
 fn run_once_checkout_avoids_unreliable_idle_ages() {
     let mut pool = pool();
@@ -395,15 +388,13 @@
     );
     assert_eq!(
         pool.checkout(6000.0, 1, WaiterId(3), false, &mut driver.actions),
-        Checkout::Reused {
-            connection: ConnectionId(1),
-            idle_ms: 6000
-        }
+        reused(1, 6000)
     );
 }
 
-/// Guards a backend that a whole fleet learns of at one instant: the dials ahead of demand are spread over the given time,
-/// each gateway at a time of its own, and none is made where there is a connection already.
+/// Guards a backend that a whole fleet learns of at one instant: the dials ahead of demand are
+/// spread over the given time, each gateway at a time of its own, and none is made where there is a
+/// connection already.
 #[test]
 fn preconnect_dials_are_spread_over_the_given_time() {
     let mut tenths = [0; 10];
@@ -439,7 +430,8 @@
     );
 }
 
-/// Guards prices: where open connections cost and handshakes are cheap, no idle one is kept for longer than it is worth.
+/// Guards prices: where open connections cost and handshakes are cheap, no idle one is kept for
+/// longer than it is worth.
 #[test]
 fn idle_connections_are_kept_no_longer_than_they_are_worth() {
     let mut pool: ConnectionPool<u32> = ConnectionPool::new(
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt of a request: its connection, the exchange on it, and what the way it ended says of the backend.
+//! One attempt of a request: its connection, the exchange on it, and what the way it ended says of
+//! the backend.
 
 use crate::net::messages::{AttemptResult, UpstreamRequest};
 use crate::net::runtime::budget::AttemptDeadline;
@@ -36,8 +37,8 @@
     BrokeAfterSent,
 }
 
-/// Carries out one attempt within its deadline and returns how it ended. The caller enforces the deadline, by dropping
-/// the future when it has passed.
+/// Carries out one attempt within its deadline and returns how it ended. The caller enforces the
+/// deadline, by dropping the future when it has passed.
 pub(crate) async fn attempt(
     transport: &UpstreamTransport,
     backend: BackendId,
@@ -88,9 +89,9 @@
                     }
                 }
                 Exchange::NotPermitted => return failed(Outcome::NotSent, broken_connections),
-                // A pooled connection that broke before the request had been fully written says little of the backend,
-                // and nothing has been executed: the next connection takes over. Each turn takes one out of the pool,
-                // so this ends.
+                // A pooled connection that broke before the request had been fully written says
+                // little of the backend, and nothing has been executed: the next connection takes
+                // over. Each turn takes one out of the pool, so this ends.
                 Exchange::BrokeBeforeSent if is_reused => broken_connections += 1,
                 Exchange::BrokeBeforeSent => {
                     return failed(Outcome::ConnectFailed, broken_connections + 1)
@@ -108,8 +109,9 @@
         let checkout = connections
             .checkout(self.backend, self.delivery, timeout)
             .await;
-        // During the wait the client may have disconnected, or the time in which the attempt may start may have ended.
-        // That is no fault of the backend, and the connection serves another attempt.
+        // During the wait the client may have disconnected, or the time in which the attempt may
+        // start may have ended. That is no fault of the backend, and the connection serves another
+        // attempt.
         if !self.permit.is_valid() {
             if let Ok(connection) = checkout {
                 connection.release_unused();
@@ -145,7 +147,8 @@
             Err(_) => None,
         };
         let is_fully_written = connection.socket.is_fully_written();
-        // A response to a request that the backend has not seen to its end is valid only as a rejection.
+        // A response to a request that the backend has not seen to its end is valid only as a
+        // rejection.
         let Some(received) = received
             .filter(|received| is_fully_written || received.result.outcome == Outcome::Rejected)
         else {
@@ -155,7 +158,8 @@
                 Exchange::BrokeBeforeSent
             };
         };
-        // The first request on a new connection is rejected where the backend's connection table is full.
+        // The first request on a new connection is rejected where the backend's connection table is
+        // full.
         if received.result.outcome == Outcome::Rejected && connection.idle_for.is_none() {
             connections.record_table_full(self.backend);
         }
--- a/src/net/upstream/attempt/tests.rs
+++ b/src/net/upstream/attempt/tests.rs
@@ -99,7 +99,8 @@
     }
 }
 
-/// Reads until what has been received ends with `suffix`: the end of the request, or all but its last byte.
+/// Reads until what has been received ends with `suffix`: the end of the request, or all but its
+/// last byte.
 async fn receive(stream: &mut TcpStream, suffix: &[u8]) {
     let mut received = Vec::new();
     while !received.ends_with(suffix) {
@@ -143,9 +144,9 @@
         .expect("an end in time")
 }
 
-/// Guards requests that must not run twice against connections that are dead without a sign of it, pooled or new: the
-/// reset answers the bytes before the last, so nothing has run. For a pooled one the next connection takes over within
-/// the attempt; a new one ends the attempt as never run.
+/// Guards requests that must not run twice against connections that are dead without a sign of it,
+/// pooled or new: the reset answers the bytes before the last, so nothing has run. For a pooled one
+/// the next connection takes over within the attempt; a new one ends the attempt as never run.
 #[test]
 fn a_request_reset_before_its_last_byte_has_not_run() {
     let results = run(async {
@@ -194,8 +195,9 @@
     );
 }
 
-/// Guards requests that must not run twice against connections that only look alive: where pooled ones of some idle age
-/// have taken a request and broken, such a request gets a new connection, while others go on using the pooled ones.
+/// Guards requests that must not run twice against connections that only look alive: where pooled
+/// ones of some idle age have taken a request and broken, such a request gets a new connection,
+/// while others go on using the pooled ones.
 #[test]
 fn a_run_once_request_avoids_connections_of_a_failing_idle_age() {
     let old = Duration::from_millis(300);
@@ -234,7 +236,8 @@
     });
 }
 
-/// Guards reuse: a request whose dial hangs takes the connection that another request releases first.
+/// Guards reuse: a request whose dial hangs takes the connection that another request releases
+/// first.
 #[test]
 fn a_request_whose_dial_hangs_takes_a_released_connection() {
     run(async {
@@ -295,8 +298,8 @@
     });
 }
 
-/// Guards against connections to what a backend was before: a new address or a restart closes the pooled ones, and the
-/// next request goes to where the backend is now.
+/// Guards against connections to what a backend was before: a new address or a restart closes the
+/// pooled ones, and the next request goes to where the backend is now.
 #[test]
 fn a_backend_that_moves_or_restarts_gets_new_connections() {
     run(async {
@@ -330,7 +333,8 @@
     });
 }
 
-/// Guards against a backend that closes each connection after its response: each request costs a dial, and none fails.
+/// Guards against a backend that closes each connection after its response: each request costs a
+/// dial, and none fails.
 #[test]
 fn a_backend_that_closes_after_each_response_costs_one_dial_each() {
     run(async {
@@ -359,8 +363,8 @@
     });
 }
 
-/// Guards a full connection table: a rejected first request on a new connection lowers the limit of connections there, and
-/// says no more than that the backend is full.
+/// Guards a full connection table: a rejected first request on a new connection lowers the limit of
+/// connections there, and says no more than that the backend is full.
 #[test]
 fn a_rejected_first_request_on_a_new_connection_means_a_full_backend() {
     run(async {
@@ -382,8 +386,8 @@
     });
 }
 
-/// Guards backends against requests whose client has gone: if the client disconnects while the last byte is held back, the
-/// byte is not written, and the backend is not blamed.
+/// Guards backends against requests whose client has gone: if the client disconnects while the last
+/// byte is held back, the byte is not written, and the backend is not blamed.
 #[test]
 fn the_last_byte_is_not_written_for_a_disconnected_client() {
     for delivery in [DeliveryMode::Once, DeliveryMode::Cautious] {
@@ -415,8 +419,8 @@
     }
 }
 
-/// Guards requests with an idempotency key: an attempt past its start deadline is not sent, and its connection serves the
-/// next one.
+/// Guards requests with an idempotency key: an attempt past its start deadline is not sent, and its
+/// connection serves the next one.
 #[test]
 fn an_attempt_past_its_start_deadline_releases_its_connection() {
     run(async {
--- a/src/net/upstream/pool_driver/attempt_handle.rs
+++ b/src/net/upstream/pool_driver/attempt_handle.rs
@@ -23,7 +23,8 @@
         *self.task.borrow_mut() = Some(task);
     }
 
-    /// Whether all of the request has been written: before that, the backend cannot have executed it.
+    /// Whether all of the request has been written: before that, the backend cannot have executed
+    /// it.
     pub(crate) fn is_fully_written(&self) -> bool {
         self.socket
             .borrow()
--- a/src/net/upstream/pool_driver/checkout.rs
+++ b/src/net/upstream/pool_driver/checkout.rs
@@ -24,7 +24,8 @@
     /// A dial to the backend was still in flight when the time for the wait was over.
     #[error("no connection was made in time")]
     DialTimeout,
-    /// No dial was in flight when the time for the wait was over, and no connection had been released.
+    /// No dial was in flight when the time for the wait was over, and no connection had been
+    /// released.
     #[error("no connection was released in time")]
     WaitTimeout,
     /// The pool went away.
@@ -33,7 +34,8 @@
 }
 
 impl CheckoutError {
-    /// How the attempt ends that gets no connection: whether the fault is the backend's, or it is full, or neither.
+    /// How the attempt ends that gets no connection: whether the fault is the backend's, or it is
+    /// full, or neither.
     pub(crate) fn outcome(self) -> Outcome {
         match self {
             CheckoutError::Pool(PoolError::Unreachable) | CheckoutError::DialTimeout => {
@@ -50,9 +52,9 @@
     }
 }
 
-/// Takes a connection to a backend: a pooled one, the first that is released, or a new one, whichever comes first,
-/// within `timeout` milliseconds in all. For a request that must run only once, none of an idle age at which connections
-/// have broken of late.
+/// Takes a connection to a backend: a pooled one, the first that is released, or a new one,
+/// whichever comes first, within `timeout` milliseconds in all. For a request that must run only
+/// once, none of an idle age at which connections have broken of late.
 ///
 /// # Errors
 ///
@@ -89,9 +91,10 @@
     }
 }
 
-/// Waits for the rest of [`SETTLE_TIME`] since the last response of a connection, also where the connection comes
-/// straight from another attempt: whatever a backend sends after a response would be taken for the next response. `None`
-/// if the connection has ended, or holds something to be read.
+/// Waits for the rest of [`SETTLE_TIME`] since the last response of a connection, also where the
+/// connection comes straight from another attempt: whatever a backend sends after a response would
+/// be taken for the next response. `None` if the connection has ended, or holds something to be
+/// read.
 async fn settle(connection: CheckedOutConnection) -> Option<CheckedOutConnection> {
     if let Some(last_response_at) = connection.last_response_at {
         let rest = last_response_at + SETTLE_TIME - connection.state.clock.now();
@@ -102,8 +105,8 @@
     connection.is_reusable().then_some(connection)
 }
 
-/// An attempt that waits for a connection. Dropped, it leaves the queue, and a connection that it has been assigned but
-/// has not taken returns to the pool.
+/// An attempt that waits for a connection. Dropped, it leaves the queue, and a connection that it
+/// has been assigned but has not taken returns to the pool.
 struct Waiter<'a> {
     state: &'a Rc<PoolState>,
     backend: BackendId,
@@ -158,7 +161,8 @@
     }
 }
 
-/// A connection in use by an attempt. Dropped before it is released, it is closed at once and reported to the pool.
+/// A connection in use by an attempt. Dropped before it is released, it is closed at once and
+/// reported to the pool.
 pub(crate) struct CheckedOutConnection {
     state: Rc<PoolState>,
     backend: BackendId,
@@ -200,7 +204,8 @@
         self.return_to_pool(idle_for);
     }
 
-    /// Returns the connection to the pool, unless it has ended or leads to what its backend was before.
+    /// Returns the connection to the pool, unless it has ended or leads to what its backend was
+    /// before.
     fn return_to_pool(mut self, idle_for: Millis) {
         let current_address = self.state.address_of(self.backend);
         if current_address != Some(self.address) || self.sender.is_closed() {
--- a/src/net/upstream/pool_driver/connection.rs
+++ b/src/net/upstream/pool_driver/connection.rs
@@ -28,7 +28,8 @@
 }
 
 impl Connection {
-    /// Starts HTTP/1.1 on a stream to `address`, with a task of its own for as long as the connection lasts.
+    /// Starts HTTP/1.1 on a stream to `address`, with a task of its own for as long as the
+    /// connection lasts.
     ///
     /// # Errors
     ///
@@ -58,7 +59,8 @@
         })
     }
 
-    /// Whether another request may be sent: the connection is open, and nothing has followed its last response.
+    /// Whether another request may be sent: the connection is open, and nothing has followed its
+    /// last response.
     pub(super) fn is_reusable(&self) -> bool {
         let is_new = self.last_response_at.is_none();
         !self.sender.is_closed() && (is_new || self.socket.is_open_and_silent())
@@ -100,8 +102,8 @@
     }
 }
 
-/// Which side an error of a socket tells of. What is not known to come from the backend or the network, such as a lack
-/// of file descriptors, is this gateway's own.
+/// Which side an error of a socket tells of. What is not known to come from the backend or the
+/// network, such as a lack of file descriptors, is this gateway's own.
 fn failure_of(kind: io::ErrorKind) -> DialFailure {
     use io::ErrorKind::{
         BrokenPipe, ConnectionAborted, ConnectionRefused, ConnectionReset, HostUnreachable,
--- a/src/net/upstream/pool_driver/mod.rs
+++ b/src/net/upstream/pool_driver/mod.rs
@@ -29,8 +29,8 @@
 }
 
 impl UpstreamConnections {
-    /// No backends yet. At most `max_connections` connections and dials at once, for one of `gateway_count` gateways;
-    /// `seed` spreads the dials ahead of demand.
+    /// No backends yet. At most `max_connections` connections and dials at once, for one of
+    /// `gateway_count` gateways; `seed` spreads the dials ahead of demand.
     pub(crate) fn new(
         settings: ConnectionSettings,
         max_connections: usize,
@@ -60,8 +60,8 @@
             .set_gateway_count(gateway_count);
     }
 
-    /// Adds or updates a backend that takes new requests. `started_at` is when its process started, in Unix milliseconds;
-    /// 0 for long ago.
+    /// Adds or updates a backend that takes new requests. `started_at` is when its process started,
+    /// in Unix milliseconds; 0 for long ago.
     pub(crate) fn add_endpoint(&self, id: BackendId, address: SocketAddr, started_at: Millis) {
         let endpoint = Endpoint {
             address,
@@ -109,8 +109,8 @@
         self.state.address_of(id)
     }
 
-    /// When a backend's process started, as it was last reported, in Unix milliseconds; 0 for long ago or if the backend
-    /// is unknown.
+    /// When a backend's process started, as it was last reported, in Unix milliseconds; 0 for long
+    /// ago or if the backend is unknown.
     pub(crate) fn started_at(&self, id: BackendId) -> Millis {
         self.state
             .endpoints
@@ -127,9 +127,9 @@
         }
     }
 
-    /// Takes a connection to a backend: a pooled one, the first that is released, or a new one, whichever comes first,
-    /// within `timeout` milliseconds in all. For a request that must run only once, none of an idle age at which
-    /// connections have broken of late.
+    /// Takes a connection to a backend: a pooled one, the first that is released, or a new one,
+    /// whichever comes first, within `timeout` milliseconds in all. For a request that must run
+    /// only once, none of an idle age at which connections have broken of late.
     ///
     /// # Errors
     ///
@@ -144,13 +144,15 @@
         checkout::checkout(&self.state, id, run_once, timeout).await
     }
 
-    /// Records that a backend rejected the first request on a new connection: its connection table is full.
+    /// Records that a backend rejected the first request on a new connection: its connection table
+    /// is full.
     pub(crate) fn record_table_full(&self, id: BackendId) {
         self.state
             .report(|pool, now, _| pool.record_table_full(now, id));
     }
 
-    /// Records whether a connection that had been idle for `idle_for` milliseconds broke under its next request.
+    /// Records whether a connection that had been idle for `idle_for` milliseconds broke under its
+    /// next request.
     pub(crate) fn record_reuse(&self, idle_for: Millis, broke: bool) {
         self.state
             .report(|pool, now, _| pool.record_reuse(now, idle_for, broke));
@@ -161,7 +163,8 @@
         self.state.dial_timeout.as_secs_f64() * 1000.0
     }
 
-    /// How long a response takes to arrive, estimated from dials, in milliseconds; 0 before the first.
+    /// How long a response takes to arrive, estimated from dials, in milliseconds; 0 before the
+    /// first.
     pub(crate) fn one_way_delay(&self) -> Millis {
         self.state.one_way_delay()
     }
--- a/src/net/upstream/pool_driver/pool_state.rs
+++ b/src/net/upstream/pool_driver/pool_state.rs
@@ -1,5 +1,5 @@
-//! What dials, waiting attempts and connections in use share: the pure pool, the connections that it numbers, and the
-//! actions that it asks for.
+//! What dials, waiting attempts and connections in use share: the pure pool, the connections that
+//! it numbers, and the actions that it asks for.
 
 use super::checkout::CheckedOutConnection;
 use super::connection::{Connection, DialError};
@@ -17,7 +17,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The known round trip grows by this factor with each dial, so that a longer one is learned within some tens of dials.
+/// The known round trip grows by this factor with each dial, so that a longer one is learned within
+/// some tens of dials.
 const ROUND_TRIP_GROWTH: f64 = 1.05;
 
 /// The pure pool over backends.
@@ -54,7 +55,8 @@
     pub(super) dial_timeout: Duration,
     /// The last number of a connection or a waiter.
     last_number: Cell<u64>,
-    /// The round trip to a backend: the least that dials have taken of late. `None` before the first.
+    /// The round trip to a backend: the least that dials have taken of late. `None` before the
+    /// first.
     round_trip: Cell<Option<Millis>>,
 }
 
@@ -116,8 +118,8 @@
     }
 
     fn end_wait(&self, waiter: WaiterId, result: WaitResult) {
-        // A waiter that has been dropped is gone from here, and has told the pool. If it is dropped after this, it
-        // returns the connection itself.
+        // A waiter that has been dropped is gone from here, and has told the pool. If it is dropped
+        // after this, it returns the connection itself.
         if let Some(sender) = self.waiters.borrow_mut().remove(&waiter) {
             let _ = sender.send(result);
         }
@@ -156,7 +158,8 @@
         ))
     }
 
-    /// Dials a backend in a task of its own. The result is the pool's, also if the attempt that it was for has ended.
+    /// Dials a backend in a task of its own. The result is the pool's, also if the attempt that it
+    /// was for has ended.
     fn start_dial(self: &Rc<Self>, backend: BackendId, dial: DialId) {
         let state = self.clone();
         tokio::task::spawn_local(async move {
@@ -195,7 +198,8 @@
         Connection::start(stream, address).await
     }
 
-    /// Records how long a dial took: a round trip and whatever delayed it, so the least of late is the best estimate.
+    /// Records how long a dial took: a round trip and whatever delayed it, so the least of late is
+    /// the best estimate.
     fn record_round_trip(&self, elapsed: Duration) {
         let measured = elapsed.as_secs_f64() * 1000.0;
         let round_trip = self
--- a/src/net/upstream/pool_driver/request_progress.rs
+++ b/src/net/upstream/pool_driver/request_progress.rs
@@ -15,7 +15,8 @@
 }
 
 impl RequestProgress {
-    /// The progress of a request with a body of `body_len` bytes, of which nothing has been written.
+    /// The progress of a request with a body of `body_len` bytes, of which nothing has been
+    /// written.
     pub(super) fn new(body_len: usize) -> RequestProgress {
         RequestProgress {
             body_remaining: body_len,
@@ -23,7 +24,8 @@
         }
     }
 
-    /// The progress of a request that has been written to its end, for a stand-in that writes nothing.
+    /// The progress of a request that has been written to its end, for a stand-in that writes
+    /// nothing.
     #[cfg(test)]
     pub(super) fn complete() -> RequestProgress {
         RequestProgress {
--- a/src/net/upstream/pool_driver/socket.rs
+++ b/src/net/upstream/pool_driver/socket.rs
@@ -1,4 +1,5 @@
-//! A socket below the HTTP library, which knows how much of a request has been written and may hold back its last byte.
+//! A socket below the HTTP library, which knows how much of a request has been written and may hold
+//! back its last byte.
 
 use super::request_progress::RequestProgress;
 use crate::net::upstream::send_permit::SendPermit;
@@ -15,11 +16,13 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-/// For how long a cautious request has its last byte held back: within one data center a reset arrives within this time.
-/// Where the round trip is longer, caution detects less and costs no more.
+/// For how long a cautious request has its last byte held back: within one data center a reset
+/// arrives within this time. Where the round trip is longer, caution detects less and costs no
+/// more.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
 
-/// A socket that tracks the request written to it and can be closed at once from outside the HTTP library.
+/// A socket that tracks the request written to it and can be closed at once from outside the HTTP
+/// library.
 pub(crate) struct ConnectionSocket {
     /// `None` once it has been closed.
     stream: RefCell<Option<TcpStream>>,
@@ -53,13 +56,14 @@
         }
     }
 
-    /// Whether all of the request has been written: before that, the backend cannot have executed it.
+    /// Whether all of the request has been written: before that, the backend cannot have executed
+    /// it.
     pub(crate) fn is_fully_written(&self) -> bool {
         self.progress.borrow().is_complete()
     }
 
-    /// Prepares for a request with a body of `body_len` bytes, to be written as long as `permit` is valid. A cautious
-    /// request has its last byte held back.
+    /// Prepares for a request with a body of `body_len` bytes, to be written as long as `permit` is
+    /// valid. A cautious request has its last byte held back.
     pub(crate) fn start_request(&self, body_len: usize, is_cautious: bool, permit: SendPermit) {
         *self.progress.borrow_mut() = RequestProgress::new(body_len);
         self.is_cautious.set(is_cautious);
@@ -69,16 +73,18 @@
 
     /// How many of these bytes may be written now.
     ///
-    /// A cautious request is protected against connections that are dead without a sign of it: all but its last byte goes
-    /// first, and the last byte only if nothing has come back. A backend executes no request before its last byte, so
-    /// one whose connection breaks earlier may be sent again whatever its idempotency.
+    /// A cautious request is protected against connections that are dead without a sign of it: all
+    /// but its last byte goes first, and the last byte only if nothing has come back. A backend
+    /// executes no request before its last byte, so one whose connection breaks earlier may be sent
+    /// again whatever its idempotency.
     ///
-    /// A request that could not be written at once may have lost its permit meanwhile, so the permit is checked again
-    /// before the last byte.
+    /// A request that could not be written at once may have lost its permit meanwhile, so the
+    /// permit is checked again before the last byte.
     ///
     /// # Errors
     ///
-    /// `ConnectionReset` if the connection turned out to be dead, and `TimedOut` if the permit is no longer valid.
+    /// `ConnectionReset` if the connection turned out to be dead, and `TimedOut` if the permit is
+    /// no longer valid.
     fn poll_writable(&self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let has_started = self.progress.borrow().has_started();
         let is_cautious = self.is_cautious.get();
@@ -131,8 +137,9 @@
         self.stream.borrow_mut().take();
     }
 
-    /// Whether the socket is open and holds nothing to be read, such as a response to no request. The operating system
-    /// is asked, since the runtime learns only between two tasks of what has arrived.
+    /// Whether the socket is open and holds nothing to be read, such as a response to no request.
+    /// The operating system is asked, since the runtime learns only between two tasks of what has
+    /// arrived.
     pub(super) fn is_open_and_silent(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let stream = self.stream.borrow();
--- a/src/net/upstream/pool_driver/tests.rs
+++ b/src/net/upstream/pool_driver/tests.rs
@@ -4,8 +4,8 @@
 
 const HEAD: &[u8] = b"POST /a HTTP/1.1\r\nhost: x\r\n\r\n";
 
-/// Guards the distinction between "could not connect" and "reset": only the last byte completes a request, however the
-/// writes are divided.
+/// Guards the distinction between "could not connect" and "reset": only the last byte completes a
+/// request, however the writes are divided.
 #[test]
 fn a_request_is_complete_with_its_last_byte_and_not_before() {
     let bytes = [HEAD, b"\r\n\r\nbody"].concat();
@@ -21,7 +21,8 @@
     }
 }
 
-/// Guards requests without a body: they are complete with the empty line, also when written byte by byte.
+/// Guards requests without a body: they are complete with the empty line, also when written byte by
+/// byte.
 #[test]
 fn a_request_without_a_body_is_complete_with_its_head() {
     let mut progress = RequestProgress::new(0);
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -1,7 +1,8 @@
 //! The responses of backends, read within limits of memory, and what their status and headers say.
 //!
-//! A response with a length or in chunks is complete with its last byte. One without either ends with its connection
-//! (RFC 9112, section 6.3): it is complete if that is closed in order, and truncated if it is reset.
+//! A response with a length or in chunks is complete with its last byte. One without either ends
+//! with its connection (RFC 9112, section 6.3): it is complete if that is closed in order, and
+//! truncated if it is reset.
 
 use crate::net::messages::{AttemptResult, MAX_BODY_BYTES};
 use cometspool::settings::{self, Metric, ParsedSettings};
@@ -13,11 +14,11 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Longest body that is accepted, in bytes. Some backends send far more than the agreed 64 KiB, and their responses are
-/// worth forwarding; a longer one than this counts as no response.
+/// Longest body that is accepted, in bytes. Some backends send far more than the agreed 64 KiB, and
+/// their responses are worth forwarding; a longer one than this counts as no response.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
-/// One part in this many of the memory may be taken by long responses together, from the first byte read to the last one
-/// written.
+/// One part in this many of the memory may be taken by long responses together, from the first byte
+/// read to the last one written.
 const MEMORY_DIVISOR: usize = 4;
 /// A reported quota usage above this, in percent, is ignored.
 const MAX_USAGE_PERCENT: f64 = 100_000.0;
@@ -30,7 +31,8 @@
 /// Why a response could not be read.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ResponseError {
-    /// Its status is informational, such as 101, after which the connection speaks another protocol.
+    /// Its status is informational, such as 101, after which the connection speaks another
+    /// protocol.
     #[error("informational status {0}")]
     Informational(StatusCode),
     /// Its body is longer than [`MAX_RESPONSE_BYTES`].
@@ -89,7 +91,8 @@
     }
 }
 
-/// A long body with the memory reserved for it, which is returned with the last reference to the body.
+/// A long body with the memory reserved for it, which is returned with the last reference to the
+/// body.
 struct ReservedBody {
     body: Vec<u8>,
     _reservation: Reservation,
@@ -135,7 +138,8 @@
     ///
     /// # Errors
     ///
-    /// If the response is informational, is too long, or its connection breaks before its end; see [`ResponseError`].
+    /// If the response is informational, is too long, or its connection breaks before its end; see
+    /// [`ResponseError`].
     pub(crate) async fn read(
         &self,
         response: Response<Incoming>,
@@ -154,7 +158,8 @@
         })
     }
 
-    /// What the status and the headers of a complete response say. Only a good response keeps its body.
+    /// What the status and the headers of a complete response say. Only a good response keeps its
+    /// body.
     fn interpret(&self, status: StatusCode, headers: &HeaderMap, body: Bytes) -> AttemptResult {
         let outcome = outcome_of(status, headers);
         let body = if outcome == Outcome::Ok {
@@ -176,7 +181,8 @@
         }
     }
 
-    /// Parses a load report of the form `name=value, …`. Unknown names and values that are no numbers are skipped.
+    /// Parses a load report of the form `name=value, …`. Unknown names and values that are no
+    /// numbers are skipped.
     fn parse_load_report(&self, text: &str) -> LoadReport {
         let mut report = LoadReport::default();
         for field in text.split(',') {
@@ -208,7 +214,8 @@
     length: Option<u64>,
 ) -> Result<Bytes, ResponseError> {
     let mut reservation = budget.reservation();
-    // A known length is reserved at once, so that a body that has been begun can be read to its end.
+    // A known length is reserved at once, so that a body that has been begun can be read to its
+    // end.
     reservation.grow_to(length.unwrap_or(0) as usize)?;
     let mut received = Vec::with_capacity(reservation.bytes);
     while let Some(frame) = body.frame().await {
@@ -233,7 +240,8 @@
     }))
 }
 
-/// The outcome by the status: 200 is good, and 503 or 504 with `not-started: 1` says that the request never ran.
+/// The outcome by the status: 200 is good, and 503 or 504 with `not-started: 1` says that the
+/// request never ran.
 fn outcome_of(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let is_unavailable = matches!(
         status,
@@ -252,7 +260,8 @@
     value.to_str().ok().map(str::trim)
 }
 
-/// The first value of a header that is a number from 0 to `max`. Other values are skipped; none makes a response bad.
+/// The first value of a header that is a number from 0 to `max`. Other values are skipped; none
+/// makes a response bad.
 fn first_number(headers: &HeaderMap, name: &HeaderName, max: f64) -> Option<f64> {
     headers
         .get_all(name)
--- a/src/net/upstream/send_permit.rs
+++ b/src/net/upstream/send_permit.rs
@@ -1,12 +1,13 @@
-//! Whether an attempt may still reach its backend: checked before the first byte of its request, and again before the
-//! last byte of a request that could not be written at once.
+//! Whether an attempt may still reach its backend: checked before the first byte of its request,
+//! and again before the last byte of a request that could not be written at once.
 
 use crate::net::messages::ClientConnection;
 use crate::net::runtime::budget::AttemptDeadline;
 use crate::net::runtime::clock::Clock;
 use std::rc::Rc;
 
-/// The permission to send a request, valid while its client is connected and the attempt may still start.
+/// The permission to send a request, valid while its client is connected and the attempt may still
+/// start.
 #[derive(Clone, Debug)]
 pub(crate) struct SendPermit {
     client: Rc<dyn ClientConnection>,
