--- a/crates/fleet-simulation/src/simulation/connections.rs
+++ b/crates/fleet-simulation/src/simulation/connections.rs
@@ -2,7 +2,7 @@
 
 use super::event_queue::SimEvent;
 use super::Simulation;
-use crate::pooling::{Act, Dialled, Got, Pool};
+use crate::pooling::{CheckoutResult, DialResult, Pool, PoolStep};
 use crate::scenario::BackendFault;
 use cometspool::{Idempotency, Millis, Outcome};
 
@@ -24,31 +24,33 @@
     pub(super) fn pool<T>(
         &mut self,
         gateway: usize,
-        tell: impl FnOnce(&mut Pool, Millis, &mut Vec<Act>) -> T,
+        tell: impl FnOnce(&mut Pool, Millis, &mut Vec<PoolStep>) -> T,
     ) -> T {
-        let mut acts = Vec::new();
-        let told = tell(&mut self.gateways[gateway].pool, self.now, &mut acts);
-        for act in acts {
-            match act {
-                Act::Dial(backend, call) => self.dial(gateway, backend, call),
-                Act::Give(call, connection) => {
+        let mut steps = Vec::new();
+        let told = tell(&mut self.gateways[gateway].pool, self.now, &mut steps);
+        for step in steps {
+            match step {
+                PoolStep::Dial { backend, dial } => self.dial(gateway, backend, dial),
+                PoolStep::Assign { call, connection } => {
                     self.calls[call].waits_for_connection = false;
                     self.calls[call].connection = Some(connection);
                     self.transmit(call);
                 }
-                Act::Fail(call, full) => {
+                PoolStep::Fail { call, is_full } => {
                     self.calls[call].waits_for_connection = false;
                     self.settle(
                         call,
-                        if full {
+                        if is_full {
                             Outcome::Rejected
                         } else {
                             Outcome::ConnectFailed
                         },
                     );
                 }
-                Act::Close(connection) => self.close_connection(connection),
-                Act::Wake(backend, at) => self.schedule(at, SimEvent::PoolWake(gateway, backend)),
+                PoolStep::Close(connection) => self.close_connection(connection),
+                PoolStep::Wake { backend, at } => {
+                    self.schedule(at, SimEvent::PoolWake(gateway, backend));
+                }
             }
         }
         told
@@ -63,19 +65,23 @@
         let class = self.requests[self.calls[call].request as usize].class;
         let once = self.scenario.classes[class].class.idempotency == Idempotency::NonIdempotent;
         loop {
-            match self.pool(gateway, |pool, now, acts| {
-                pool.take(now, backend, call, once, acts)
+            match self.pool(gateway, |pool, now, steps| {
+                pool.checkout(now, backend, call, once, steps)
             }) {
                 // One that was reset is seen to be, and is none.
-                Got::Kept(connection) if self.connections[connection as usize].reset => {
-                    self.pool(gateway, |pool, now, acts| pool.lost(now, backend, acts));
+                CheckoutResult::Reused(connection)
+                    if self.connections[connection as usize].reset =>
+                {
+                    self.pool(gateway, |pool, now, steps| {
+                        pool.connection_closed(now, backend, steps);
+                    });
                 }
-                Got::Kept(connection) => {
+                CheckoutResult::Reused(connection) => {
                     self.calls[call].connection = Some(connection);
                     self.transmit(call);
                     return;
                 }
-                Got::Waits => {
+                CheckoutResult::Queued => {
                     // It may have been given one, or none, by what came of asking.
                     if self.calls[call].connection.is_none() && !self.calls[call].settled {
                         self.calls[call].waits_for_connection = true;
@@ -83,7 +89,7 @@
                     }
                     return;
                 }
-                Got::NoRoom => {
+                CheckoutResult::Exhausted => {
                     self.settle(call, Outcome::NotSent);
                     return;
                 }
@@ -127,7 +133,7 @@
             .max_connections_per_backend
             .is_some_and(|table| node.open_connections >= table);
         let up = answered && node.spec.fault != BackendFault::Crashed && !full;
-        let how = if up {
+        let result = if up {
             self.record_load(backend, Some(gateway), HANDSHAKE);
             self.backends[backend].open_connections += 1;
             let peak = &mut self.statistics.peak_connections[backend];
@@ -137,13 +143,13 @@
                 open: true,
                 reset: false,
             });
-            Dialled::Up(self.connections.len() as u64 - 1)
+            DialResult::Connected(self.connections.len() as u64 - 1)
         } else {
             self.statistics.refused_dials += u64::from(answered && full);
-            Dialled::Refused
+            DialResult::Failed
         };
-        self.pool(gateway, |pool, now, acts| {
-            pool.dialled(now, backend, call, how, acts);
+        self.pool(gateway, |pool, now, steps| {
+            pool.dial_finished(now, backend, call, result, steps);
         });
     }
 
@@ -175,7 +181,7 @@
             return;
         };
         if std::mem::take(&mut self.calls[call].waits_for_connection) {
-            self.pool(gateway, |pool, now, _| pool.left(now, backend, call));
+            self.pool(gateway, |pool, now, _| pool.cancel_wait(now, backend, call));
         }
         let Some(connection) = self.calls[call].connection.take() else {
             return;
@@ -183,12 +189,14 @@
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected)
             && !self.connections[connection as usize].reset
         {
-            self.pool(gateway, |pool, now, acts| {
-                pool.freed(now, backend, connection, acts);
+            self.pool(gateway, |pool, now, steps| {
+                pool.release(now, backend, connection, steps);
             });
         } else {
             self.close_connection(connection);
-            self.pool(gateway, |pool, now, acts| pool.lost(now, backend, acts));
+            self.pool(gateway, |pool, now, steps| {
+                pool.connection_closed(now, backend, steps);
+            });
         }
     }
 }
--- a/crates/fleet-simulation/src/simulation/dispatch.rs
+++ b/crates/fleet-simulation/src/simulation/dispatch.rs
@@ -39,7 +39,9 @@
                     .filter(|entry| entry.availability != Availability::Ready)
                 {
                     let backend = self.by_id[&entry.id];
-                    self.pool(gateway, |pool, _, acts| pool.gone(backend, acts));
+                    self.pool(gateway, |pool, _, steps| {
+                        pool.remove_endpoint(backend, steps);
+                    });
                 }
                 for entry in &entries {
                     let backend = &mut self.backends[self.by_id[&entry.id]];
@@ -56,13 +58,13 @@
                 }
             }
             SimEvent::EvictExpired(gateway) => {
-                self.pool(gateway, super::super::pooling::Pool::tidy);
+                self.pool(gateway, super::super::pooling::Pool::evict_expired);
                 if self.now < self.scenario.duration {
                     self.schedule(self.now + 500.0, SimEvent::EvictExpired(gateway));
                 }
             }
             SimEvent::PoolWake(gateway, backend) => {
-                self.pool(gateway, |pool, now, acts| pool.wake(now, backend, acts));
+                self.pool(gateway, |pool, now, steps| pool.wake(now, backend, steps));
             }
             SimEvent::Fault(fault) => self.inject_fault(fault),
         }
--- a/crates/fleet-simulation/src/simulation/gateways.rs
+++ b/crates/fleet-simulation/src/simulation/gateways.rs
@@ -76,14 +76,14 @@
                 }
                 Action::CloseIdleConnections(backend) => {
                     let backend = self.by_id[&backend];
-                    self.pool(gateway, |pool, _, acts| pool.silent(backend, acts));
+                    self.pool(gateway, |pool, _, steps| pool.close_idle(backend, steps));
                 }
                 Action::Preconnect { backend, within }
                     if self.scenario.max_connections_per_backend.is_some() =>
                 {
                     let backend = self.by_id[&backend];
-                    self.pool(gateway, |pool, now, acts| {
-                        pool.ahead(now, backend, within, acts);
+                    self.pool(gateway, |pool, now, steps| {
+                        pool.preconnect(now, backend, within, steps);
                     });
                 }
                 _ => {}
--- a/src/net/runtime/budget.rs
+++ b/src/net/runtime/budget.rs
@@ -9,8 +9,6 @@
 
 use cometspool::Millis;
 
-// The driver imports the wake recorder from here.
-
 /// Largest timeout that a client may request, as a multiple of the longest that its class allows. Up to this multiple the
 /// timeout is clamped to the class's limit; a larger one is an error of the client and is rejected like an unreadable one.
 const MAX_REQUESTED_MULTIPLE: f64 = 10.0;
