--- a/crates/replicated-log/src/bin/cometspool-replicated-log.rs
+++ b/crates/replicated-log/src/bin/cometspool-replicated-log.rs
@@ -1,129 +1,201 @@
-//! The figures of `docs/REPLICATED_LOG.md`, on simulated groups: `cometspool-replicated-log [seeds]`.
+//! Measures the figures of `docs/REPLICATED_LOG.md` on simulated groups: `cometspool-replicated-log [seeds]`.
 
-use cometspool_replicated_log::sim::{Network, Sim};
-use cometspool_replicated_log::Times;
+use cometspool_replicated_log::simulation::{
+    DelayRange, LinkConditions, Simulation, SimulationConfig,
+};
+use cometspool_replicated_log::{Millis, Settings};
 use std::process::ExitCode;
 
-/// Writes measured for each figure of latency.
-const WRITES: usize = 500;
-/// Bytes of a write here: a client's number and its own, as the simulation makes them.
-const LINKS: [f64; 3] = [0.0, 1.4, 2.6];
-/// What a disk takes for a write through, ms; nought is memory.
-const DISKS: [f64; 3] = [0.0, 0.5, 5.0];
+/// Writes that are measured for each commit latency.
+const MEASURED_WRITES: usize = 500;
+/// Between two of these writes.
+const WRITE_INTERVAL: Millis = 50.0;
+/// One-way delays of the links.
+const LINK_DELAYS: [Millis; 3] = [0.0, 1.4, 2.6];
+/// What a disk takes for a durable write; zero stands for replicas in memory.
+const WRITE_LATENCIES: [Millis; 3] = [0.0, 0.5, 5.0];
+/// The one-way delay for the measurements of failover and catch-up.
+const DEFAULT_LINK_DELAY: Millis = 1.4;
+/// The seeds that are used at most for the measurement of catch-up.
+const MAX_CATCH_UP_SEEDS: u64 = 3;
 
 fn main() -> ExitCode {
-    let seeds = match std::env::args().nth(1).map(|word| word.parse::<u64>()) {
-        None => 5,
-        Some(Ok(seeds)) if seeds > 0 => seeds,
-        Some(_) => {
-            eprintln!("usage: cometspool-replicated-log [seeds]");
-            return ExitCode::from(2);
-        }
+    let Some(seeds) = parse_arguments() else {
+        eprintln!("usage: cometspool-replicated-log [seeds]");
+        return ExitCode::from(2);
     };
     println!("{seeds} seeds: mean (least to most); ms");
-    println!("| one way, ms | disk, ms | commit, median | commit, 99th | bytes between keepers a write |");
+    print_commit_latencies(seeds);
+    println!("\n| what | ms |\n| --- | --- |");
+    print_failover_times(seeds);
+    print_catch_up_times(seeds);
+    ExitCode::SUCCESS
+}
+
+/// The number of seeds; `None` if the arguments are wrong.
+fn parse_arguments() -> Option<u64> {
+    let Some(argument) = std::env::args().nth(1) else {
+        return Some(5);
+    };
+    argument.parse().ok().filter(|seeds| *seeds > 0)
+}
+
+fn print_commit_latencies(seeds: u64) {
+    println!(
+        "| one way, ms | disk, ms | commit, median | commit, 99th | bytes between replicas a write |"
+    );
     println!("| --- | --- | --- | --- | --- |");
-    for link in LINKS {
-        for disk in DISKS {
-            let rows: Vec<[f64; 3]> = (0..seeds).map(|seed| commit(link, disk, seed)).collect();
-            let cell = |i: usize| spread(rows.iter().map(|row| row[i]).collect());
+    for link_delay in LINK_DELAYS {
+        for write_latency in WRITE_LATENCIES {
+            let rows: Vec<CommitLatency> = (0..seeds)
+                .map(|seed| measure_commits(link_delay, write_latency, seed))
+                .collect();
             println!(
-                "| {link} | {disk} | {} | {} | {} |",
-                cell(0),
-                cell(1),
-                cell(2)
+                "| {link_delay} | {write_latency} | {} | {} | {} |",
+                summarize(rows.iter().map(|row| row.median).collect()),
+                summarize(rows.iter().map(|row| row.percentile_99).collect()),
+                summarize(rows.iter().map(|row| row.bytes_per_write).collect())
             );
         }
     }
-    println!("\n| what | ms |\n| --- | --- |");
-    for keepers in [3, 5] {
-        let gaps: Vec<f64> = (0..seeds * 4)
-            .map(|seed| without_leader(keepers, seed))
+}
+
+fn print_failover_times(seeds: u64) {
+    for replicas in [3, 5] {
+        let times = (0..seeds * 4)
+            .map(|seed| measure_failover(replicas, seed))
             .collect();
         println!(
-            "| {keepers} keepers: from the leader's death to the next promise | {} |",
-            spread(gaps)
+            "| {replicas} replicas: from the leader's death to the next acknowledged write | {} |",
+            summarize(times)
         );
     }
-    for entries in [1_000, 10_000, 50_000] {
-        let fills: Vec<f64> = (0..seeds.min(3)).map(|seed| fill(entries, seed)).collect();
+}
+
+fn print_catch_up_times(seeds: u64) {
+    for writes in [1_000, 10_000, 50_000] {
+        let times = (0..seeds.min(MAX_CATCH_UP_SEEDS))
+            .map(|seed| measure_catch_up(writes, seed))
+            .collect();
         println!(
-            "| from an empty keeper's start to its seat, {entries} writes kept | {} |",
-            spread(fills)
+            "| from an empty replica's start to its vote, {writes} writes in the log | {} |",
+            summarize(times)
         );
     }
-    ExitCode::SUCCESS
 }
 
-fn spread(mut of: Vec<f64>) -> String {
-    of.sort_by(f64::total_cmp);
-    let (Some(least), Some(most)) = (of.first(), of.last()) else {
+/// Mean, least and most.
+fn summarize(mut values: Vec<f64>) -> String {
+    values.sort_by(f64::total_cmp);
+    let (Some(least), Some(most)) = (values.first(), values.last()) else {
         return String::new();
     };
-    format!(
-        "{:.2} ({least:.2} to {most:.2})",
-        of.iter().sum::<f64>() / of.len() as f64
-    )
+    let mean = values.iter().sum::<f64>() / values.len() as f64;
+    format!("{mean:.2} ({least:.2} to {most:.2})")
 }
 
-fn group(keepers: usize, clients: usize, durable: bool, link: f64, seed: u64) -> Sim {
-    let mut sim = Sim::new(keepers, keepers, clients, durable, Times::default(), seed);
-    sim.network = Network {
-        delay: (link, link),
-        ..Network::default()
+/// A group that has a leader.
+fn start_group(
+    replicas: usize,
+    clients: usize,
+    is_durable: bool,
+    link_delay: Millis,
+    seed: u64,
+) -> Simulation {
+    let mut simulation = Simulation::new(SimulationConfig {
+        nodes: replicas,
+        founders: replicas,
+        clients,
+        is_durable,
+        settings: Settings::default(),
+        seed,
+    });
+    simulation.link_conditions = LinkConditions {
+        delay: DelayRange {
+            min: link_delay,
+            max: link_delay,
+        },
+        ..LinkConditions::default()
     };
-    sim.run_while(60_000.0, |sim| sim.leading().is_none());
-    sim
+    simulation.run_while(60_000.0, |simulation| simulation.leader().is_none());
+    simulation
 }
 
-/// Median and 99th of a write that is asked for alone, as its client sees it less its own way to the leader and back; and what
-/// goes between keepers for each.
-fn commit(link: f64, disk: f64, seed: u64) -> [f64; 3] {
-    let mut sim = group(3, 1, disk > 0.0, link, seed);
-    (0..3).for_each(|seat| sim.slow_disk(seat, disk));
-    // The client finds its leader and opens its session first.
-    sim.ask(1000.0, 50.0);
-    let (bytes, first) = (sim.acted.bytes, sim.writes.len());
-    sim.ask(WRITES as f64 * 50.0, 50.0);
-    let took = sim.writes[first..]
+/// Latency and traffic of writes that are asked for one at a time.
+struct CommitLatency {
+    /// As the client sees it, without its own round trip to the leader.
+    median: Millis,
+    /// As the median.
+    percentile_99: Millis,
+    /// Bytes between replicas.
+    bytes_per_write: f64,
+}
+
+fn measure_commits(link_delay: Millis, write_latency: Millis, seed: u64) -> CommitLatency {
+    let mut simulation = start_group(3, 1, write_latency > 0.0, link_delay, seed);
+    for node in 0..3 {
+        simulation.set_write_latency(node, write_latency);
+    }
+    // The client finds the leader and opens its session first.
+    simulation.write_for(1000.0, WRITE_INTERVAL);
+    let bytes_before = simulation.statistics.bytes;
+    let first = simulation.writes.len();
+    simulation.write_for(MEASURED_WRITES as f64 * WRITE_INTERVAL, WRITE_INTERVAL);
+    let mut latencies: Vec<Millis> = simulation.writes[first..]
         .iter()
-        .filter_map(|write| Some(write.ended.as_ref()?.0 - write.from));
-    let mut took: Vec<f64> = took.map(|took| took - 2.0 * link).collect();
-    took.sort_by(f64::total_cmp);
-    let each = (sim.acted.bytes - bytes) as f64 / WRITES as f64;
-    [took[took.len() / 2], took[took.len() * 99 / 100], each]
+        .filter_map(|write| {
+            let ended = write.ended.as_ref()?;
+            Some(ended.at - write.started - 2.0 * link_delay)
+        })
+        .collect();
+    latencies.sort_by(f64::total_cmp);
+    let bytes = simulation.statistics.bytes - bytes_before;
+    CommitLatency {
+        median: latencies[latencies.len() / 2],
+        percentile_99: latencies[latencies.len() * 99 / 100],
+        bytes_per_write: bytes as f64 / MEASURED_WRITES as f64,
+    }
 }
 
-/// From the leader's death to the next promise, with a client that asks every 20 ms.
-fn without_leader(keepers: usize, seed: u64) -> f64 {
-    let mut sim = group(keepers, 1, true, 1.4, seed);
-    sim.ask(1000.0, 20.0);
-    sim.run_to(sim.now + seed as f64 * 37.0 % 300.0);
-    if let Some(leader) = sim.leading() {
-        sim.kill(leader);
+/// From the leader's death to the next acknowledged write, with a client that writes every 20 ms.
+fn measure_failover(replicas: usize, seed: u64) -> Millis {
+    let mut simulation = start_group(replicas, 1, true, DEFAULT_LINK_DELAY, seed);
+    simulation.write_for(1000.0, 20.0);
+    // The leader dies at another moment of the heartbeat round with each seed.
+    simulation.run_until(simulation.now + seed as f64 * 37.0 % 300.0);
+    if let Some(leader) = simulation.leader() {
+        simulation.kill(leader);
     }
-    let (died, before) = (sim.now, sim.promised());
-    while sim.promised() == before && sim.now < died + 60_000.0 {
-        sim.write(0);
-        sim.run_to(sim.now + 20.0);
+    let died = simulation.now;
+    let before = simulation.acknowledged_writes();
+    while simulation.acknowledged_writes() == before && simulation.now < died + 60_000.0 {
+        simulation.write(0);
+        simulation.run_until(simulation.now + 20.0);
     }
-    sim.now - died
+    simulation.now - died
 }
 
-/// From the start of a keeper whose disk was lost to when it has its seat again.
-fn fill(writes: usize, seed: u64) -> f64 {
-    let mut sim = group(3, 4, true, 1.4, seed);
-    while sim.promised() < writes {
-        (0..4).for_each(|client| (0..25).for_each(|_| sim.write(client)));
-        sim.run_to(sim.now + 20.0);
+/// From the start of a replica whose disk was lost to when it votes again.
+fn measure_catch_up(writes: usize, seed: u64) -> Millis {
+    let mut simulation = start_group(3, 4, true, DEFAULT_LINK_DELAY, seed);
+    while simulation.acknowledged_writes() < writes {
+        for client in 0..4 {
+            for _ in 0..25 {
+                simulation.write(client);
+            }
+        }
+        simulation.run_until(simulation.now + 20.0);
     }
-    let third = (0..3)
-        .find(|seat| Some(*seat) != sim.leading())
+    let follower = (0..3)
+        .find(|node| Some(*node) != simulation.leader())
         .unwrap_or_default();
-    sim.kill(third);
-    sim.wipe(third);
-    sim.start(third);
-    let (begun, changes) = (sim.now, sim.acted.changes);
-    sim.run_while(begun + 600_000.0, |sim| sim.acted.changes == changes);
-    sim.now - begun
+    simulation.kill(follower);
+    simulation.wipe(follower);
+    simulation.start(follower);
+    let started = simulation.now;
+    let before = simulation.statistics.reconfigurations;
+    simulation.run_while(started + 600_000.0, |simulation| {
+        simulation.statistics.reconfigurations == before
+    });
+    simulation.now - started
 }
--- a/crates/replicated-log/src/client.rs
+++ b/crates/replicated-log/src/client.rs
@@ -1,247 +1,308 @@
-//! A client of a record: numbers its writes, repeats them until they are answered, and tells what came of each.
+//! A client of the log: numbers its writes, retries them until they are answered, and reports the result of each.
 
 use crate::entry::Command;
-use crate::machine::WINDOW;
-use crate::wire::{Answer, Outcome, Request};
+use crate::message::{Outcome, Request, Response};
+use crate::replicated_state::SESSION_WINDOW;
+use crate::settings::Millis;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Keepers that a client knows of at most.
-const MOST_KEEPERS: usize = 1_024;
+/// Replicas that a client remembers at most.
+const MAX_REPLICAS: usize = 1_024;
 
-/// What came of a write, for whoever asked for it.
+/// The result of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
-    /// It is promised, and this is the answer.
-    Done(Vec<u8>),
-    /// Nobody can say: it may have been carried out, and will not be from here on.
+pub enum WriteResult {
+    /// It is acknowledged; this is the state machine's answer.
+    Acknowledged(Vec<u8>),
+    /// It may have been applied, and will not be from here on.
     Unknown,
 }
 
-/// What is to be done for a client.
+/// What the caller has to do for a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientEffect {
-    /// For the keeper of this name.
-    Send(String, Request),
-    /// A write, by its number, has ended.
-    Ended(u64, Ended),
+    /// Send a request.
+    Send {
+        /// The name of the replica.
+        replica: String,
+        /// The request.
+        request: Request,
+    },
+    /// A write has ended.
+    Ended {
+        /// Its number, as [`Client::write`] returned it.
+        sequence: u64,
+        /// Its result.
+        result: WriteResult,
+    },
 }
 
-struct Open {
-    bytes: Vec<u8>,
-    /// When it was last sent, ms, and how often.
-    sent: f64,
-    times: u32,
+/// A write that has been accepted by [`Client::write`].
+#[derive(Debug)]
+pub struct StartedWrite {
+    /// The client's number for it.
+    pub sequence: u64,
+    /// What has to be done.
+    pub effects: Vec<ClientEffect>,
 }
 
-/// A client.
+struct PendingWrite {
+    payload: Vec<u8>,
+    /// When it was last sent; negative infinity if it is due at once.
+    last_sent: Millis,
+    /// How often it was sent in this session.
+    attempts: u32,
+}
+
+/// A client. It has one session at a time, and opens another when that one expires.
 pub struct Client {
-    keepers: Vec<String>,
-    /// Whom it asks now: who is said to lead, or the next one.
-    asks: usize,
-    /// Whoever gets no answer in this time, ms, asks somebody else.
-    patience: f64,
+    replicas: Vec<String>,
+    /// Counts up to the replica that is asked now, modulo the number of replicas.
+    target: usize,
+    /// A request without a response for this long is sent to another replica.
+    response_timeout: Millis,
     session: Option<u64>,
-    drawn: u64,
-    /// When it last asked for a session.
-    asked: f64,
-    /// When it last followed a word on who leads.
-    moved: f64,
-    next: u64,
-    open: BTreeMap<u64, Open>,
-    chance: StdRng,
+    session_nonce: u64,
+    /// When it last asked for a session; negative infinity if it may ask at once.
+    session_requested: Millis,
+    /// When it last followed a response that named another leader.
+    last_redirect: Millis,
+    next_sequence: u64,
+    pending: BTreeMap<u64, PendingWrite>,
+    rng: StdRng,
 }
 
 impl Client {
-    /// A client of the keepers of these names.
-    pub fn new(keepers: Vec<String>, patience: f64, seed: u64) -> Client {
-        let mut chance = StdRng::seed_from_u64(seed);
-        let asks = chance.random_range(0..keepers.len().max(1));
+    /// A client of the replicas of these names. `seed` determines its random choices.
+    pub fn new(replicas: Vec<String>, response_timeout: Millis, seed: u64) -> Client {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let target = rng.random_range(0..replicas.len().max(1));
         Client {
-            keepers,
-            asks,
-            patience,
+            replicas,
+            target,
+            response_timeout,
             session: None,
-            drawn: 0,
-            asked: f64::NEG_INFINITY,
-            moved: f64::NEG_INFINITY,
-            next: 1,
-            open: BTreeMap::new(),
-            chance,
+            session_nonce: 0,
+            session_requested: f64::NEG_INFINITY,
+            last_redirect: f64::NEG_INFINITY,
+            next_sequence: 1,
+            pending: BTreeMap::new(),
+            rng,
         }
     }
 
-    /// Writes that have not ended.
-    pub fn open(&self) -> usize {
-        self.open.len()
+    /// The number of writes that have not ended.
+    pub fn pending_writes(&self) -> usize {
+        self.pending.len()
     }
 
-    /// Asks for a write, and names it; none if as many are open as a session takes.
-    pub fn write(&mut self, now: f64, bytes: Vec<u8>) -> Option<(u64, Vec<ClientEffect>)> {
-        if self.open.len() as u64 >= WINDOW / 2 || self.next - self.below() >= WINDOW {
+    /// Starts a write at `now`; `None` if as many are pending as a session takes.
+    pub fn write(&mut self, now: Millis, payload: Vec<u8>) -> Option<StartedWrite> {
+        let span = self.next_sequence - self.answered_below();
+        if self.pending.len() as u64 >= SESSION_WINDOW / 2 || span >= SESSION_WINDOW {
             return None;
         }
-        let number = self.next;
-        self.next += 1;
-        self.open.insert(
-            number,
-            Open {
-                bytes,
-                sent: f64::NEG_INFINITY,
-                times: 0,
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        self.pending.insert(
+            sequence,
+            PendingWrite {
+                payload,
+                last_sent: f64::NEG_INFINITY,
+                attempts: 0,
             },
         );
-        Some((number, self.tick(now)))
+        Some(StartedWrite {
+            sequence,
+            effects: self.tick(now),
+        })
     }
 
-    /// Gives up on a write: what came of it stays unknown.
-    pub fn give_up(&mut self, number: u64) {
-        self.open.remove(&number);
+    /// Abandons a write: its result stays unknown.
+    pub fn abandon(&mut self, sequence: u64) {
+        self.pending.remove(&sequence);
     }
 
-    /// Changes whom it asks.
-    pub fn keepers(&mut self, keepers: Vec<String>) {
-        if keepers != self.keepers {
-            (self.keepers, self.asks) = (keepers, 0);
+    /// Replaces the names of the replicas.
+    pub fn set_replicas(&mut self, replicas: Vec<String>) {
+        if replicas != self.replicas {
+            self.replicas = replicas;
+            self.target = 0;
         }
     }
 
-    fn below(&self) -> u64 {
-        self.open
+    fn answered_below(&self) -> u64 {
+        self.pending
             .first_key_value()
-            .map_or(self.next, |(number, _)| *number)
+            .map_or(self.next_sequence, |(sequence, _)| *sequence)
     }
 
-    /// Sends what is due.
-    pub fn tick(&mut self, now: f64) -> Vec<ClientEffect> {
-        let late = |sent: f64, patience: f64| now - sent >= patience;
-        let mut effects = Vec::new();
-        if self.keepers.is_empty() || self.open.is_empty() {
-            return effects;
+    /// Sends what is due at `now`.
+    pub fn tick(&mut self, now: Millis) -> Vec<ClientEffect> {
+        if self.replicas.is_empty() || self.pending.is_empty() {
+            return Vec::new();
         }
-        let Some(session) = self.session else {
-            if late(self.asked, self.patience) {
-                if self.asked.is_finite() {
-                    self.asks += 1;
-                }
-                // Each asking is another: an opening that comes late opens one that nobody uses, and that ends.
-                self.drawn = self.chance.random_range(1..=u64::MAX);
-                self.asked = now;
-                effects.push(ClientEffect::Send(self.whom(), Request::Open(self.drawn)));
+        match self.session {
+            None => self.request_session(now).into_iter().collect(),
+            Some(session) => self.send_due_writes(now, session),
+        }
+    }
+
+    fn request_session(&mut self, now: Millis) -> Option<ClientEffect> {
+        if now - self.session_requested < self.response_timeout {
+            return None;
+        }
+        if self.session_requested.is_finite() {
+            self.target += 1;
+        }
+        // Each request has a nonce of its own: a late response to an earlier one opens a session that nobody uses, and that
+        // expires.
+        self.session_nonce = self.rng.random_range(1..=u64::MAX);
+        self.session_requested = now;
+        Some(ClientEffect::Send {
+            replica: self.target_name(),
+            request: Request::OpenSession {
+                nonce: self.session_nonce,
+            },
+        })
+    }
+
+    fn send_due_writes(&mut self, now: Millis, session: u64) -> Vec<ClientEffect> {
+        let response_timeout = self.response_timeout;
+        let is_due = |write: &PendingWrite| now - write.last_sent >= response_timeout;
+        let has_timed_out = |write: &PendingWrite| write.last_sent.is_finite() && is_due(write);
+        if self.pending.values().any(has_timed_out) {
+            self.target += 1;
+        }
+        let replica = self.target_name();
+        let answered_below = self.answered_below();
+        let mut effects = Vec::new();
+        for (sequence, write) in &mut self.pending {
+            if !is_due(write) {
+                continue;
             }
-            return effects;
-        };
-        let patience = self.patience;
-        if self
-            .open
-            .values()
-            .any(|open| open.sent.is_finite() && late(open.sent, patience))
-        {
-            self.asks += 1;
-        }
-        let (whom, below) = (self.whom(), self.below());
-        for (number, open) in self
-            .open
-            .iter_mut()
-            .filter(|(_, open)| late(open.sent, patience))
-        {
-            (open.sent, open.times) = (now, open.times + 1);
-            let command = Command {
-                session,
-                number: *number,
-                below,
-                bytes: open.bytes.clone(),
-            };
-            effects.push(ClientEffect::Send(whom.clone(), Request::Write(command)));
+            write.last_sent = now;
+            write.attempts += 1;
+            effects.push(ClientEffect::Send {
+                replica: replica.clone(),
+                request: Request::Write(Command {
+                    session,
+                    sequence: *sequence,
+                    answered_below,
+                    payload: write.payload.clone(),
+                }),
+            });
         }
         effects
     }
 
-    /// When it wants to be called next, ms, if anything is open.
-    pub fn next(&self) -> Option<f64> {
+    /// When [`Client::tick`] is to be called next; `None` while nothing is pending.
+    pub fn next_tick(&self) -> Option<Millis> {
         if self.session.is_none() {
-            return (!self.open.is_empty()).then_some(self.asked + self.patience);
+            let due = self.session_requested + self.response_timeout;
+            return (!self.pending.is_empty()).then_some(due);
         }
-        self.open
+        self.pending
             .values()
-            .map(|open| open.sent + self.patience)
+            .map(|write| write.last_sent + self.response_timeout)
             .min_by(f64::total_cmp)
     }
 
-    fn whom(&self) -> String {
-        self.keepers[self.asks % self.keepers.len()].clone()
+    fn target_name(&self) -> String {
+        self.replicas[self.target % self.replicas.len()].clone()
     }
 
-    /// Takes a keeper's answer.
-    pub fn answered(&mut self, now: f64, answer: Answer) -> Vec<ClientEffect> {
+    /// Handles a response that arrived at `now`.
+    pub fn receive(&mut self, now: Millis, response: Response) -> Vec<ClientEffect> {
         let mut effects = Vec::new();
-        match answer {
-            Answer::Opened(drawn, session) if drawn == self.drawn && self.session.is_none() => {
-                self.session = session;
-            }
-            Answer::Written(session, number, outcome) if Some(session) == self.session => {
-                match outcome {
-                    Outcome::Done(bytes) => {
-                        if self.open.remove(&number).is_some() {
-                            effects.push(ClientEffect::Ended(number, Ended::Done(bytes)));
-                        }
-                    }
-                    Outcome::Expired => {
-                        self.session = None;
-                        self.asked = f64::NEG_INFINITY;
-                        // What was sent once and refused was not carried out: it goes into the next session. Of what was sent more
-                        // often, or has no answer yet, an earlier word may have been heeded.
-                        let over = |(other, open): (&u64, &Open)| {
-                            (open.times > 1 || (open.times == 1 && *other != number))
-                                .then_some(*other)
-                        };
-                        let unknown: Vec<u64> = self.open.iter().filter_map(over).collect();
-                        for number in unknown {
-                            self.open.remove(&number);
-                            effects.push(ClientEffect::Ended(number, Ended::Unknown));
-                        }
-                        self.open
-                            .values_mut()
-                            .for_each(|open| (open.sent, open.times) = (f64::NEG_INFINITY, 0));
-                    }
-                    // Too many are open, or it was answered long ago and the answer was lost with it.
-                    Outcome::Refused => {
-                        if self.open.remove(&number).is_some() {
-                            effects.push(ClientEffect::Ended(number, Ended::Unknown));
-                        }
-                    }
+        match response {
+            Response::SessionOpened { nonce, session } => {
+                if nonce == self.session_nonce && self.session.is_none() {
+                    self.session = session;
                 }
             }
-            Answer::Elsewhere(Some(leader)) => {
-                // Each of many writes brings such an answer, and two keepers may each take the other for the leader: only now and
-                // then one is followed, or all that is open would go to and fro without end.
-                let soon = now - self.moved < self.patience / 3.0;
-                if !self.keepers.contains(&leader) && self.keepers.len() < MOST_KEEPERS {
-                    // The group has changed since it was told of it.
-                    self.keepers.push(leader.clone());
-                }
-                let place = self
-                    .keepers
-                    .iter()
-                    .position(|keeper| *keeper == leader)
-                    .filter(|_| !soon);
-                if let Some(place) =
-                    place.filter(|place| *place != self.asks % self.keepers.len().max(1))
-                {
-                    self.moved = now;
-                    // What went to another is sent to the leader at once; it counts as sent again, which only makes an end
-                    // in doubt more likely, and never a wrong one.
-                    self.asks = place;
-                    self.asked = f64::NEG_INFINITY;
-                    self.open
-                        .values_mut()
-                        .for_each(|open| open.sent = f64::NEG_INFINITY);
+            Response::Written {
+                session,
+                sequence,
+                outcome,
+            } => {
+                if Some(session) == self.session {
+                    self.handle_outcome(sequence, outcome, &mut effects);
                 }
             }
-            Answer::Opened(..) | Answer::Written(..) | Answer::Elsewhere(None) | Answer::Busy => {}
+            Response::NotLeader {
+                leader: Some(leader),
+            } => self.follow_redirect(now, leader),
+            Response::NotLeader { leader: None } | Response::Busy => {}
         }
         effects.extend(self.tick(now));
         effects
     }
+
+    fn handle_outcome(&mut self, sequence: u64, outcome: Outcome, effects: &mut Vec<ClientEffect>) {
+        match outcome {
+            Outcome::Applied(answer) => {
+                self.end(sequence, WriteResult::Acknowledged(answer), effects);
+            }
+            Outcome::SessionExpired => self.leave_session(sequence, effects),
+            // Too many are open, or it was answered long ago and the answer was discarded.
+            Outcome::Rejected => self.end(sequence, WriteResult::Unknown, effects),
+        }
+    }
+
+    fn end(&mut self, sequence: u64, result: WriteResult, effects: &mut Vec<ClientEffect>) {
+        if self.pending.remove(&sequence).is_some() {
+            effects.push(ClientEffect::Ended { sequence, result });
+        }
+    }
+
+    /// The session has expired, as the response to the write `answered` reports.
+    fn leave_session(&mut self, answered: u64, effects: &mut Vec<ClientEffect>) {
+        self.session = None;
+        self.session_requested = f64::NEG_INFINITY;
+        // A write that was sent once, and reported as expired, was not applied: it goes into the next session. Of one that was sent
+        // more often, or has no response yet, an earlier attempt may have been applied.
+        let may_be_applied = |sequence: u64, write: &PendingWrite| {
+            write.attempts > 1 || (write.attempts == 1 && sequence != answered)
+        };
+        let unknown: Vec<u64> = self
+            .pending
+            .iter()
+            .filter(|(sequence, write)| may_be_applied(**sequence, write))
+            .map(|(sequence, _)| *sequence)
+            .collect();
+        for sequence in unknown {
+            self.end(sequence, WriteResult::Unknown, effects);
+        }
+        for write in self.pending.values_mut() {
+            write.last_sent = f64::NEG_INFINITY;
+            write.attempts = 0;
+        }
+    }
+
+    fn follow_redirect(&mut self, now: Millis, leader: String) {
+        // Each of many writes brings such a response, and two replicas may each take the other for the leader: only one is followed
+        // in a while, or all pending writes would go to and fro without end.
+        let is_too_soon = now - self.last_redirect < self.response_timeout / 3.0;
+        if !self.replicas.contains(&leader) && self.replicas.len() < MAX_REPLICAS {
+            // The group has changed since this client learned of it.
+            self.replicas.push(leader.clone());
+        }
+        let Some(place) = self.replicas.iter().position(|name| *name == leader) else {
+            return;
+        };
+        if is_too_soon || place == self.target % self.replicas.len() {
+            return;
+        }
+        self.last_redirect = now;
+        // What went to another replica is sent to the leader at once. It counts as sent again, which can only make a result
+        // unknown, and never wrong.
+        self.target = place;
+        self.session_requested = f64::NEG_INFINITY;
+        for write in self.pending.values_mut() {
+            write.last_sent = f64::NEG_INFINITY;
+        }
+    }
 }
--- a/crates/replicated-log/src/entry.rs
+++ b/crates/replicated-log/src/entry.rs
@@ -1,123 +1,60 @@
-//! What the log is made of, and who keeps it.
+//! The entries of the log.
 
-use omnipaxos::ballot_leader_election::Ballot;
-use omnipaxos::storage::{Entry as LogEntry, Snapshot};
+use crate::identity::LeaderTerm;
+use omnipaxos::storage::{Entry as LibraryEntry, Snapshot as LibrarySnapshot};
 use serde::{Deserialize, Serialize};
 
-/// Who a keeper is: its name, and a number drawn with its empty store. One that has forgotten is somebody else.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id {
-    /// Its front door's name.
-    pub name: String,
-    /// Drawn with its store.
-    pub life: u64,
-}
-
-/// Who keeps a group's log from one change to the next.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Config {
-    /// Counts the changes, from one.
-    pub number: u32,
-    /// The keepers; each one's seat is its place, counted from one.
-    pub keepers: Vec<Id>,
-}
-
-impl Config {
-    /// The seat of a keeper.
-    pub fn seat(&self, id: &Id) -> Option<u64> {
-        self.keepers
-            .iter()
-            .position(|keeper| keeper == id)
-            .map(|place| place as u64 + 1)
-    }
-
-    /// Who has a seat.
-    pub fn at(&self, seat: u64) -> Option<&Id> {
-        self.keepers
-            .get(usize::try_from(seat).ok()?.checked_sub(1)?)
-    }
-
-    /// How many make a majority.
-    pub fn majority(&self) -> usize {
-        self.keepers.len() / 2 + 1
-    }
-}
-
-/// A place in the record: the configuration, and how many of its entries come before.
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
-)]
-pub struct Position {
-    /// The configuration's number.
-    pub config: u32,
-    /// Entries of that configuration before it.
-    pub index: u64,
-}
-
-/// A term of leadership. Its holder alone moves the record's time on.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Office {
-    /// The configuration.
-    pub config: u32,
-    /// The ballot's number.
-    pub ballot: u32,
-    /// The leader's seat.
-    pub seat: u64,
-}
-
-impl Office {
-    pub(crate) fn of(ballot: &Ballot) -> Office {
-        Office {
-            config: ballot.config_id,
-            ballot: ballot.n,
-            seat: ballot.pid,
-        }
-    }
-}
-
 /// A client's write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// The session that the record gave the client.
+    /// The session that the log assigned to the client.
     pub session: u64,
-    /// Counts the client's writes: a repeat carries the same.
-    pub number: u64,
-    /// The client has the answers to all below this.
-    pub below: u64,
-    /// For the state machine.
-    pub bytes: Vec<u8>,
+    /// The client's number for this write; a retry carries the same number.
+    pub sequence: u64,
+    /// The client has the answers to all writes below this number, so they need not be kept.
+    pub answered_below: u64,
+    /// The command for the state machine.
+    pub payload: Vec<u8>,
 }
 
-/// One entry of the log. No entry carries a wall clock's time.
+/// One entry of the log. No entry carries the time of a wall clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// A client asks for a session; the number is its own, drawn, and tells its answer from those of others.
-    Open(u64),
-    /// A write.
+    /// A client opens a session.
+    OpenSession {
+        /// Drawn by the client, so that it recognises the answer to its own request.
+        nonce: u64,
+    },
+    /// A client's write.
     Write(Command),
-    /// A leader takes office.
-    Office(Office),
-    /// So many ms have passed while this leader was in office, by its steady clock.
-    Passed(Office, u64),
-}
-
-/// The library's own snapshots are not used: a lagging keeper is caught up in pieces instead, so that no message is as
-/// large as the state. Compaction, which goes through them, keeps nothing here.
+    /// A leader begins its term.
+    LeaderElected(LeaderTerm),
+    /// Time has passed during a leader's term, by that leader's steady clock.
+    AdvanceTime {
+        /// The term in which it was measured.
+        term: LeaderTerm,
+        /// How much time has passed, in milliseconds.
+        elapsed_ms: u64,
+    },
+}
+
+/// The agreement library's own snapshots are not used: a lagging replica receives a snapshot in chunks instead, so that no message
+/// is as large as the state. The library compacts its log through this type, which holds nothing.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Nothing;
+pub struct EmptySnapshot;
 
-impl Snapshot<Entry> for Nothing {
-    fn create(_: &[Entry]) -> Nothing {
-        Nothing
+impl LibrarySnapshot<Entry> for EmptySnapshot {
+    fn create(_: &[Entry]) -> EmptySnapshot {
+        EmptySnapshot
     }
 
-    fn merge(&mut self, _: Nothing) {}
+    fn merge(&mut self, _: EmptySnapshot) {}
 
     fn use_snapshots() -> bool {
         false
     }
 }
 
-impl LogEntry for Entry {
-    type Snapshot = Nothing;
+impl LibraryEntry for Entry {
+    type Snapshot = EmptySnapshot;
 }
--- a/crates/replicated-log/src/fault.rs
+++ b/crates/replicated-log/src/fault.rs
@@ -1,67 +1,66 @@
-//! Deliberate faults, so that the checkers can show that they find them. Without the feature `faults`, which only tests turn
-//! on, none of them is in the program.
+//! Deliberate faults, with which tests show that the checkers find them. Without the feature `faults`, which only tests enable,
+//! none of them is in the program.
 
 /// A rule that is left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A leader carries out and answers what no majority has accepted.
-    AnswerBeforeMajority,
-    /// What is said does not wait for the disk.
-    SayBeforeWritten,
-    /// A repeat of a write is carried out again.
-    NoSessions,
-    /// A write of a session that is over is carried out.
-    LateWrites,
-    /// One that lost its disk goes by the identity that it had.
-    VoteAfterAmnesia,
-    /// Entries are taken in wherever they belong.
-    TailAnywhere,
-
-    /// A record is founded with whoever was heard, empty or not.
-    FoundAnew,
-    /// One that lacks what is cut off is sent what is left.
-    SendBeyondCut,
-    /// The end of a configuration is told without its last entries.
-    ForgetTail,
-    /// A state is passed on without what its sessions were answered.
-    StateWithoutSessions,
+    /// A leader applies and answers what no majority has accepted.
+    RespondBeforeMajority,
+    /// Messages do not wait for the disk writes that they rest on.
+    SendBeforeDurable,
+    /// A retried write is applied again.
+    NoDeduplication,
+    /// A write of an expired session is applied.
+    WriteAfterExpiry,
+    /// A replica that lost its disk keeps its old identity.
+    VoteAfterDataLoss,
+    /// Entries are accepted at any position.
+    EntriesAtAnyPosition,
+    /// A log is founded with whoever was heard from, empty or not.
+    BootstrapWithNonEmpty,
+    /// A replica that lacks compacted entries is sent only what is left.
+    SendCompactedEntries,
+    /// The end of a configuration is sent without its last entry.
+    DropLastEntry,
+    /// A snapshot lacks the answers of its sessions.
+    SnapshotWithoutSessions,
 }
 
 impl Fault {
-    /// All of them.
+    /// All faults.
     pub const ALL: [Fault; 10] = [
-        Fault::AnswerBeforeMajority,
-        Fault::SayBeforeWritten,
-        Fault::NoSessions,
-        Fault::LateWrites,
-        Fault::VoteAfterAmnesia,
-        Fault::TailAnywhere,
-        Fault::FoundAnew,
-        Fault::SendBeyondCut,
-        Fault::ForgetTail,
-        Fault::StateWithoutSessions,
+        Fault::RespondBeforeMajority,
+        Fault::SendBeforeDurable,
+        Fault::NoDeduplication,
+        Fault::WriteAfterExpiry,
+        Fault::VoteAfterDataLoss,
+        Fault::EntriesAtAnyPosition,
+        Fault::BootstrapWithNonEmpty,
+        Fault::SendCompactedEntries,
+        Fault::DropLastEntry,
+        Fault::SnapshotWithoutSessions,
     ];
 
-    /// Whether it is in.
+    /// Whether it is enabled in this thread.
     #[cfg(feature = "faults")]
-    pub(crate) fn is_in(self) -> bool {
-        IN.with(|fault| fault.get() == Some(self))
+    pub(crate) fn is_enabled(self) -> bool {
+        ENABLED.with(|fault| fault.get() == Some(self))
     }
 
-    /// Whether it is in: never.
+    /// Whether it is enabled: never.
     #[cfg(not(feature = "faults"))]
-    pub(crate) fn is_in(self) -> bool {
+    pub(crate) fn is_enabled(self) -> bool {
         false
     }
 }
 
 #[cfg(feature = "faults")]
 thread_local! {
-    static IN: std::cell::Cell<Option<Fault>> = const { std::cell::Cell::new(None) };
+    static ENABLED: std::cell::Cell<Option<Fault>> = const { std::cell::Cell::new(None) };
 }
 
-/// Puts one in, in this thread, or takes it out.
+/// Enables one fault in this thread, or none.
 #[cfg(feature = "faults")]
-pub fn put_in(fault: Option<Fault>) {
-    IN.with(|current| current.set(fault));
+pub fn enable(fault: Option<Fault>) {
+    ENABLED.with(|current| current.set(fault));
 }
--- a/crates/replicated-log/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -1,23 +1,33 @@
-//! A replicated, ordered record: a log that a group of keepers agrees on, and the state machine over it.
+//! A replicated, ordered log: a group of replicas agrees on the order of its entries, and each applies them to a state machine.
 //!
-//! All of it is sans-I/O: what comes in and the time go in, what is to be written, sent and told comes out. Whoever drives it
-//! owns sockets, disks and clocks. `docs/REPLICATED_LOG.md` has what is promised and what is not.
+//! The crate is sans-I/O: messages, completed disk writes and the time go in; records to write, messages to send and responses
+//! come out as effects. The caller owns sockets, disks and clocks. `docs/REPLICATED_LOG.md` states what is guaranteed and what
+//! is not.
 
 mod client;
 mod entry;
 pub mod fault;
-mod keeper;
+mod identity;
 mod log;
-mod machine;
-pub mod sim;
+mod message;
+mod replica;
+mod replicated_state;
+mod settings;
+pub mod simulation;
+mod state_machine;
 mod store;
 mod transfer;
-mod wire;
 
-pub use client::{Client, ClientEffect, Ended};
-pub use entry::{Command, Config, Entry, Id, Office, Position};
-pub use keeper::{Effect, Keeper, Standing, Start, Times};
-pub use log::Note;
-pub use machine::{Machine, Replica};
-pub use store::{decode, encode, head, Damage, Found, Kept};
-pub use wire::{Answer, Body, Envelope, Outcome, Request};
+pub use client::{Client, ClientEffect, StartedWrite, WriteResult};
+pub use entry::{Command, Entry};
+pub use identity::{Configuration, LeaderTerm, Position, ReplicaId};
+pub use log::{Checkpoint, LogRecord};
+pub use message::{
+    AcceptedPrefix, Envelope, MessageNumber, Outcome, PeerMessage, Request, Response,
+    SnapshotChunk, SnapshotOffer, VoterProgress,
+};
+pub use replica::{Effect, Replica, Role, Start};
+pub use replicated_state::{Applied, ReplicatedState};
+pub use settings::{Limits, Millis, Settings, Timing};
+pub use state_machine::{RestoreError, StateMachine};
+pub use store::{decode, encode, encode_header, LoadedStore, StoreError, StoreHeader};
--- /dev/null
+++ b/crates/replicated-log/src/replica/output.rs
@@ -0,0 +1,290 @@
+//! What leaves a replica: records for the disk, messages and responses that wait until the records are durable, and decided entries
+//! for the state.
+
+use super::client_requests::RequestKey;
+use super::{Effect, LedTerm, Phase, Replica};
+use crate::entry::Entry;
+use crate::fault::Fault;
+use crate::identity::{Configuration, LeaderTerm, ReplicaId};
+use crate::log::LogRecord;
+use crate::message::{Envelope, MessageNumber, PeerMessage, Response};
+use crate::replicated_state::Applied;
+use crate::settings::Millis;
+use crate::state_machine::StateMachine;
+use omnipaxos::messages::sequence_paxos::PaxosMsg;
+use omnipaxos::messages::Message;
+use omnipaxos::storage::StopSign;
+
+/// A message or response.
+pub(super) enum Output {
+    Send {
+        to: ReplicaId,
+        /// The number of the sender's configuration when the message was made.
+        configuration: u32,
+        message: PeerMessage,
+    },
+    Respond {
+        client: String,
+        response: Response,
+    },
+}
+
+/// Output that waits until the writes it rests on are durable.
+pub(super) struct PendingOutput {
+    /// The number of the last of these writes.
+    after_write: u64,
+    output: Output,
+}
+
+impl<M: StateMachine> Replica<M> {
+    /// Sends a message once all that was issued to the disk before it is durable.
+    pub(super) fn send(&mut self, to: &ReplicaId, message: PeerMessage) {
+        let output = Output::Send {
+            to: to.clone(),
+            configuration: self.configuration_number(),
+            message,
+        };
+        self.queue(self.writes.issued, output);
+    }
+
+    /// Responds to a client once all that was issued to the disk before it is durable.
+    pub(super) fn respond(&mut self, client: String, response: Response) {
+        self.queue(self.writes.issued, Output::Respond { client, response });
+    }
+
+    fn queue(&mut self, after_write: u64, output: Output) {
+        self.pending_output.push(PendingOutput {
+            after_write,
+            output,
+        });
+    }
+
+    /// Tells a peer that lags, or has no vote, how far the log is here.
+    pub(super) fn send_position(&mut self, to: &ReplicaId) {
+        let position = self.position();
+        self.send(to, PeerMessage::PositionNotice(position));
+    }
+
+    /// Issues records to the disk, applies what is decided, and releases what rests on durable writes.
+    pub(super) fn settle(&mut self, now: Millis, effects: &mut Vec<Effect>) {
+        if self.has_lost_data {
+            return;
+        }
+        self.issue_records(effects);
+        self.collect_agreement_messages();
+        while self.apply_decided(now) {
+            self.issue_records(effects);
+            self.collect_agreement_messages();
+        }
+        self.compact();
+        self.issue_records(effects);
+        if self.writes.durable >= self.writes.issued {
+            self.writes.decided_when_durable = self.log.0.borrow().decided;
+        }
+        self.release_output(effects);
+    }
+
+    fn issue_records(&mut self, effects: &mut Vec<Effect>) {
+        let Some(records) = self.take_records() else {
+            return;
+        };
+        if !self.writes.is_durable {
+            return;
+        }
+        self.writes.issued += 1;
+        let write = self.writes.issued;
+        // A store that begins with a new checkpoint is rewritten.
+        let begins_anew = records
+            .iter()
+            .any(|record| matches!(record, LogRecord::Checkpoint(_)));
+        effects.push(if begins_anew {
+            Effect::Rewrite { write, records }
+        } else {
+            Effect::Append { write, records }
+        });
+    }
+
+    /// Takes the records that have to be written now. The number of decided entries alone is no reason to write: it can be learned
+    /// again from others, nothing waits for it, and it goes with the next write.
+    fn take_records(&mut self) -> Option<Vec<LogRecord>> {
+        let mut log = self.log.0.borrow_mut();
+        let mut records = std::mem::take(&mut log.unwritten);
+        let only_decided = records
+            .iter()
+            .all(|record| matches!(record, LogRecord::Decided(_)));
+        if only_decided {
+            log.unwritten.extend(records.pop());
+            return None;
+        }
+        Some(records)
+    }
+
+    /// Queues the agreement library's messages.
+    fn collect_agreement_messages(&mut self) {
+        let Phase::Voter(paxos) = &mut self.phase else {
+            return;
+        };
+        let mut messages = Vec::new();
+        paxos.take_outgoing_messages(&mut messages);
+        let Some(configuration) = &self.configuration else {
+            return;
+        };
+        for message in messages {
+            let Some(to) = configuration.voter(message.get_receiver()) else {
+                continue;
+            };
+            let after_write = if self.may_send_early(to, &message) {
+                self.writes.durable
+            } else {
+                self.writes.issued
+            };
+            self.pending_output.push(PendingOutput {
+                after_write: after_write.min(self.writes.issued),
+                output: Output::Send {
+                    to: to.clone(),
+                    configuration: configuration.number,
+                    message: PeerMessage::Paxos(message),
+                },
+            });
+        }
+    }
+
+    /// Whether a message need not wait for the disk.
+    fn may_send_early(&self, to: &ReplicaId, message: &Message<Entry>) -> bool {
+        let Message::SequencePaxos(message) = message else {
+            // Heartbeats promise nothing.
+            return true;
+        };
+        // New entries are sent while this disk still writes them, so that all disks write at the same time: a leader may lose what
+        // it has only proposed. What it counts itself for is sent once it is durable.
+        let PaxosMsg::AcceptDecide(accept) = &message.msg else {
+            return false;
+        };
+        let rests_on_durable = accept.decided_idx as u64 <= self.writes.decided_when_durable;
+        rests_on_durable && !self.has_waiting_message(to)
+    }
+
+    /// Whether an earlier message to this replica waits for the disk. Messages must not overtake each other.
+    fn has_waiting_message(&self, replica: &ReplicaId) -> bool {
+        self.pending_output.iter().any(|pending| {
+            let is_to_replica = matches!(&pending.output, Output::Send { to, .. } if to == replica);
+            is_to_replica && pending.after_write > self.writes.durable
+        })
+    }
+
+    /// Applies what is decided. Returns whether the configuration has ended with it.
+    fn apply_decided(&mut self, now: Millis) -> bool {
+        if !matches!(self.phase, Phase::Voter(_)) {
+            return false;
+        }
+        let (entries, stop_sign) = self.decided_but_not_applied();
+        for entry in entries {
+            let applied = self.state.apply(&entry);
+            self.applied += 1;
+            self.handle_applied(now, applied);
+        }
+        let next = stop_sign.and_then(|stop_sign| decode_configuration(&stop_sign));
+        let Some(next) = next else { return false };
+        self.waiting_clients.clear();
+        self.leave_configuration(next);
+        true
+    }
+
+    /// The decided entries that are not applied yet, and the stop sign that ends the configuration if it is decided.
+    fn decided_but_not_applied(&self) -> (Vec<Entry>, Option<StopSign>) {
+        let log = self.log.0.borrow();
+        let entries = if self.is_leader() && Fault::RespondBeforeMajority.is_enabled() {
+            let first = self.applied.saturating_sub(log.first_index);
+            &log.entries[first as usize..]
+        } else {
+            log.decided_from(self.applied)
+        };
+        (entries.to_vec(), log.decided_stop_sign().cloned())
+    }
+
+    /// Tells those who wait for an entry what it led to.
+    fn handle_applied(&mut self, now: Millis, applied: Applied) {
+        match applied {
+            Applied::SessionOpened { nonce, session } => {
+                let response = Response::SessionOpened { nonce, session };
+                self.respond_to_waiting(RequestKey::open_session(nonce), &response);
+            }
+            Applied::Written {
+                session,
+                sequence,
+                outcome,
+            } => {
+                let response = Response::Written {
+                    session,
+                    sequence,
+                    outcome,
+                };
+                self.respond_to_waiting(RequestKey::write(session, sequence), &response);
+            }
+            Applied::LeaderElected(term) => self.confirm_term(now, term),
+            Applied::Nothing => {}
+        }
+    }
+
+    fn respond_to_waiting(&mut self, key: RequestKey, response: &Response) {
+        for client in self.waiting_clients.remove(&key).unwrap_or_default() {
+            self.respond(client, response.clone());
+        }
+    }
+
+    /// A term has begun in the log: this replica measures time in it if it is its own.
+    fn confirm_term(&mut self, now: Millis, term: LeaderTerm) {
+        let is_own = self.is_leader() && self.requested_term == term;
+        self.led_term = is_own.then_some(LedTerm {
+            term,
+            measured_until: now,
+        });
+    }
+
+    /// Releases the output that rests on durable writes.
+    fn release_output(&mut self, effects: &mut Vec<Effect>) {
+        let releases_all = Fault::SendBeforeDurable.is_enabled();
+        let pending = std::mem::take(&mut self.pending_output);
+        for pending in pending {
+            if pending.after_write <= self.writes.durable || releases_all {
+                effects.push(self.release(pending.output));
+            } else {
+                self.pending_output.push(pending);
+            }
+        }
+    }
+
+    fn release(&mut self, output: Output) -> Effect {
+        match output {
+            Output::Respond { client, response } => Effect::Respond { client, response },
+            Output::Send {
+                to,
+                configuration,
+                message,
+            } => {
+                self.messages_sent += 1;
+                let envelope = Envelope {
+                    log_id: self.log_id,
+                    configuration,
+                    sender: self.id.clone(),
+                    number: MessageNumber {
+                        start: self.start_count,
+                        sequence: self.messages_sent,
+                    },
+                    first_index: self.log.0.borrow().first_index,
+                    message,
+                };
+                Effect::Send {
+                    to: to.name,
+                    envelope: Box::new(envelope),
+                }
+            }
+        }
+    }
+}
+
+/// The configuration that follows a stop sign, as the leader of the previous one encoded it.
+fn decode_configuration(stop_sign: &StopSign) -> Option<Configuration> {
+    let metadata = stop_sign.metadata.as_ref()?;
+    postcard::from_bytes(metadata).ok()
+}
--- /dev/null
+++ b/crates/replicated-log/src/replica/receive.rs
@@ -0,0 +1,193 @@
+//! What drives a replica: completed disk writes, the passing of time, and messages from peers.
+
+use super::{Effect, Phase, Replica};
+use crate::identity::{Position, ReplicaId};
+use crate::message::{Envelope, PeerMessage};
+use crate::settings::Millis;
+use crate::state_machine::StateMachine;
+
+/// What an envelope tells of its sender.
+struct Sender {
+    id: ReplicaId,
+    log_id: u64,
+    configuration: u32,
+}
+
+impl<M: StateMachine> Replica<M> {
+    /// All writes up to this number have become durable, at `now`.
+    pub fn written(&mut self, now: Millis, write: u64) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        self.writes.durable = self.writes.durable.max(write);
+        self.settle(now, &mut effects);
+        effects
+    }
+
+    /// Does what is due at `now`. To be called when [`Replica::next_tick`] is reached; an earlier call does nothing.
+    pub fn tick(&mut self, now: Millis) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        if now < self.next_tick || self.has_lost_data {
+            return effects;
+        }
+        // Missed ticks are not made up for: a process that was stopped has not waited for anybody meanwhile.
+        self.next_tick = now + self.settings.timing.tick_interval;
+        self.ticks += 1;
+        let is_new_round = self.is_new_round();
+        match self.phase {
+            Phase::Voter(ref mut paxos) => {
+                paxos.tick();
+                self.lead(now);
+            }
+            Phase::Recovering(_) if self.is_beyond_recovery(now) => {
+                self.discard_store(&mut effects);
+                return effects;
+            }
+            Phase::Empty if is_new_round => self.announce_uninitialized(),
+            Phase::Learner if is_new_round && self.configuration.is_some() => {
+                self.announce_standby();
+            }
+            Phase::Recovering(_) | Phase::Empty | Phase::Learner => {}
+        }
+        self.finish_recovery(now);
+        if is_new_round {
+            self.send_recovery_queries();
+        }
+        self.request_missing(now);
+        self.settle(now, &mut effects);
+        effects
+    }
+
+    /// Whether this tick begins a heartbeat round.
+    pub(super) fn is_new_round(&self) -> bool {
+        self.ticks
+            .is_multiple_of(self.settings.timing.election_ticks)
+    }
+
+    fn announce_standby(&mut self) {
+        let position = self.position();
+        for voter in self.other_voters() {
+            self.send(&voter, PeerMessage::Standby(position));
+        }
+    }
+
+    /// Handles a message that arrived at `now`. Messages of other logs and stale ones are counted and ignored.
+    pub fn receive(&mut self, now: Millis, envelope: Envelope) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        let Envelope {
+            log_id,
+            configuration,
+            sender,
+            number,
+            first_index,
+            message,
+        } = envelope;
+        if self.has_lost_data || sender == self.id {
+            return effects;
+        }
+        if log_id != 0 && self.log_id != 0 && log_id != self.log_id {
+            self.foreign_messages += 1;
+            return effects;
+        }
+        let peer = self.peers.entry(sender.clone()).or_default();
+        if number <= peer.last_number {
+            self.stale_messages += 1;
+            return effects;
+        }
+        peer.last_heard = now;
+        peer.last_number = number;
+        peer.is_uninitialized = matches!(
+            &message,
+            PeerMessage::Uninitialized { founders } if *founders == self.founders
+        );
+        self.evict_peers();
+        if matches!(message, PeerMessage::Paxos(_)) {
+            self.compare_progress(now, &sender, configuration, first_index);
+        }
+        let sender = Sender {
+            id: sender,
+            log_id,
+            configuration,
+        };
+        self.handle_message(now, sender, message, &mut effects);
+        self.settle(now, &mut effects);
+        effects
+    }
+
+    /// Finds out from an agreement message whether its sender has a later configuration, or has compacted entries that are not
+    /// decided here.
+    fn compare_progress(
+        &mut self,
+        now: Millis,
+        sender: &ReplicaId,
+        configuration: u32,
+        first_index: u64,
+    ) {
+        let Some(own) = self.configuration.as_ref().map(|own| own.number) else {
+            return;
+        };
+        let lacks_entries = configuration == own && first_index > self.log.0.borrow().decided;
+        let is_voter = matches!(self.phase, Phase::Voter(_));
+        if configuration > own || (lacks_entries && is_voter) {
+            self.catch_up_from(now, sender);
+        } else if configuration < own {
+            self.send_position(sender);
+        }
+    }
+
+    fn handle_message(
+        &mut self,
+        now: Millis,
+        sender: Sender,
+        message: PeerMessage,
+        effects: &mut Vec<Effect>,
+    ) {
+        match message {
+            PeerMessage::Paxos(message) => {
+                self.handle_agreement(&sender.id, sender.configuration, message);
+            }
+            PeerMessage::RecoveryQuery => {
+                self.answer_recovery_query(&sender.id, sender.configuration);
+            }
+            PeerMessage::RecoveryReply(progress) => {
+                self.handle_recovery_reply(now, &sender.id, progress, effects);
+            }
+            PeerMessage::Uninitialized { founders } => {
+                self.handle_uninitialized(&sender.id, &founders);
+            }
+            PeerMessage::Bootstrap(configuration) => {
+                self.handle_bootstrap(sender.log_id, configuration);
+            }
+            PeerMessage::PositionNotice(position) => {
+                self.handle_position_notice(now, &sender, position);
+            }
+            PeerMessage::FetchEntries { after } => self.answer_fetch(&sender.id, after),
+            PeerMessage::Standby(position) => {
+                if let Some(peer) = self.peers.get_mut(&sender.id) {
+                    peer.standby = Some(position);
+                }
+            }
+            PeerMessage::SnapshotRequest { position, offset } => {
+                self.answer_snapshot_request(&sender.id, position, offset);
+            }
+            PeerMessage::Entries {
+                after,
+                entries,
+                next_configuration,
+            } => self.handle_entries(now, sender.id, after, entries, next_configuration),
+            PeerMessage::SnapshotOffer(offer) => self.handle_offer(now, sender.id, offer),
+            PeerMessage::SnapshotChunk(chunk) => self.handle_chunk(now, &chunk),
+        }
+    }
+
+    fn handle_position_notice(&mut self, now: Millis, sender: &Sender, position: Position) {
+        let own = self.position();
+        self.is_superseded |= position.configuration > own.configuration;
+        if position <= own {
+            return;
+        }
+        if matches!(self.phase, Phase::Empty) {
+            self.log_id = sender.log_id;
+            self.phase = Phase::Learner;
+        }
+        self.catch_up_from(now, &sender.id);
+    }
+}
--- /dev/null
+++ b/crates/replicated-log/src/replica/recovery.rs
@@ -0,0 +1,168 @@
+//! The restart of a replica with its store.
+//!
+//! The store may be older than the replica's last messages, for example if the disk was restored from a backup. So before it votes
+//! again, the replica asks the other voters what they know of its promises. If they know more than the store holds, the replica has
+//! lost data and must rejoin under a new identity.
+
+use super::{Effect, Phase, Replica};
+use crate::identity::ReplicaId;
+use crate::message::{AcceptedPrefix, PeerMessage, VoterProgress};
+use crate::replicated_state::ReplicatedState;
+use crate::settings::Millis;
+use crate::state_machine::StateMachine;
+use crate::store::LoadedStore;
+use crate::transfer::Snapshot;
+use std::collections::BTreeSet;
+
+impl<M: StateMachine> Replica<M> {
+    /// Takes over what a store holds, if it holds a log.
+    pub(super) fn load(&mut self, store: LoadedStore, effects: &mut Vec<Effect>) {
+        let Some(checkpoint) = store.checkpoint else {
+            return;
+        };
+        self.log.0.replace(store.log);
+        self.log_id = checkpoint.log_id;
+        let configuration = checkpoint.configuration;
+        match ReplicatedState::restore(&checkpoint.state) {
+            Ok(state) if configuration.has_voter(&self.id) => {
+                let position = checkpoint.position;
+                self.state = state;
+                self.applied = position.index;
+                self.snapshot = Some(Snapshot::new(
+                    position,
+                    configuration.clone(),
+                    checkpoint.state,
+                ));
+                self.configuration = Some(configuration);
+                self.phase = Phase::Recovering(BTreeSet::new());
+                self.recovery_queries = self.other_voters().into_iter().collect();
+            }
+            // The checksum is right and the state is not: another program wrote it.
+            _ => effects.push(Effect::DiscardStore),
+        }
+    }
+
+    pub(super) fn send_recovery_queries(&mut self) {
+        for voter in self.recovery_queries.clone() {
+            self.send(&voter, PeerMessage::RecoveryQuery);
+        }
+    }
+
+    pub(super) fn answer_recovery_query(&mut self, sender: &ReplicaId, configuration: u32) {
+        let progress = self.known_progress(sender);
+        self.send(sender, PeerMessage::RecoveryReply(progress));
+        let has_later = self
+            .configuration
+            .as_ref()
+            .is_some_and(|own| own.number > configuration);
+        if has_later {
+            self.send_position(sender);
+        }
+    }
+
+    /// What this replica itself has promised and accepted.
+    fn own_progress(&self) -> VoterProgress {
+        let log = self.log.0.borrow();
+        VoterProgress {
+            configuration: self.configuration_number(),
+            highest_ballot: log.highest_ballot.unwrap_or_default(),
+            accepted: AcceptedPrefix {
+                ballot: log.accepted_ballot.unwrap_or_default(),
+                length: log.accepted_index(),
+            },
+        }
+    }
+
+    /// What is known here of another voter's promises: what it has sent, and what follows from this log, as a leader has accepted
+    /// all that is decided in its ballot.
+    fn known_progress(&self, other: &ReplicaId) -> VoterProgress {
+        let sent = self
+            .peers
+            .get(other)
+            .map(|peer| peer.progress)
+            .unwrap_or_default();
+        let own = self.own_progress();
+        let was_leader = self
+            .voter_id_of(other)
+            .is_some_and(|voter_id| voter_id == own.accepted.ballot.pid);
+        if !was_leader || sent.configuration > own.configuration {
+            return sent;
+        }
+        // A leader sends entries before it has written them itself, but a decision only after that.
+        let implied = VoterProgress {
+            configuration: own.configuration,
+            highest_ballot: own.accepted.ballot,
+            accepted: AcceptedPrefix {
+                ballot: own.accepted.ballot,
+                length: self.log.0.borrow().decided,
+            },
+        };
+        if sent.configuration < own.configuration {
+            implied
+        } else {
+            sent.merge(implied)
+        }
+    }
+
+    /// Votes again once all other voters have replied; or, after a while, once as many have as make a majority together with this
+    /// replica. Without that many it could do nothing, and waiting for all would stop a group that has lost one voter. The
+    /// remaining voters are still asked.
+    pub(super) fn finish_recovery(&mut self, now: Millis) {
+        let (Phase::Recovering(replied), Some(configuration)) = (&self.phase, &self.configuration)
+        else {
+            return;
+        };
+        let known = replied.len() + 1;
+        let has_waited = now - self.started_at >= self.settings.timing.response_timeout;
+        let is_majority = known >= configuration.majority();
+        if known >= configuration.voters.len() || (has_waited && is_majority) {
+            self.start_voting();
+        }
+    }
+
+    /// Whether recovery cannot succeed: the group has moved on to other voters, and those of the own configuration that would have
+    /// to reply have been silent for too long.
+    pub(super) fn is_beyond_recovery(&self, now: Millis) -> bool {
+        self.is_superseded && now - self.started_at > self.settings.timing.replacement_delay
+    }
+
+    pub(super) fn handle_recovery_reply(
+        &mut self,
+        now: Millis,
+        sender: &ReplicaId,
+        known: VoterProgress,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(voter_id) = self.voter_id_of(sender) else {
+            return;
+        };
+        self.recovery_queries.remove(sender);
+        if self.is_older_than(known) {
+            self.discard_store(effects);
+            return;
+        }
+        let Phase::Recovering(replied) = &mut self.phase else {
+            return;
+        };
+        replied.insert(voter_id);
+        self.finish_recovery(now);
+    }
+
+    /// Whether this replica once promised or accepted more than its store holds.
+    fn is_older_than(&self, known: VoterProgress) -> bool {
+        let own = self.own_progress();
+        if known.configuration != own.configuration {
+            return known.configuration > own.configuration;
+        }
+        // Entries that are decided here are not lost, whatever the ballot in which they were accepted.
+        let is_undecided = known.accepted.length > self.log.0.borrow().decided;
+        let lost_entries = known.accepted > own.accepted && is_undecided;
+        known.highest_ballot > own.highest_ballot || lost_entries
+    }
+
+    /// This replica has lost data: it does nothing more, and must rejoin under a new identity.
+    pub(super) fn discard_store(&mut self, effects: &mut Vec<Effect>) {
+        self.has_lost_data = true;
+        effects.push(Effect::DiscardStore);
+    }
+}
--- /dev/null
+++ b/crates/replicated-log/src/simulation/append_list.rs
@@ -0,0 +1,25 @@
+//! The state machine of the simulation.
+
+use crate::state_machine::{RestoreError, StateMachine};
+
+/// A list that grows: each write appends its bytes, and is answered the place that they got (little-endian, eight bytes).
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct AppendList(pub Vec<Vec<u8>>);
+
+impl StateMachine for AppendList {
+    fn apply(&mut self, _: u64, command: &[u8]) -> Vec<u8> {
+        let place = self.0.len() as u64;
+        self.0.push(command.to_vec());
+        place.to_le_bytes().to_vec()
+    }
+
+    fn advance_time(&mut self, _: u64) {}
+
+    fn snapshot(&self) -> Vec<u8> {
+        postcard::to_stdvec(&self.0).unwrap_or_default()
+    }
+
+    fn restore(bytes: &[u8]) -> Result<AppendList, RestoreError> {
+        Ok(AppendList(postcard::from_bytes(bytes)?))
+    }
+}
--- /dev/null
+++ b/crates/replicated-log/src/simulation/events.rs
@@ -0,0 +1,88 @@
+//! The events of a simulation, and their order.
+
+use super::Simulation;
+use crate::message::{Envelope, Request, Response};
+use crate::settings::Millis;
+use std::collections::BTreeMap;
+
+/// Something that happens to a node or a client.
+#[derive(Clone, Debug)]
+pub(super) enum Event {
+    /// A replica's next tick is due.
+    Tick,
+    /// A message arrives at a replica.
+    Message(Box<Envelope>),
+    /// A client's request arrives at a replica.
+    Request { client: usize, request: Request },
+    /// A disk write is durable.
+    Written {
+        /// The run of the replica that issued it.
+        run: u64,
+        /// Its number.
+        write: u64,
+        /// How many unflushed bytes it makes durable.
+        bytes: usize,
+    },
+    /// A client's next tick is due.
+    ClientTick { client: usize },
+    /// A response arrives at a client.
+    Response { client: usize, response: Response },
+}
+
+/// When an event happens: events at the same time happen in the order in which they were scheduled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EventKey {
+    /// The bits of the time. No time is negative, so they are ordered as the times are.
+    time_bits: u64,
+    order: u64,
+}
+
+/// An event with its time and the node to which it happens. Events of clients have node 0.
+pub(super) struct ScheduledEvent {
+    pub(super) at: Millis,
+    pub(super) target: usize,
+    pub(super) event: Event,
+}
+
+/// The events to come.
+#[derive(Default)]
+pub(super) struct EventQueue {
+    events: BTreeMap<EventKey, ScheduledEvent>,
+    /// Counts the events that were scheduled.
+    order: u64,
+}
+
+impl EventQueue {
+    fn push(&mut self, scheduled: ScheduledEvent) {
+        self.order += 1;
+        let key = EventKey {
+            time_bits: scheduled.at.to_bits(),
+            order: self.order,
+        };
+        self.events.insert(key, scheduled);
+    }
+
+    /// Takes the first event, unless it is later than `end`.
+    pub(super) fn pop_until(&mut self, end: Millis) -> Option<ScheduledEvent> {
+        let first = self.events.first_entry()?;
+        (first.get().at <= end).then(|| first.remove())
+    }
+}
+
+impl Simulation {
+    pub(super) fn schedule(&mut self, at: Millis, target: usize, event: Event) {
+        let at = at.max(0.0);
+        self.events.push(ScheduledEvent { at, target, event });
+    }
+
+    pub(super) fn handle_event(&mut self, target: usize, event: Event) {
+        match event {
+            Event::ClientTick { client } => self.tick_client(client),
+            Event::Response { client, response } => {
+                let effects = self.clients[client].receive(self.now, response);
+                self.carry_out_client_effects(client, effects);
+            }
+            event => self.handle_node_event(target, event),
+        }
+    }
+}
--- a/crates/replicated-log/src/store.rs
+++ b/crates/replicated-log/src/store.rs
@@ -1,66 +1,78 @@
-//! A store as bytes: a head, and frames of notes, each with checksums. How a file of them is kept is its driver's.
+//! The encoding of a store: a header, and frames of log records, each with checksums. How a file is kept is up to the caller.
 //!
-//! | what | bytes |
+//! | content | bytes |
 //! | --- | --- |
-//! | mark `CSREC` and the format's version | 5 + 1 |
-//! | the keeper's name and life, and what the driver tells a copied file by, in a frame | |
+//! | magic number `CSREC` and the version of the format | 5 + 1 |
+//! | the [`StoreHeader`], in a frame | |
 //! | then frames: length, checksum of the body, checksum of these two | 4 + 4 + 4 |
-//! | each with its notes in postcard | length |
+//! | each with its records in postcard | length |
+//!
+//! Lengths and checksums (CRC-32C) are little-endian.
 
-use crate::entry::{Config, Id, Position};
-use crate::log::{Log, Note};
+use crate::identity::ReplicaId;
+use crate::log::{Checkpoint, Log, LogRecord};
 use serde::{Deserialize, Serialize};
 
-const MARK: &[u8; 5] = b"CSREC";
-/// The format that this program writes, and the newest that it reads.
+const MAGIC: &[u8; 5] = b"CSREC";
+/// The version that this program writes, and the newest that it reads.
 const VERSION: u8 = 1;
-const HEAD: usize = 12;
+/// Where the first frame begins.
+const PREAMBLE_LENGTH: usize = MAGIC.len() + 1;
+const FRAME_HEADER_LENGTH: usize = 12;
+/// Zero bytes at the end of the last frame that mark it as torn. A crash may leave allocated space that was never written to.
+const TORN_ZEROES: usize = 8;
 
-/// Why a store cannot be used.
+/// Why a store cannot be used. A replica whose store cannot be used must rejoin under a new identity.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Damage {
-    /// It is of a format that is newer than this program.
-    #[error("format {0}, where {VERSION} is the newest that is known here")]
-    Newer(u8),
-    /// It is no store.
-    #[error("no store")]
-    Mark,
-    /// Something in its middle is not what was written.
-    #[error("damaged at byte {0} of {1}")]
-    Middle(usize, usize),
-    /// It was copied or moved here: it may be older than what its keeper last said.
+pub enum StoreError {
+    /// Its format is newer than this program.
+    #[error("format {0}, where {VERSION} is the newest that is supported")]
+    UnsupportedVersion(u8),
+    /// It does not begin as a store does.
+    #[error("not a store")]
+    NotAStore,
+    /// Bytes before its end are not what was written.
+    #[error("corrupt at byte {offset} of {length}")]
+    Corrupt {
+        /// Where the frame begins that cannot be read.
+        offset: usize,
+        /// The length of the store.
+        length: usize,
+    },
+    /// The file was copied or moved: it may be older than the last messages of its replica.
     #[error("not the file that was written: a copy, which may be older")]
-    Copy,
+    Copied,
 }
 
 /// Whose store it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
-    /// The keeper.
-    pub id: Id,
-    /// What tells this file from a copy of it; the driver's.
-    pub file: String,
+pub struct StoreHeader {
+    /// The replica.
+    pub replica: ReplicaId,
+    /// Distinguishes this file from a copy of it; chosen by the caller.
+    pub file_tag: String,
 }
 
-/// What a store held.
+/// What a store holds.
 #[derive(Clone, Debug)]
-pub struct Found {
-    /// Whose it is.
-    pub kept: Kept,
-    /// The record and its configuration, if one had begun.
-    pub(crate) begun: Option<(u64, Config, Position, Vec<u8>)>,
+pub struct LoadedStore {
+    /// Whose store it is.
+    pub header: StoreHeader,
+    /// The state at which the log begins, if the replica has been a voter.
+    pub(crate) checkpoint: Option<Checkpoint>,
     pub(crate) log: Log,
-    pub(crate) starts: u64,
-    /// Bytes that are sound; what comes after is a write that a crash left torn.
-    pub sound: usize,
-    /// Whether there was such a rest.
-    pub torn: bool,
+    /// How often the replica has started.
+    pub(crate) start_count: u64,
+    /// The length of the valid part in bytes; anything after it is a write that a crash left torn.
+    pub valid_length: usize,
+    /// Whether there are bytes after the valid part.
+    pub is_torn: bool,
 }
 
-fn frame(value: &impl Serialize) -> Vec<u8> {
-    // Plain values can always be written to a vector.
+fn encode_frame(value: &impl Serialize) -> Vec<u8> {
+    // Encoding plain values into a vector cannot fail.
     let body = postcard::to_stdvec(value).unwrap_or_default();
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
+    let mut bytes = Vec::with_capacity(FRAME_HEADER_LENGTH + body.len());
     bytes.extend((body.len() as u32).to_le_bytes());
     bytes.extend(crc32c::crc32c(&body).to_le_bytes());
     bytes.extend(crc32c::crc32c(&bytes).to_le_bytes());
@@ -69,108 +81,134 @@
 }
 
 /// The beginning of a store.
-pub fn head(kept: &Kept) -> Vec<u8> {
-    let mut bytes = MARK.to_vec();
+pub fn encode_header(header: &StoreHeader) -> Vec<u8> {
+    let mut bytes = MAGIC.to_vec();
     bytes.push(VERSION);
-    bytes.extend(frame(kept));
+    bytes.extend(encode_frame(header));
     bytes
 }
 
-/// Notes that are kept together.
-pub fn encode(notes: &[Note]) -> Vec<u8> {
-    frame(&notes)
+/// A frame of records that become durable together.
+pub fn encode(records: &[LogRecord]) -> Vec<u8> {
+    encode_frame(&records)
 }
 
-enum Next<'a> {
-    Frame(&'a [u8], usize),
+/// What stands at an offset of a store.
+enum NextFrame<'a> {
+    Frame { body: &'a [u8], end: usize },
     End,
     Torn,
-    Damaged,
+    Corrupt,
 }
 
-fn next(bytes: &[u8], at: usize) -> Next<'_> {
-    let rest = &bytes[at..];
+fn next_frame(bytes: &[u8], offset: usize) -> NextFrame<'_> {
+    let rest = &bytes[offset..];
     if rest.is_empty() {
-        return Next::End;
+        return NextFrame::End;
     }
     let word = |from: usize| {
-        rest.get(from..from + 4)
-            .and_then(|b| b.try_into().ok())
-            .map(u32::from_le_bytes)
+        let bytes = rest.get(from..from + 4)?;
+        bytes.try_into().ok().map(u32::from_le_bytes)
     };
-    let (Some(length), Some(sum), Some(check)) = (word(0), word(4), word(8)) else {
-        return Next::Torn;
+    let (Some(length), Some(body_checksum), Some(header_checksum)) = (word(0), word(4), word(8))
+    else {
+        return NextFrame::Torn;
     };
-    if crc32c::crc32c(&rest[..8]) != check {
-        // A crash may leave room that was never written to; it does not change what was.
+    if crc32c::crc32c(&rest[..8]) != header_checksum {
+        // A crash may leave allocated space that was never written to; it does not change what was written.
         return if rest.iter().all(|byte| *byte == 0) {
-            Next::Torn
+            NextFrame::Torn
         } else {
-            Next::Damaged
+            NextFrame::Corrupt
         };
     }
-    let end = HEAD + length as usize;
-    match rest.get(HEAD..end) {
-        None => Next::Torn,
-        Some(body) if crc32c::crc32c(body) == sum => Next::Frame(body, at + end),
-        // Of the last write a crash may have left room and no bytes; what has bytes to its end was whole once. Where it cannot be
-        // told, it is damage: its keeper becomes somebody else, which costs a change and breaks nothing.
-        Some(body) if rest.len() == end && body.iter().rev().take(8).all(|byte| *byte == 0) => {
-            Next::Torn
-        }
-        Some(_) => Next::Damaged,
+    let end = FRAME_HEADER_LENGTH + length as usize;
+    let Some(body) = rest.get(FRAME_HEADER_LENGTH..end) else {
+        return NextFrame::Torn;
+    };
+    if crc32c::crc32c(body) == body_checksum {
+        return NextFrame::Frame {
+            body,
+            end: offset + end,
+        };
+    }
+    // Of the last write a crash may have left allocated space without its bytes; one whose last bytes are there was complete once.
+    // Where the two cannot be told apart it counts as corrupt: the replica then rejoins under a new identity, which costs a
+    // reconfiguration and breaks nothing.
+    let ends_in_zeroes = body.iter().rev().take(TORN_ZEROES).all(|byte| *byte == 0);
+    if rest.len() == end && ends_in_zeroes {
+        NextFrame::Torn
+    } else {
+        NextFrame::Corrupt
     }
 }
 
-/// Reads a store. `file` is what the driver tells this file by.
-pub fn decode(bytes: &[u8], file: &str) -> Result<Found, Damage> {
-    let (mark, version) = (
-        bytes.get(..5).ok_or(Damage::Mark)?,
-        *bytes.get(5).ok_or(Damage::Mark)?,
-    );
-    if mark != MARK {
-        return Err(Damage::Mark);
+/// Reads the header; also returns where the first frame of records begins.
+fn decode_header(bytes: &[u8]) -> Result<(StoreHeader, usize), StoreError> {
+    let magic = bytes.get(..MAGIC.len()).ok_or(StoreError::NotAStore)?;
+    let version = *bytes.get(MAGIC.len()).ok_or(StoreError::NotAStore)?;
+    if magic != MAGIC {
+        return Err(StoreError::NotAStore);
     }
     if version > VERSION {
-        return Err(Damage::Newer(version));
+        return Err(StoreError::UnsupportedVersion(version));
     }
-    let Next::Frame(body, mut at) = next(bytes, 6) else {
-        return Err(Damage::Mark);
+    let NextFrame::Frame { body, end } = next_frame(bytes, PREAMBLE_LENGTH) else {
+        return Err(StoreError::NotAStore);
     };
-    let kept: Kept = postcard::from_bytes(body).map_err(|_| Damage::Mark)?;
-    if kept.file != file {
-        return Err(Damage::Copy);
-    }
-    let (mut begun, mut log, mut starts) = (None, Log::default(), 0);
-    let torn = loop {
-        match next(bytes, at) {
-            Next::End => break false,
-            Next::Torn => break true,
+    let header = postcard::from_bytes(body).map_err(|_| StoreError::NotAStore)?;
+    Ok((header, end))
+}
 
-            Next::Damaged => return Err(Damage::Middle(at, bytes.len())),
-            Next::Frame(body, end) => {
-                let notes: Vec<Note> =
-                    postcard::from_bytes(body).map_err(|_| Damage::Middle(at, bytes.len()))?;
-                for note in notes {
-                    match &note {
-                        Note::Begin(record, config, at, state) => {
-                            begun = Some((*record, config.clone(), *at, state.clone()));
-                        }
-                        Note::Start(number) => starts = starts.max(*number),
-                        _ => {}
-                    }
-                    log.replay(note);
+/// Reads a store. `file_tag` is the tag of the file that it was read from.
+///
+/// # Errors
+///
+/// Returns a [`StoreError`] if these bytes are not a store, were copied, or were changed before their end. A torn last write is no
+/// error: see [`LoadedStore::valid_length`].
+pub fn decode(bytes: &[u8], file_tag: &str) -> Result<LoadedStore, StoreError> {
+    let (header, records_begin) = decode_header(bytes)?;
+    if header.file_tag != file_tag {
+        return Err(StoreError::Copied);
+    }
+    let mut store = LoadedStore {
+        header,
+        checkpoint: None,
+        log: Log::default(),
+        start_count: 0,
+        valid_length: records_begin,
+        is_torn: false,
+    };
+    loop {
+        let corrupt = StoreError::Corrupt {
+            offset: store.valid_length,
+            length: bytes.len(),
+        };
+        match next_frame(bytes, store.valid_length) {
+            NextFrame::End => return Ok(store),
+            NextFrame::Torn => {
+                store.is_torn = true;
+                return Ok(store);
+            }
+            NextFrame::Corrupt => return Err(corrupt),
+            NextFrame::Frame { body, end } => {
+                let records: Vec<LogRecord> = postcard::from_bytes(body).map_err(|_| corrupt)?;
+                for record in records {
+                    store.replay(record);
                 }
-                at = end;
+                store.valid_length = end;
             }
         }
-    };
-    Ok(Found {
-        kept,
-        begun,
-        log,
-        starts,
-        sound: at,
-        torn,
-    })
+    }
+}
+
+impl LoadedStore {
+    fn replay(&mut self, record: LogRecord) {
+        match &record {
+            LogRecord::Checkpoint(checkpoint) => self.checkpoint = Some(checkpoint.clone()),
+            LogRecord::Started(number) => self.start_count = self.start_count.max(*number),
+            _ => {}
+        }
+        self.log.replay(record);
+    }
 }
--- a/crates/replicated-log/src/transfer.rs
+++ b/crates/replicated-log/src/transfer.rs
@@ -1,131 +1,152 @@
-//! How one that lags is caught up: by entries where they are still there, else by a snapshot in pieces.
+//! How a lagging replica catches up: with entries where others still have them, else with a snapshot in chunks.
 
-use crate::entry::{Config, Entry, Id, Position};
-use crate::wire::Body;
+use crate::entry::Entry;
+use crate::identity::{Configuration, Position, ReplicaId};
+use crate::message::{SnapshotChunk, SnapshotOffer};
+use crate::settings::Millis;
 use std::sync::Arc;
 
 /// The state at a position, as bytes, kept until there is a later one.
 #[derive(Clone, Debug)]
-pub(crate) struct Image {
-    pub at: Position,
-    pub config: Config,
+pub(crate) struct Snapshot {
+    pub position: Position,
+    pub configuration: Configuration,
     pub bytes: Arc<Vec<u8>>,
-    pub sum: u32,
+    /// The CRC-32C of the bytes.
+    pub checksum: u32,
 }
 
-impl Image {
-    pub(crate) fn new(at: Position, config: Config, bytes: Vec<u8>) -> Image {
-        let sum = crc32c::crc32c(&bytes);
-        Image {
-            at,
-            config,
+impl Snapshot {
+    pub(crate) fn new(
+        position: Position,
+        configuration: Configuration,
+        bytes: Vec<u8>,
+    ) -> Snapshot {
+        let checksum = crc32c::crc32c(&bytes);
+        Snapshot {
+            position,
+            configuration,
             bytes: Arc::new(bytes),
-            sum,
+            checksum,
         }
     }
 
-    pub(crate) fn offer(&self) -> Body {
-        Body::Offer(
-            self.at,
-            self.bytes.len() as u64,
-            self.sum,
-            self.config.clone(),
-        )
+    pub(crate) fn offer(&self) -> SnapshotOffer {
+        SnapshotOffer {
+            position: self.position,
+            length: self.bytes.len() as u64,
+            checksum: self.checksum,
+            configuration: self.configuration.clone(),
+        }
     }
 
-    /// The piece at an offset, of at most so many bytes.
-    pub(crate) fn piece(&self, offset: u64, most: usize) -> Body {
+    /// The chunk at an offset, of at most `max_length` bytes.
+    pub(crate) fn chunk(&self, offset: u64, max_length: usize) -> SnapshotChunk {
         let from = (offset as usize).min(self.bytes.len());
-        let to = (from + most).min(self.bytes.len());
-        Body::Piece(self.at, offset, self.bytes[from..to].to_vec())
+        let to = (from + max_length).min(self.bytes.len());
+        SnapshotChunk {
+            position: self.position,
+            offset,
+            bytes: self.bytes[from..to].to_vec(),
+        }
     }
 }
 
-/// The end of the configuration before this one, for those who were there and missed it.
+/// The end of the previous configuration, for its voters that missed it.
 #[derive(Clone, Debug)]
-pub(crate) struct Before {
-    pub config: u32,
-    pub from: u64,
+pub(crate) struct PreviousConfiguration {
+    /// Its number.
+    pub number: u32,
+    /// The index of the first of `entries`.
+    pub first_index: u64,
+    /// Its entries from there to its end.
     pub entries: Vec<Entry>,
-    pub next: Config,
+    /// The configuration that follows it.
+    pub next: Configuration,
 }
 
-/// A snapshot that is on its way here.
+/// A snapshot of which some chunks have arrived.
 #[derive(Clone, Debug)]
-pub(crate) struct Incoming {
-    pub at: Position,
-    pub config: Config,
-    pub length: u64,
-    pub sum: u32,
+pub(crate) struct IncomingSnapshot {
+    pub offer: SnapshotOffer,
+    /// The bytes that have arrived, from the first on.
     pub bytes: Vec<u8>,
-    /// When something of it last came, ms.
-    moved: f64,
+    /// When a part of it last arrived.
+    last_progress: Millis,
+}
+
+impl IncomingSnapshot {
+    fn is_of(&self, offer: &SnapshotOffer) -> bool {
+        self.offer.position == offer.position
+            && self.offer.checksum == offer.checksum
+            && self.offer.length == offer.length
+    }
+
+    fn missing(&self) -> u64 {
+        self.offer.length.saturating_sub(self.bytes.len() as u64)
+    }
+}
+
+/// The peer that a replica catches up from.
+#[derive(Clone, Debug)]
+pub(crate) struct CatchUpSource {
+    pub replica: ReplicaId,
+    /// When it was chosen or last sent a chunk.
+    pub last_progress: Millis,
 }
 
-/// What is being done to catch up.
+/// The progress of catching up.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Fetching {
-    /// Whom it is asked of, and since when, ms.
-    pub from: Option<(Id, f64)>,
-    /// What is there of a snapshot; it goes on where it stopped, also from somebody else who has the same.
-    pub incoming: Option<Incoming>,
-    /// No sooner than this is more asked for.
-    pub next: f64,
+pub(crate) struct CatchUp {
+    /// The peer that is asked; none while there is nothing to ask for, or nobody to ask.
+    pub source: Option<CatchUpSource>,
+    /// A snapshot that is arriving. The transfer resumes where it stopped, also from another peer that has the same snapshot.
+    pub incoming: Option<IncomingSnapshot>,
+    /// Nothing is asked for before this time.
+    pub next_request: Millis,
 }
 
-impl Fetching {
-    /// Takes an offer up, at `now`. What is there of the same one stays, and one that is on its way gives way only to a later one,
-    /// unless nothing of it has come since `stalled`: else two who have different ones would take turns for ever.
-    pub(crate) fn offered(
-        &mut self,
-        stalled: f64,
-        now: f64,
-        at: Position,
-        length: u64,
-        sum: u32,
-        config: Config,
-    ) {
-        let same = |here: &Incoming| here.at == at && here.sum == sum && here.length == length;
-        let better = |here: &Incoming| here.at > at && here.moved > stalled;
-        if !self
-            .incoming
-            .as_ref()
-            .is_some_and(|here| same(here) || better(here))
-        {
-            self.incoming = Some(Incoming {
-                at,
-                config,
-                length,
-                sum,
-                bytes: Vec::new(),
-                moved: now,
-            });
+impl CatchUp {
+    /// Considers an offer. What has arrived of the same snapshot stays. One that is arriving is given up only for a later one,
+    /// unless none of it has arrived since `stalled_since`: otherwise two peers with different snapshots would alternate forever.
+    pub(crate) fn offered(&mut self, now: Millis, stalled_since: Millis, offer: SnapshotOffer) {
+        let keeps_current = self.incoming.as_ref().is_some_and(|current| {
+            let is_later = current.offer.position > offer.position;
+            let advances = current.last_progress > stalled_since;
+            current.is_of(&offer) || (is_later && advances)
+        });
+        if keeps_current {
+            return;
         }
+        self.incoming = Some(IncomingSnapshot {
+            offer,
+            bytes: Vec::new(),
+            last_progress: now,
+        });
     }
 
-    /// Takes a piece in. All of it, once it is there and whole; what is not whole is dropped, to be asked for anew.
-    pub(crate) fn piece(
+    /// Adds a chunk. Returns the snapshot once it is complete and its checksum is right; one whose checksum is wrong is dropped, to
+    /// be asked for again.
+    pub(crate) fn add_chunk(
         &mut self,
-        now: f64,
-        at: Position,
-        offset: u64,
-        bytes: &[u8],
-    ) -> Option<Incoming> {
+        now: Millis,
+        chunk: &SnapshotChunk,
+    ) -> Option<IncomingSnapshot> {
         let incoming = self
             .incoming
             .as_mut()
-            .filter(|incoming| incoming.at == at)?;
-        let room = incoming.length.saturating_sub(incoming.bytes.len() as u64);
-        if offset != incoming.bytes.len() as u64 || bytes.len() as u64 > room {
+            .filter(|incoming| incoming.offer.position == chunk.position)?;
+        let is_next = chunk.offset == incoming.bytes.len() as u64;
+        if !is_next || chunk.bytes.len() as u64 > incoming.missing() {
             return None;
         }
-        incoming.bytes.extend_from_slice(bytes);
-        incoming.moved = now;
-        if (incoming.bytes.len() as u64) < incoming.length {
+        incoming.bytes.extend_from_slice(&chunk.bytes);
+        incoming.last_progress = now;
+        if incoming.missing() > 0 {
             return None;
         }
         self.incoming
             .take()
-            .filter(|whole| crc32c::crc32c(&whole.bytes) == whole.sum)
+            .filter(|complete| crc32c::crc32c(&complete.bytes) == complete.offer.checksum)
     }
 }
--- a/crates/replicated-log/tests/store.rs
+++ b/crates/replicated-log/tests/store.rs
@@ -1,56 +1,73 @@
-//! The format of a store: torn, damaged, copied, newer, and arbitrary bytes.
+//! The format of a store: torn, corrupt, copied, newer, and arbitrary bytes.
 
-use cometspool_replicated_log::{decode, encode, head, Command, Damage, Entry, Id, Kept, Note};
+use cometspool_replicated_log::{
+    decode, encode, encode_header, Command, Entry, LogRecord, ReplicaId, StoreError, StoreHeader,
+};
 use proptest::prelude::*;
 
-fn kept() -> Kept {
-    Kept {
-        id: Id {
-            name: "k0".to_owned(),
-            life: 7,
+fn header() -> StoreHeader {
+    StoreHeader {
+        replica: ReplicaId {
+            name: "r0".to_owned(),
+            incarnation: 7,
         },
-        file: "here".to_owned(),
+        file_tag: "here".to_owned(),
     }
 }
 
-fn write(number: u64) -> Entry {
+fn write(sequence: u64) -> Entry {
     Entry::Write(Command {
         session: 1,
-        number,
-        below: 0,
-        bytes: vec![0xa5; 40],
+        sequence,
+        answered_below: 0,
+        payload: vec![0xa5; 40],
     })
 }
 
-/// A store of so many frames, and where each begins.
-fn store(frames: u64) -> (Vec<u8>, Vec<usize>) {
-    let (mut bytes, mut starts) = (head(&kept()), Vec::new());
+/// A store, and where each of its frames begins.
+struct Store {
+    bytes: Vec<u8>,
+    frame_starts: Vec<usize>,
+}
+
+fn store(frames: u64) -> Store {
+    let mut bytes = encode_header(&header());
+    let mut frame_starts = Vec::new();
     for number in 0..frames {
-        starts.push(bytes.len());
+        frame_starts.push(bytes.len());
         bytes.extend(encode(&[
-            Note::Entries(number, vec![write(number)]),
-            Note::Decided(number),
+            LogRecord::Entries {
+                from: number,
+                entries: vec![write(number)],
+            },
+            LogRecord::Decided(number),
         ]));
     }
-    (bytes, starts)
+    Store {
+        bytes,
+        frame_starts,
+    }
 }
 
-/// Guards what a crash leaves against what a disk breaks: a cut anywhere leaves the frames before it, and a changed byte
-/// anywhere is never taken for anything else than damage.
+/// Guards the difference between a crash and a broken disk: a cut at any byte leaves the frames before it, and a changed byte
+/// anywhere is always taken for corruption.
 #[test]
-fn a_cut_leaves_the_frames_before_it_and_a_changed_byte_is_damage() {
-    let (bytes, starts) = store(6);
-    for end in starts[0]..bytes.len() {
-        let found = decode(&bytes[..end], "here").expect("a cut store is a store");
-        let whole = starts
+fn a_cut_leaves_the_frames_before_it_and_a_changed_byte_is_corruption() {
+    let Store {
+        bytes,
+        frame_starts,
+    } = store(6);
+    for end in frame_starts[0]..bytes.len() {
+        let loaded = decode(&bytes[..end], "here").expect("a cut store is a store");
+        let complete = frame_starts
             .iter()
             .copied()
             .filter(|start| *start <= end)
             .max()
             .unwrap_or_default();
         assert_eq!(
-            (found.sound, found.torn),
-            (whole, whole < end),
+            (loaded.valid_length, loaded.is_torn),
+            (complete, complete < end),
             "cut at {end}"
         );
     }
@@ -61,34 +78,33 @@
     }
 }
 
-/// Guards the identity of a file, its version, and room that a crash left without bytes.
+/// Guards the identity of a file, its version, and allocated space that a crash left unwritten.
 #[test]
-fn copies_and_newer_formats_are_refused_and_empty_room_is_cut() {
-    let (mut bytes, _) = store(2);
-    let whole = bytes.len();
-    assert_eq!(decode(&bytes, "elsewhere").err(), Some(Damage::Copy));
+fn copies_and_newer_formats_are_rejected_and_unwritten_space_is_cut() {
+    let mut bytes = store(2).bytes;
+    let complete = bytes.len();
+    assert_eq!(decode(&bytes, "elsewhere").err(), Some(StoreError::Copied));
     let mut newer = bytes.clone();
     newer[5] = 9;
-    assert_eq!(decode(&newer, "here").err(), Some(Damage::Newer(9)));
-    assert!(decode(&newer, "here")
-        .err()
-        .is_some_and(|why| why.to_string().contains("format 9")));
+    let error = decode(&newer, "here").err();
+    assert_eq!(error, Some(StoreError::UnsupportedVersion(9)));
+    assert!(error.is_some_and(|error| error.to_string().contains("format 9")));
     bytes.extend([0; 300]);
-    let found = decode(&bytes, "here").expect("room without bytes is no damage");
-    assert_eq!((found.sound, found.torn), (whole, true));
+    let loaded = decode(&bytes, "here").expect("unwritten space is no corruption");
+    assert_eq!((loaded.valid_length, loaded.is_torn), (complete, true));
 }
 
 proptest! {
-    /// Guards against a panic on whatever stands in a file, behind a head that is right or not.
+    /// Guards against a panic on whatever a file contains, behind a valid header or none.
     #[test]
-    fn arbitrary_bytes_are_refused_or_cut(
-        rest in prop::collection::vec(any::<u8>(), 0..400), headed in any::<bool>()
+    fn arbitrary_bytes_are_rejected_or_cut(
+        rest in prop::collection::vec(any::<u8>(), 0..400), has_header in any::<bool>()
     ) {
-        let mut bytes = if headed { head(&kept()) } else { Vec::new() };
+        let mut bytes = if has_header { encode_header(&header()) } else { Vec::new() };
         let start = bytes.len();
         bytes.extend(&rest);
-        if let Ok(found) = decode(&bytes, "here") {
-            prop_assert!(found.sound >= start && found.sound <= bytes.len());
+        if let Ok(loaded) = decode(&bytes, "here") {
+            prop_assert!(loaded.valid_length >= start && loaded.valid_length <= bytes.len());
         }
     }
 }
