--- a/crates/replicated-log/src/bin/cometspool-replicated-log.rs
+++ b/crates/replicated-log/src/bin/cometspool-replicated-log.rs
@@ -1,4 +1,5 @@
-//! Measures the figures of `docs/REPLICATED_LOG.md` on simulated groups: `cometspool-replicated-log [seeds]`.
+//! Measures the figures of `docs/REPLICATED_LOG.md` on simulated groups: `cometspool-replicated-log
+//! [seeds]`.
 
 use cometspool_replicated_log::simulation::{
     DelayRange, LinkConditions, Simulation, SimulationConfig,
--- a/crates/replicated-log/src/client.rs
+++ b/crates/replicated-log/src/client.rs
@@ -1,4 +1,5 @@
-//! A client of the log: numbers its writes, retries them until they are answered, and reports the result of each.
+//! A client of the log: numbers its writes, retries them until they are answered, and reports the
+//! result of each.
 
 use crate::entry::Command;
 use crate::message::{Outcome, Request, Response};
@@ -157,8 +158,8 @@
         if self.session_requested.is_finite() {
             self.target += 1;
         }
-        // Each request has a nonce of its own: a late response to an earlier one opens a session that nobody uses, and that
-        // expires.
+        // Each request has a nonce of its own: a late response to an earlier one opens a session
+        // that nobody uses, and that expires.
         self.session_nonce = self.rng.random_range(1..=u64::MAX);
         self.session_requested = now;
         Some(ClientEffect::Send {
@@ -262,8 +263,9 @@
     fn leave_session(&mut self, answered: u64, effects: &mut Vec<ClientEffect>) {
         self.session = None;
         self.session_requested = f64::NEG_INFINITY;
-        // A write that was sent once, and reported as expired, was not applied: it goes into the next session. Of one that was sent
-        // more often, or has no response yet, an earlier attempt may have been applied.
+        // A write that was sent once, and reported as expired, was not applied: it goes into the
+        // next session. Of one that was sent more often, or has no response yet, an earlier attempt
+        // may have been applied.
         let may_be_applied = |sequence: u64, write: &PendingWrite| {
             write.attempts > 1 || (write.attempts == 1 && sequence != answered)
         };
@@ -283,8 +285,9 @@
     }
 
     fn follow_redirect(&mut self, now: Millis, leader: String) {
-        // Each of many writes brings such a response, and two replicas may each take the other for the leader: only one is followed
-        // in a while, or all pending writes would go to and fro without end.
+        // Each of many writes brings such a response, and two replicas may each take the other for
+        // the leader: only one is followed in a while, or all pending writes would go to and fro
+        // without end.
         let is_too_soon = now - self.last_redirect < self.response_timeout / 3.0;
         if !self.replicas.contains(&leader) && self.replicas.len() < MAX_REPLICAS {
             // The group has changed since this client learned of it.
@@ -297,8 +300,8 @@
             return;
         }
         self.last_redirect = now;
-        // What went to another replica is sent to the leader at once. It counts as sent again, which can only make a result
-        // unknown, and never wrong.
+        // What went to another replica is sent to the leader at once. It counts as sent again,
+        // which can only make a result unknown, and never wrong.
         self.target = place;
         self.session_requested = f64::NEG_INFINITY;
         for write in self.pending.values_mut() {
--- a/crates/replicated-log/src/entry.rs
+++ b/crates/replicated-log/src/entry.rs
@@ -38,8 +38,9 @@
     },
 }
 
-/// The agreement library's own snapshots are not used: a lagging replica receives a snapshot in chunks instead, so that no message
-/// is as large as the state. The library compacts its log through this type, which holds nothing.
+/// The agreement library's own snapshots are not used: a lagging replica receives a snapshot in
+/// chunks instead, so that no message is as large as the state. The library compacts its log
+/// through this type, which holds nothing.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct EmptySnapshot;
 
--- a/crates/replicated-log/src/fault.rs
+++ b/crates/replicated-log/src/fault.rs
@@ -1,5 +1,5 @@
-//! Deliberate faults, with which tests show that the checkers find them. Without the feature `faults`, which only tests enable,
-//! none of them is in the program.
+//! Deliberate faults, with which tests show that the checkers find them. Without the feature
+//! `faults`, which only tests enable, none of them is in the program.
 
 /// A rule that is left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,7 +16,7 @@
     VoteAfterDataLoss,
     /// Entries are accepted at any position.
     EntriesAtAnyPosition,
-    /// A log is founded with whoever was heard from, empty or not.
+    /// A log is founded with any replicas that were heard from, empty or not.
     BootstrapWithNonEmpty,
     /// A replica that lacks compacted entries is sent only what is left.
     SendCompactedEntries,
--- a/crates/replicated-log/src/identity.rs
+++ b/crates/replicated-log/src/identity.rs
@@ -4,8 +4,8 @@
 use omnipaxos::ClusterConfig;
 use serde::{Deserialize, Serialize};
 
-/// The identity of a replica: its name and the incarnation of its store. A replica that lost its store must rejoin under a new
-/// identity, because it no longer knows which ballots it promised.
+/// The identity of a replica: its name and the incarnation of its store. A replica that lost its
+/// store must rejoin under a new identity, because it no longer knows which ballots it promised.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId {
     /// The name of its gateway.
--- a/crates/replicated-log/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -1,8 +1,9 @@
-//! A replicated, ordered log: a group of replicas agrees on the order of its entries, and each applies them to a state machine.
+//! A replicated, ordered log: a group of replicas agrees on the order of its entries, and each
+//! applies them to a state machine.
 //!
-//! The crate is sans-I/O: messages, completed disk writes and the time go in; records to write, messages to send and responses
-//! come out as effects. The caller owns sockets, disks and clocks. `docs/REPLICATED_LOG.md` states what is guaranteed and what
-//! is not.
+//! The crate is sans-I/O: messages, completed disk writes and the time go in; records to write,
+//! messages to send and responses come out as effects. The caller owns sockets, disks and clocks.
+//! `docs/REPLICATED_LOG.md` states what is guaranteed and what is not.
 
 mod client;
 mod entry;
--- a/crates/replicated-log/src/log/mod.rs
+++ b/crates/replicated-log/src/log/mod.rs
@@ -77,13 +77,14 @@
         self.first_index = index;
     }
 
-    /// Marks the whole log as part of a state that was fetched, of which nothing was accepted from a leader. It counts as accepted
-    /// in a ballot below those of all leaders, the same on every replica: so it is no leader's claim, and of two such logs the
-    /// longer is the later.
+    /// Marks the whole log as part of a state that was fetched, of which nothing was accepted from
+    /// a leader. It counts as accepted in a ballot below those of all leaders, the same on every
+    /// replica: so it is no leader's claim, and of two such logs the longer is the later.
     ///
-    /// Why no acknowledged write is lost by it: the entry before the first index is decided, by a majority without this replica,
-    /// as its log was shorter. So of any majority that includes this replica, another member has all entries up to the first
-    /// index, in a leader's ballot or in this one.
+    /// Why no acknowledged write is lost by it: the entry before the first index is decided, by a
+    /// majority without this replica, as its log was shorter. So of any majority that includes this
+    /// replica, another member has all entries up to the first index, in a leader's ballot or in
+    /// this one.
     pub(crate) fn accept_fetched_state(&mut self) {
         let lowest = Ballot::with(0, 0, 1, 0);
         self.accepted_ballot = Some(lowest);
--- a/crates/replicated-log/src/log/record.rs
+++ b/crates/replicated-log/src/log/record.rs
@@ -19,7 +19,8 @@
     pub state: Vec<u8>,
 }
 
-/// One change of a replica's durable state. Records that are written together become durable together or not at all.
+/// One change of a replica's durable state. Records that are written together become durable
+/// together or not at all.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LogRecord {
     /// A configuration begins, or the log was compacted: earlier records no longer count.
--- a/crates/replicated-log/src/log/storage.rs
+++ b/crates/replicated-log/src/log/storage.rs
@@ -17,7 +17,8 @@
     }
 }
 
-// Nothing here can fail: whether the disk accepts a record is known later, and no message that rests on it is sent before.
+// Nothing here can fail: whether the disk accepts a record is known later, and no message that
+// rests on it is sent before.
 impl Storage<Entry> for SharedLog {
     fn write_atomically(&mut self, operations: Vec<StorageOp<Entry>>) -> StorageResult<()> {
         operations
@@ -110,7 +111,8 @@
         Ok(self.0.borrow().stop_sign.clone())
     }
 
-    // The replica itself records a compaction, together with the state that replaces the discarded entries.
+    // The replica itself records a compaction, together with the state that replaces the discarded
+    // entries.
     fn trim(&mut self, index: usize) -> StorageResult<()> {
         self.0.borrow_mut().discard_before(index as u64);
         Ok(())
--- a/crates/replicated-log/src/message.rs
+++ b/crates/replicated-log/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between replicas, and between clients and replicas. They are encoded with postcard, by the order of fields and
-//! variants.
+//! Messages between replicas, and between clients and replicas. They are encoded with postcard, by
+//! the order of fields and variants.
 
 use crate::entry::{Command, Entry};
 use crate::identity::{Configuration, Position, ReplicaId};
@@ -12,7 +12,8 @@
 pub enum Outcome {
     /// It was applied and is acknowledged; this is the state machine's answer.
     Applied(Vec<u8>),
-    /// Its session has expired: this attempt was not applied and will not be. An earlier attempt may have been.
+    /// Its session has expired: this attempt was not applied and will not be. An earlier attempt
+    /// may have been.
     SessionExpired,
     /// Not applied: the session has too many writes open, or this one was answered long ago.
     Rejected,
@@ -54,7 +55,8 @@
         /// The name of the leader, if one is known.
         leader: Option<String>,
     },
-    /// The replica leads and has as many undecided entries as it allows; the request was not accepted.
+    /// The replica leads and has as many undecided entries as it allows; the request was not
+    /// accepted.
     Busy,
 }
 
@@ -122,7 +124,8 @@
     RecoveryQuery,
     /// What the sender knows of the receiver.
     RecoveryReply(VoterProgress),
-    /// The sender's store is empty; it may found a log with the replicas of these names, if all of them are empty too.
+    /// The sender's store is empty; it may found a log with the replicas of these names, if all of
+    /// them are empty too.
     Uninitialized {
         /// The names of all founders, the sender's among them.
         founders: Vec<String>,
@@ -160,7 +163,8 @@
     Standby(Position),
 }
 
-/// The order of a replica's messages. A message that is not above the last one from its sender is stale.
+/// The order of a replica's messages. A message that is not above the last one from its sender is
+/// stale.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MessageNumber {
     /// How often the sender has started with its store.
@@ -180,7 +184,8 @@
     pub sender: ReplicaId,
     /// Its place among the sender's messages.
     pub number: MessageNumber,
-    /// The first entry that the sender's log still holds: a receiver that has not decided all before it must fetch them.
+    /// The first entry that the sender's log still holds: a receiver that has not decided all
+    /// before it must fetch them.
     pub first_index: u64,
     /// The message.
     pub message: PeerMessage,
--- a/crates/replicated-log/src/replica/agreement.rs
+++ b/crates/replicated-log/src/replica/agreement.rs
@@ -1,4 +1,5 @@
-//! Messages of the agreement library: which are handed to it, and what is corrected in them on the way.
+//! Messages of the agreement library: which are handed to it, and what is corrected in them on the
+//! way.
 
 use super::{Phase, Replica};
 use crate::entry::Entry;
@@ -27,7 +28,8 @@
             return;
         };
         if lacks_compacted_entries(&self.log.0.borrow(), &message) {
-            // Compacted entries cannot be sent: the sender fetches a snapshot first, and then repeats this message.
+            // Compacted entries cannot be sent: the sender fetches a snapshot first, and then
+            // repeats this message.
             self.send_position(sender);
             return;
         }
@@ -41,9 +43,9 @@
                         return;
                     }
                 }
-                // The library ignores a stop sign that it has accepted and receives again, so that a lost acknowledgement is never
-                // repeated (0.2.4, `handle_accept_stopsign` and its sequence numbers). Synchronizing with the leader anew repeats
-                // it.
+                // The library ignores a stop sign that it has accepted and receives again, so that
+                // a lost acknowledgement is never repeated (0.2.4, `handle_accept_stopsign` and its
+                // sequence numbers). Synchronizing with the leader anew repeats it.
                 PaxosMsg::AcceptStopSign(accept)
                     if is_accepted_in(&self.log.0.borrow(), accept.n) =>
                 {
@@ -56,7 +58,8 @@
         paxos.handle_incoming(message);
     }
 
-    /// Whether a message is of the own configuration, and its voter ids are those of its sender and of this replica.
+    /// Whether a message is of the own configuration, and its voter ids are those of its sender and
+    /// of this replica.
     fn is_between_voters(
         &self,
         sender: &ReplicaId,
@@ -108,10 +111,11 @@
     (decided as u64) < log.first_index && !Fault::SendCompactedEntries.is_enabled()
 }
 
-/// Corrects the promise of a voter that comes after the majority's. If the voter last accepted in the same ballot as the majority's
-/// longest log, the library would send it entries from the end of that log on. But its state may have been fetched and reach
-/// further, and this log be compacted beyond: so the voter is made to look as if it had accepted in another ballot, and is sent
-/// what follows its decided entries.
+/// Corrects the promise of a voter that comes after the majority's. If the voter last accepted in
+/// the same ballot as the majority's longest log, the library would send it entries from the end of
+/// that log on. But its state may have been fetched and reach further, and this log be compacted
+/// beyond: so the voter is made to look as if it had accepted in another ballot, and is sent what
+/// follows its decided entries.
 fn sync_from_decided_index(paxos: &OmniPaxos<Entry, SharedLog>, promise: &mut Promise<Entry>) {
     let ballot = paxos.get_promise();
     let is_leader = paxos.get_current_leader() == Some((paxos.get_pid(), true));
@@ -123,12 +127,14 @@
 /// Corrects the log that a leader sends. Returns whether there is anything in it to accept.
 fn correct_accept_sync(log: &Log, sync: &mut AcceptSync<Entry>) -> bool {
     let log_sync = &mut sync.log_sync;
-    // The library counts an accepted stop sign as an entry, and begins the next one after it: the stop sign is counted twice, and
-    // the accepted log seems one entry longer than it is (0.2.4, `send_accsync`), so that it could never be decided.
+    // The library counts an accepted stop sign as an entry, and begins the next one after it: the
+    // stop sign is counted twice, and the accepted log seems one entry longer than it is (0.2.4,
+    // `send_accsync`), so that it could never be decided.
     if log_sync.suffix.is_empty() {
         log_sync.sync_idx = log_sync.sync_idx.min(log.end_index() as usize);
     }
-    // Entries that were fetched meanwhile are not written again, and an answer to what is no longer missing is of no use.
+    // Entries that were fetched meanwhile are not written again, and an answer to what is no longer
+    // missing is of no use.
     let decided = log.decided.min(log.end_index()) as usize;
     let known = decided.saturating_sub(log_sync.sync_idx);
     if known > log_sync.suffix.len() {
--- a/crates/replicated-log/src/replica/bootstrap.rs
+++ b/crates/replicated-log/src/replica/bootstrap.rs
@@ -29,8 +29,8 @@
         }
     }
 
-    /// A peer has an empty store. A log is founded only where all founders are known to be empty; it is never founded again for a
-    /// replica that lost its store.
+    /// A peer has an empty store. A log is founded only where all founders are known to be empty;
+    /// it is never founded again for a replica that lost its store.
     pub(super) fn handle_uninitialized(&mut self, sender: &ReplicaId, founders: &[String]) {
         match (&self.phase, &self.configuration) {
             (Phase::Empty, _) => {
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Founds a log once all founders are known to be empty, if this replica's name sorts first among them.
+    /// Founds a log once all founders are known to be empty, if this replica's name sorts first
+    /// among them.
     fn found_log_if_ready(&mut self) {
         let voters = self.uninitialized_founders();
         let is_first = voters.first() == Some(&self.id);
@@ -56,7 +57,8 @@
         }
     }
 
-    /// The founders that are known to be empty, this replica among them, in the order of their names.
+    /// The founders that are known to be empty, this replica among them, in the order of their
+    /// names.
     fn uninitialized_founders(&self) -> Vec<ReplicaId> {
         // A peer whose last message was of another kind has a log, or knows of one.
         let accepts_all = Fault::BootstrapWithNonEmpty.is_enabled();
@@ -87,7 +89,8 @@
         }
     }
 
-    /// Becomes a voter of a configuration in which it has never voted, from the index on at which its state stands.
+    /// Becomes a voter of a configuration in which it has never voted, from the index on at which
+    /// its state stands.
     pub(super) fn enter_configuration(&mut self, configuration: Configuration, index: u64) {
         let position = Position {
             configuration: configuration.number,
--- a/crates/replicated-log/src/replica/catch_up.rs
+++ b/crates/replicated-log/src/replica/catch_up.rs
@@ -1,4 +1,5 @@
-//! How a replica that lags, or has no vote, gets the entries that it lacks, and how it serves others.
+//! How a replica that lags, or has no vote, gets the entries that it lacks, and how it serves
+//! others.
 
 use super::{Phase, Replica};
 use crate::entry::Entry;
@@ -69,7 +70,7 @@
             .take_if(|source| now - source.last_progress > timeout);
     }
 
-    /// A learner always catches up from somebody.
+    /// Chooses a random voter to catch up from, if this replica is a learner and has no source.
     fn choose_source(&mut self, now: Millis) {
         let is_learner = matches!(self.phase, Phase::Learner);
         if self.catch_up.source.is_some() || !is_learner || now < self.catch_up.next_request {
--- a/crates/replicated-log/src/replica/effect.rs
+++ b/crates/replicated-log/src/replica/effect.rs
@@ -12,8 +12,8 @@
     Empty {
         /// The new identity.
         id: ReplicaId,
-        /// The names of the replicas with which it may found a log, its own among them. It looks for an existing log among them in
-        /// any case.
+        /// The names of the replicas with which it may found a log, its own among them. It looks
+        /// for an existing log among them in any case.
         founders: Vec<String>,
     },
     /// A store that was read.
@@ -28,14 +28,16 @@
 /// What the caller has to do for a replica, in the order in which it is returned.
 #[derive(Debug)]
 pub enum Effect {
-    /// Append records to the store and flush them to the disk; then call [`Replica::written`](super::Replica::written).
+    /// Append records to the store and flush them to the disk; then call
+    /// [`Replica::written`](super::Replica::written).
     Append {
         /// The number to report.
         write: u64,
         /// The records, to become durable together.
         records: Vec<LogRecord>,
     },
-    /// Write a new store that holds only these records, and atomically replace the old one by it; then report as for an append.
+    /// Write a new store that holds only these records, and atomically replace the old one by it;
+    /// then report as for an append.
     Rewrite {
         /// The number to report.
         write: u64,
@@ -56,7 +58,8 @@
         /// The response.
         response: Response,
     },
-    /// The store is older than what its replica has sent, or cannot be used: discard it and start empty, under a new identity.
+    /// The store is older than what its replica has sent, or cannot be used: discard it and start
+    /// empty, under a new identity.
     DiscardStore,
 }
 
--- a/crates/replicated-log/src/replica/leadership.rs
+++ b/crates/replicated-log/src/replica/leadership.rs
@@ -1,4 +1,5 @@
-//! What a leader does beside the agreement: it begins its term in the log, advances the log's time, and replaces lost voters.
+//! What a leader does beside the agreement: it begins its term in the log, advances the log's time,
+//! and replaces lost voters.
 
 use super::peers::Peer;
 use super::{Phase, Replica};
@@ -25,8 +26,8 @@
         }
     }
 
-    /// Appends the entry that begins the term, and those that advance the log's time. The library rejects entries while a
-    /// reconfiguration is under way: then there is nothing to do but wait.
+    /// Appends the entry that begins the term, and those that advance the log's time. The library
+    /// rejects entries while a reconfiguration is under way: then there is nothing to do but wait.
     fn append_own_entries(&mut self, now: Millis) {
         let is_full = self.undecided_entries() >= self.settings.limits.undecided_entries;
         let Phase::Voter(paxos) = &mut self.phase else {
@@ -46,7 +47,8 @@
         let is_due = elapsed >= self.settings.timing.clock_interval;
         if led.term == term && is_due && !is_full {
             led.measured_until += elapsed;
-            // If this entry is not decided, the log's time stands still for that long: whatever depends on it expires later.
+            // If this entry is not decided, the log's time stands still for that long: whatever
+            // depends on it expires later.
             let _ = paxos.append(Entry::AdvanceTime {
                 term,
                 elapsed_ms: elapsed as u64,
@@ -54,8 +56,8 @@
         }
     }
 
-    /// Gives the vote of a lost voter to a standby that has caught up. One reconfiguration at a time: the log accepts no second one
-    /// before the first is done.
+    /// Gives the vote of a lost voter to a standby that has caught up. One reconfiguration at a
+    /// time: the log accepts no second one before the first is done.
     fn replace_lost_voter(&mut self, now: Millis) {
         let Some(next) = self.next_configuration(now) else {
             return;
@@ -69,8 +71,8 @@
         }
     }
 
-    /// The configuration in which one lost voter is replaced; `None` if none is lost, no standby is ready, or no majority of the
-    /// new configuration is connected.
+    /// The configuration in which one lost voter is replaced; `None` if none is lost, no standby is
+    /// ready, or no majority of the new configuration is connected.
     fn next_configuration(&self, now: Millis) -> Option<Configuration> {
         let configuration = self.configuration.as_ref()?;
         let ready = self.ready_standbys(now, configuration);
@@ -91,7 +93,8 @@
             number: configuration.number + 1,
             voters: configuration.voters.iter().map(replace).collect(),
         };
-        // Without a majority of the new voters the reconfiguration would stop a group that still works.
+        // Without a majority of the new voters the reconfiguration would stop a group that still
+        // works.
         let connected = next
             .voters
             .iter()
@@ -100,7 +103,8 @@
         (connected >= configuration.majority()).then_some(next)
     }
 
-    /// The connected replicas without a vote that are ready to become voters, and are close to this log's end.
+    /// The connected replicas without a vote that are ready to become voters, and are close to this
+    /// log's end.
     fn ready_standbys(&self, now: Millis, configuration: &Configuration) -> Vec<&ReplicaId> {
         let own = self.position();
         let max_lag = self.settings.limits.retained_entries / 2;
@@ -126,7 +130,8 @@
             .is_some_and(|peer| self.was_heard_lately(now, peer))
     }
 
-    /// A standby under the name of a voter: the voter has lost its store, or runs on another machine now.
+    /// A standby under the name of a voter: the voter has lost its store, or runs on another
+    /// machine now.
     fn successor_by_name<'a>(
         &self,
         configuration: &'a Configuration,
@@ -145,7 +150,8 @@
             })
     }
 
-    /// A standby for a voter that has been silent for too long, preferably in a zone without another voter.
+    /// A standby for a voter that has been silent for too long, preferably in a zone without
+    /// another voter.
     fn successor_of_silent<'a>(
         &self,
         now: Millis,
--- a/crates/replicated-log/src/replica/mod.rs
+++ b/crates/replicated-log/src/replica/mod.rs
@@ -1,9 +1,10 @@
 //! A replica: a voter of a group that agrees on a log, or one that could become a voter.
 //!
-//! Beside the rules of the agreement library it follows three of its own. No message leaves before the disk writes that it rests
-//! on are durable (see `output`). A replica that restarts with its store first asks its peers what they know of it, and one that
-//! lost data must rejoin under a new identity (see `recovery`). A voter is replaced by a reconfiguration that the log itself
-//! holds (see `leadership`).
+//! Beside the rules of the agreement library it follows three of its own. No message leaves before
+//! the disk writes that it rests on are durable (see `output`). A replica that restarts with its
+//! store first asks its peers what they know of it, and one that lost data must rejoin under a new
+//! identity (see `recovery`). A voter is replaced by a reconfiguration that the log itself holds
+//! (see `leadership`).
 
 mod agreement;
 mod bootstrap;
@@ -41,7 +42,8 @@
     Empty,
     /// It has the state as of its position, in memory only, and no vote.
     Learner,
-    /// It restarted and asks its peers what they know of it. Holds the ids of the voters that have replied.
+    /// It restarted and asks its peers what they know of it. Holds the ids of the voters that have
+    /// replied.
     Recovering(BTreeSet<u64>),
     /// It votes.
     Voter(Box<OmniPaxos<Entry, SharedLog>>),
@@ -125,9 +127,10 @@
 }
 
 impl<M: StateMachine> Replica<M> {
-    /// A replica that starts at `now`. If `is_durable`, the caller writes its records to a disk and reports when they are durable;
-    /// otherwise everything is in memory, and the replica must start empty. `zones` has the zone of each replica that may vote, by
-    /// name. `seed` determines its random choices.
+    /// A replica that starts at `now`. If `is_durable`, the caller writes its records to a disk and
+    /// reports when they are durable; otherwise everything is in memory, and the replica must start
+    /// empty. `zones` has the zone of each replica that may vote, by name. `seed` determines its
+    /// random choices.
     ///
     /// Returns the effects to carry out, beside the replica.
     pub fn new(
--- a/crates/replicated-log/src/replica/output.rs
+++ b/crates/replicated-log/src/replica/output.rs
@@ -1,5 +1,5 @@
-//! What leaves a replica: records for the disk, messages and responses that wait until the records are durable, and decided entries
-//! for the state.
+//! What leaves a replica: records for the disk, messages and responses that wait until the records
+//! are durable, and decided entries for the state.
 
 use super::client_requests::RequestKey;
 use super::{Effect, LedTerm, Phase, Replica};
@@ -65,7 +65,8 @@
         self.send(to, PeerMessage::PositionNotice(position));
     }
 
-    /// Issues records to the disk, applies what is decided, and releases what rests on durable writes.
+    /// Issues records to the disk, applies what is decided, and releases what rests on durable
+    /// writes.
     pub(super) fn settle(&mut self, now: Millis, effects: &mut Vec<Effect>) {
         if self.has_lost_data {
             return;
@@ -104,8 +105,9 @@
         });
     }
 
-    /// Takes the records that have to be written now. The number of decided entries alone is no reason to write: it can be learned
-    /// again from others, nothing waits for it, and it goes with the next write.
+    /// Takes the records that have to be written now. The number of decided entries alone is no
+    /// reason to write: it can be learned again from others, nothing waits for it, and it goes with
+    /// the next write.
     fn take_records(&mut self) -> Option<Vec<LogRecord>> {
         let mut log = self.log.0.borrow_mut();
         let mut records = std::mem::take(&mut log.unwritten);
@@ -155,8 +157,9 @@
             // Heartbeats promise nothing.
             return true;
         };
-        // New entries are sent while this disk still writes them, so that all disks write at the same time: a leader may lose what
-        // it has only proposed. What it counts itself for is sent once it is durable.
+        // New entries are sent while this disk still writes them, so that all disks write at the
+        // same time: a leader may lose what it has only proposed. What it counts itself for is sent
+        // once it is durable.
         let PaxosMsg::AcceptDecide(accept) = &message.msg else {
             return false;
         };
@@ -164,7 +167,8 @@
         rests_on_durable && !self.has_waiting_message(to)
     }
 
-    /// Whether an earlier message to this replica waits for the disk. Messages must not overtake each other.
+    /// Whether an earlier message to this replica waits for the disk. Messages must not overtake
+    /// each other.
     fn has_waiting_message(&self, replica: &ReplicaId) -> bool {
         self.pending_output.iter().any(|pending| {
             let is_to_replica = matches!(&pending.output, Output::Send { to, .. } if to == replica);
@@ -190,7 +194,8 @@
         true
     }
 
-    /// The decided entries that are not applied yet, and the stop sign that ends the configuration if it is decided.
+    /// The decided entries that are not applied yet, and the stop sign that ends the configuration
+    /// if it is decided.
     fn decided_but_not_applied(&self) -> (Vec<Entry>, Option<StopSign>) {
         let log = self.log.0.borrow();
         let entries = if self.is_leader() && Fault::RespondBeforeMajority.is_enabled() {
--- a/crates/replicated-log/src/replica/peers.rs
+++ b/crates/replicated-log/src/replica/peers.rs
@@ -20,13 +20,14 @@
     pub(super) progress: VoterProgress,
     /// Its position, if it is ready to become a voter.
     pub(super) standby: Option<Position>,
-    /// Its last message said that its store is empty, and that it would found a log with the same replicas.
+    /// Its last message said that its store is empty, and that it would found a log with the same
+    /// replicas.
     pub(super) is_uninitialized: bool,
 }
 
 impl<M: StateMachine> Replica<M> {
-    /// Removes the peers without a vote that were silent for longest: names come from outside, and the number of incarnations has
-    /// no bound.
+    /// Removes the peers without a vote that were silent for longest: names come from outside, and
+    /// the number of incarnations has no bound.
     pub(super) fn evict_peers(&mut self) {
         while self.peers.len() > MAX_PEERS {
             let configuration = self.configuration.as_ref();
--- a/crates/replicated-log/src/replica/receive.rs
+++ b/crates/replicated-log/src/replica/receive.rs
@@ -22,13 +22,15 @@
         effects
     }
 
-    /// Does what is due at `now`. To be called when [`Replica::next_tick`] is reached; an earlier call does nothing.
+    /// Does what is due at `now`. To be called when [`Replica::next_tick`] is reached; an earlier
+    /// call does nothing.
     pub fn tick(&mut self, now: Millis) -> Vec<Effect> {
         let mut effects = Vec::new();
         if now < self.next_tick || self.has_lost_data {
             return effects;
         }
-        // Missed ticks are not made up for: a process that was stopped has not waited for anybody meanwhile.
+        // Missed ticks are not made up for: a process that was stopped has not waited for anybody
+        // meanwhile.
         self.next_tick = now + self.settings.timing.tick_interval;
         self.ticks += 1;
         let is_new_round = self.is_new_round();
@@ -69,7 +71,8 @@
         }
     }
 
-    /// Handles a message that arrived at `now`. Messages of other logs and stale ones are counted and ignored.
+    /// Handles a message that arrived at `now`. Messages of other logs and stale ones are counted
+    /// and ignored.
     pub fn receive(&mut self, now: Millis, envelope: Envelope) -> Vec<Effect> {
         let mut effects = Vec::new();
         let Envelope {
@@ -112,8 +115,8 @@
         effects
     }
 
-    /// Finds out from an agreement message whether its sender has a later configuration, or has compacted entries that are not
-    /// decided here.
+    /// Finds out from an agreement message whether its sender has a later configuration, or has
+    /// compacted entries that are not decided here.
     fn compare_progress(
         &mut self,
         now: Millis,
--- a/crates/replicated-log/src/replica/recovery.rs
+++ b/crates/replicated-log/src/replica/recovery.rs
@@ -1,8 +1,9 @@
 //! The restart of a replica with its store.
 //!
-//! The store may be older than the replica's last messages, for example if the disk was restored from a backup. So before it votes
-//! again, the replica asks the other voters what they know of its promises. If they know more than the store holds, the replica has
-//! lost data and must rejoin under a new identity.
+//! The store may be older than the replica's last messages, for example if the disk was restored
+//! from a backup. So before it votes again, the replica asks the other voters what they know of its
+//! promises. If they know more than the store holds, the replica has lost data and must rejoin
+//! under a new identity.
 
 use super::{Effect, Phase, Replica};
 use crate::identity::ReplicaId;
@@ -73,8 +74,8 @@
         }
     }
 
-    /// What is known here of another voter's promises: what it has sent, and what follows from this log, as a leader has accepted
-    /// all that is decided in its ballot.
+    /// What is known here of another voter's promises: what it has sent, and what follows from this
+    /// log, as a leader has accepted all that is decided in its ballot.
     fn known_progress(&self, other: &ReplicaId) -> VoterProgress {
         let sent = self
             .peers
@@ -104,9 +105,9 @@
         }
     }
 
-    /// Votes again once all other voters have replied; or, after a while, once as many have as make a majority together with this
-    /// replica. Without that many it could do nothing, and waiting for all would stop a group that has lost one voter. The
-    /// remaining voters are still asked.
+    /// Votes again once all other voters have replied; or, after a while, once as many have as make
+    /// a majority together with this replica. Without that many it could do nothing, and waiting
+    /// for all would stop a group that has lost one voter. The remaining voters are still asked.
     pub(super) fn finish_recovery(&mut self, now: Millis) {
         let (Phase::Recovering(replied), Some(configuration)) = (&self.phase, &self.configuration)
         else {
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Whether recovery cannot succeed: the group has moved on to other voters, and those of the own configuration that would have
-    /// to reply have been silent for too long.
+    /// Whether recovery cannot succeed: the group has moved on to other voters, and those of the
+    /// own configuration that would have to reply have been silent for too long.
     pub(super) fn is_beyond_recovery(&self, now: Millis) -> bool {
         self.is_superseded && now - self.started_at > self.settings.timing.replacement_delay
     }
@@ -154,7 +155,8 @@
         if known.configuration != own.configuration {
             return known.configuration > own.configuration;
         }
-        // Entries that are decided here are not lost, whatever the ballot in which they were accepted.
+        // Entries that are decided here are not lost, whatever the ballot in which they were
+        // accepted.
         let is_undecided = known.accepted.length > self.log.0.borrow().decided;
         let lost_entries = known.accepted > own.accepted && is_undecided;
         known.highest_ballot > own.highest_ballot || lost_entries
--- a/crates/replicated-log/src/replicated_state.rs
+++ b/crates/replicated-log/src/replicated_state.rs
@@ -1,5 +1,5 @@
-//! The state that every replica derives from the log: the users' state machine, and around it the client sessions and the log's
-//! time.
+//! The state that every replica derives from the log: the users' state machine, and around it the
+//! client sessions and the log's time.
 
 use crate::entry::{Command, Entry};
 use crate::fault::Fault;
@@ -11,7 +11,8 @@
 
 /// Sessions that may be open at a time: more than there are gateways.
 const MAX_SESSIONS: usize = 4096;
-/// Answers that a session keeps; writes beyond this are rejected until the client reports which answers it has.
+/// Answers that a session keeps; writes beyond this are rejected until the client reports which
+/// answers it has.
 pub(crate) const SESSION_WINDOW: u64 = 256;
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -50,7 +51,7 @@
     pub state_machine: M,
 }
 
-/// What applying an entry led to, for whoever waits for it.
+/// What applying an entry led to, for the clients that wait for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
     /// A client's request for a session was handled.
@@ -76,8 +77,8 @@
 }
 
 impl<M: StateMachine> ReplicatedState<M> {
-    /// The state of an empty log. A session outlives its client's last write by `session_timeout_ms` milliseconds of the log's
-    /// time.
+    /// The state of an empty log. A session outlives its client's last write by
+    /// `session_timeout_ms` milliseconds of the log's time.
     pub fn new(session_timeout_ms: u64) -> ReplicatedState<M> {
         ReplicatedState {
             system: SystemState {
@@ -89,8 +90,8 @@
         }
     }
 
-    /// The log's time in milliseconds: the sum of what leaders measured during their terms. It never runs ahead of a steady clock
-    /// by more than the drift of those leaders' clocks.
+    /// The log's time in milliseconds: the sum of what leaders measured during their terms. It
+    /// never runs ahead of a steady clock by more than the drift of those leaders' clocks.
     pub fn now_ms(&self) -> u64 {
         self.system.now_ms
     }
@@ -134,7 +135,8 @@
                 Applied::LeaderElected(*term)
             }
             Entry::AdvanceTime { term, elapsed_ms } => {
-                // Time that a former leader measured overlaps the term of its successor and would count twice.
+                // Time that a former leader measured overlaps the term of its successor and would
+                // count twice.
                 if *term == self.system.leader_term {
                     self.advance_time(*elapsed_ms);
                 }
@@ -216,7 +218,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`RestoreError`] if the bytes are not a snapshot, or if the state machine does not accept its part of it.
+    /// Returns a [`RestoreError`] if the bytes are not a snapshot, or if the state machine does not
+    /// accept its part of it.
     pub fn restore(bytes: &[u8]) -> Result<ReplicatedState<M>, RestoreError> {
         let encoded: EncodedState<SystemState> = postcard::from_bytes(bytes)?;
         Ok(ReplicatedState {
--- a/crates/replicated-log/src/settings.rs
+++ b/crates/replicated-log/src/settings.rs
@@ -1,7 +1,8 @@
 //! Intervals and limits of a replica.
 
-/// A point in time or a span, in milliseconds of the caller's steady clock. The pure core never reads a clock itself; whole and
-/// fractional milliseconds are both allowed, and no value is negative.
+/// A point in time or a span, in milliseconds of the caller's steady clock. The core never reads a
+/// clock itself. Fractions of a millisecond are allowed; no value that a caller passes may be
+/// negative.
 pub type Millis = f64;
 
 /// How often a replica acts and how long it waits.
@@ -21,7 +22,8 @@
     pub session_timeout_ms: u64,
     /// How long a request to a peer may stay unanswered before another peer is asked.
     pub response_timeout: Millis,
-    /// Least time between two chunks of a snapshot: bounds the load that catching up puts on others.
+    /// Least time between two chunks of a snapshot: bounds the load that catching up puts on
+    /// others.
     pub chunk_interval: Millis,
 }
 
--- a/crates/replicated-log/src/simulation/append_list.rs
+++ b/crates/replicated-log/src/simulation/append_list.rs
@@ -2,7 +2,8 @@
 
 use crate::state_machine::{RestoreError, StateMachine};
 
-/// A list that grows: each write appends its bytes, and is answered the place that they got (little-endian, eight bytes).
+/// A list that grows: each write appends its bytes, and is answered the place that they got
+/// (little-endian, eight bytes).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AppendList(pub Vec<Vec<u8>>);
 
--- a/crates/replicated-log/src/simulation/checker.rs
+++ b/crates/replicated-log/src/simulation/checker.rs
@@ -16,9 +16,10 @@
 }
 
 impl Simulation {
-    /// The violations that the run shows: every acknowledged write must be in the list, once, at the place that its client was
-    /// answered; no write may be there twice; no two replicas may ever have had different items at one place; and a write that was
-    /// started after another was acknowledged must come after it.
+    /// The violations that the run shows: every acknowledged write must be in the list, once, at
+    /// the place that its client was answered; no write may be there twice; no two replicas may
+    /// ever have had different items at one place; and a write that was started after another was
+    /// acknowledged must come after it.
     pub fn violations(&self) -> Vec<String> {
         let mut violations = self.run_violations.clone();
         self.check_replicas(&mut violations);
@@ -86,7 +87,8 @@
     }
 }
 
-/// Checks linearizability: no write may be at an earlier place than any that was acknowledged before it was started.
+/// Checks linearizability: no write may be at an earlier place than any that was acknowledged
+/// before it was started.
 fn check_real_time_order(mut acknowledged: Vec<Acknowledged>, violations: &mut Vec<String>) {
     let mut by_end = acknowledged.clone();
     by_end.sort_by(|a, b| a.ended.total_cmp(&b.ended));
--- a/crates/replicated-log/src/simulation/clients.rs
+++ b/crates/replicated-log/src/simulation/clients.rs
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Schedules a client's next tick. One is scheduled at a time: an earlier one replaces a later one.
+    /// Schedules a client's next tick. One is scheduled at a time: an earlier one replaces a later
+    /// one.
     fn schedule_client_tick(&mut self, client: usize) {
         let Some(next) = self.clients[client].next_tick() else {
             return;
--- a/crates/replicated-log/src/simulation/disk.rs
+++ b/crates/replicated-log/src/simulation/disk.rs
@@ -53,8 +53,8 @@
         disk.backup = Some(disk.durable.clone());
     }
 
-    /// Replaces what a node's disk holds by its backup, if there is one. `is_detectable` is whether the system can tell the copy
-    /// from the file; it cannot if the whole disk was restored.
+    /// Replaces what a node's disk holds by its backup, if there is one. `is_detectable` is whether
+    /// the system can tell the copy from the file; it cannot if the whole disk was restored.
     pub fn restore_backup(&mut self, node: usize, is_detectable: bool) {
         self.statistics.disk_faults += 1;
         let disk = &mut self.nodes[node].disk;
--- a/crates/replicated-log/src/simulation/links.rs
+++ b/crates/replicated-log/src/simulation/links.rs
@@ -119,7 +119,8 @@
         decoded.map(Box::new)
     }
 
-    /// When a message arrives. A connection keeps the order of messages; only stragglers are overtaken.
+    /// When a message arrives. A connection keeps the order of messages; only stragglers are
+    /// overtaken.
     fn draw_arrival(&mut self, link: Link) -> Millis {
         let at = self.now + self.draw_delay();
         if self.draw(self.link_conditions.straggling) {
--- a/crates/replicated-log/src/simulation/mod.rs
+++ b/crates/replicated-log/src/simulation/mod.rs
@@ -1,8 +1,10 @@
-//! A group of replicas and its clients in one process, over a network and disks whose behavior is drawn from a seed.
+//! A group of replicas and its clients in one process, over a network and disks whose behavior is
+//! drawn from a seed.
 //!
-//! Time is simulated. Links may delay, lose, duplicate, reorder or block messages. A replica may be killed between any two events,
-//! with its unflushed writes lost or torn; its disk may be wiped, restored from a backup or corrupted; its process may be paused.
-//! What every client was answered is kept for the checker (see [`Simulation::violations`]). The same seed leads to the same run.
+//! Time is simulated. Links may delay, lose, duplicate, reorder or block messages. A replica may be
+//! killed between any two events, with its unflushed writes lost or torn; its disk may be wiped,
+//! restored from a backup or corrupted; its process may be paused. What every client was answered
+//! is kept for the checker (see [`Simulation::violations`]). The same seed leads to the same run.
 
 mod append_list;
 mod checker;
@@ -124,7 +126,8 @@
     latest_configuration: u32,
 }
 
-/// The name of the replica of a node. All names of a group are of one length and sort as their nodes do.
+/// The name of the replica of a node. Names of up to ten nodes are of one length, and sort as the
+/// nodes do.
 fn node_name(node: usize) -> String {
     format!("r{node}")
 }
@@ -178,7 +181,8 @@
         self.nodes[node].replica.as_ref()
     }
 
-    /// The node whose replica leads: of those that take themselves for the leader and are not paused, the one in the latest term.
+    /// The node whose replica leads: of those that take themselves for the leader and are not
+    /// paused, the one in the latest term.
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len())
             .filter(|node| self.nodes[*node].paused_until.is_none())
@@ -214,7 +218,8 @@
         self.run_while(end, |_| true);
     }
 
-    /// Runs until a time, or until a condition no longer holds after an event. Returns whether it no longer holds.
+    /// Runs until a time, or until a condition no longer holds after an event. Returns whether it
+    /// no longer holds.
     pub fn run_while(&mut self, end: Millis, condition: impl Fn(&Simulation) -> bool) -> bool {
         while let Some(ScheduledEvent { at, target, event }) = self.events.pop_until(end) {
             self.now = self.now.max(at);
--- a/crates/replicated-log/src/simulation/node.rs
+++ b/crates/replicated-log/src/simulation/node.rs
@@ -31,7 +31,8 @@
     delayed_events: Vec<Event>,
     /// How long its disk takes for a write.
     pub(super) write_latency: Millis,
-    /// Counts the starts and ends of its replica: writes of an earlier run are not reported to a later one.
+    /// Counts the starts and ends of its replica: writes of an earlier run are not reported to a
+    /// later one.
     run: u64,
     /// When its replica's next tick is due.
     next_tick: Millis,
@@ -77,7 +78,8 @@
         self.carry_out(node, effects);
     }
 
-    /// Reads a node's store; one that cannot be used is replaced by an empty one under a new identity.
+    /// Reads a node's store; one that cannot be used is replaced by an empty one under a new
+    /// identity.
     fn load_store(&mut self, node: usize) -> Start {
         let founders = (0..self.founders).map(node_name).collect();
         let disk = &mut self.nodes[node].disk;
@@ -112,7 +114,8 @@
         id
     }
 
-    /// Kills the replica of a node. Of what was not flushed, a drawn part is on the disk afterwards.
+    /// Kills the replica of a node. Of what was not flushed, a drawn part is on the disk
+    /// afterwards.
     pub fn kill(&mut self, node: usize) {
         let own = &mut self.nodes[node];
         if own.replica.take().is_none() {
@@ -216,8 +219,8 @@
         self.schedule_written(node, write, length);
     }
 
-    /// Replaces the file by a new one with a rename, so that after a crash one or the other is there. What was being written to the
-    /// old file is contained in the new one.
+    /// Replaces the file by a new one with a rename, so that after a crash one or the other is
+    /// there. What was being written to the old file is contained in the new one.
     fn rewrite(&mut self, node: usize, write: u64, records: &[LogRecord]) {
         let own = &mut self.nodes[node];
         let Some(replica) = &own.replica else { return };
@@ -233,7 +236,8 @@
         self.schedule(at, node, Event::Written { run, write, bytes });
     }
 
-    /// Compares what a replica has applied with what others had, and counts changes of the leader and of the configuration.
+    /// Compares what a replica has applied with what others had, and counts changes of the leader
+    /// and of the configuration.
     fn observe(&mut self, node: usize) {
         let Some(replica) = &self.nodes[node].replica else {
             return;
--- a/crates/replicated-log/src/simulation/random_run.rs
+++ b/crates/replicated-log/src/simulation/random_run.rs
@@ -14,8 +14,9 @@
 /// How long stragglers are delayed at most.
 const MAX_STRAGGLING: Millis = 3000.0;
 
-/// A run with random faults, and then a time without any in which all writes must end. At most one replica loses its disk before
-/// the group is complete again, as more is not guaranteed to be survived.
+/// A run with random faults, and then a time without any in which all writes must end. At most one
+/// replica loses its disk before the group is complete again, as more is not guaranteed to be
+/// survived.
 pub fn run_random(seed: u64) -> Simulation {
     let mut run = RandomRun::new(seed);
     run.wait_for_leader();
@@ -188,8 +189,8 @@
         }
     }
 
-    /// Whether a node may lose its disk: it is a voter's, and every voter of the group runs and votes. A standby may not, as it may
-    /// be about to become a voter.
+    /// Whether a node may lose its disk: it is a voter's, and every voter of the group runs and
+    /// votes. A standby may not, as it may be about to become a voter.
     fn may_lose_disk(&self, node: usize) -> bool {
         let simulation = &self.simulation;
         let configuration = simulation
--- a/crates/replicated-log/src/state_machine.rs
+++ b/crates/replicated-log/src/state_machine.rs
@@ -5,9 +5,11 @@
 #[error("snapshot cannot be decoded")]
 pub struct RestoreError(#[from] postcard::Error);
 
-/// The users' state. It must be deterministic: the same writes at the same times lead to the same state on every replica.
+/// The users' state. It must be deterministic: the same writes at the same times lead to the same
+/// state on every replica.
 pub trait StateMachine: Default {
-    /// Applies a command at `now_ms`, the log's time in milliseconds, and returns the answer for its client.
+    /// Applies a command at `now_ms`, the log's time in milliseconds, and returns the answer for
+    /// its client.
     fn apply(&mut self, now_ms: u64, command: &[u8]) -> Vec<u8>;
 
     /// The log's time has advanced to `now_ms` milliseconds.
--- a/crates/replicated-log/src/store.rs
+++ b/crates/replicated-log/src/store.rs
@@ -1,4 +1,5 @@
-//! The encoding of a store: a header, and frames of log records, each with checksums. How a file is kept is up to the caller.
+//! The encoding of a store: a header, and frames of log records, each with checksums. How a file is
+//! kept is up to the caller.
 //!
 //! | content | bytes |
 //! | --- | --- |
@@ -19,10 +20,12 @@
 /// Where the first frame begins.
 const PREAMBLE_LENGTH: usize = MAGIC.len() + 1;
 const FRAME_HEADER_LENGTH: usize = 12;
-/// Zero bytes at the end of the last frame that mark it as torn. A crash may leave allocated space that was never written to.
+/// Zero bytes at the end of the last frame that mark it as torn. A crash may leave allocated space
+/// that was never written to.
 const TORN_ZEROES: usize = 8;
 
-/// Why a store cannot be used. A replica whose store cannot be used must rejoin under a new identity.
+/// Why a store cannot be used. A replica whose store cannot be used must rejoin under a new
+/// identity.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
     /// Its format is newer than this program.
@@ -115,7 +118,8 @@
         return NextFrame::Torn;
     };
     if crc32c::crc32c(&rest[..8]) != header_checksum {
-        // A crash may leave allocated space that was never written to; it does not change what was written.
+        // A crash may leave allocated space that was never written to; it does not change what was
+        // written.
         return if rest.iter().all(|byte| *byte == 0) {
             NextFrame::Torn
         } else {
@@ -132,9 +136,10 @@
             end: offset + end,
         };
     }
-    // Of the last write a crash may have left allocated space without its bytes; one whose last bytes are there was complete once.
-    // Where the two cannot be told apart it counts as corrupt: the replica then rejoins under a new identity, which costs a
-    // reconfiguration and breaks nothing.
+    // Of the last write a crash may have left allocated space without its bytes; one whose last
+    // bytes are there was complete once. Where the two cannot be told apart it counts as corrupt:
+    // the replica then rejoins under a new identity, which costs a reconfiguration and breaks
+    // nothing.
     let ends_in_zeroes = body.iter().rev().take(TORN_ZEROES).all(|byte| *byte == 0);
     if rest.len() == end && ends_in_zeroes {
         NextFrame::Torn
@@ -164,8 +169,8 @@
 ///
 /// # Errors
 ///
-/// Returns a [`StoreError`] if these bytes are not a store, were copied, or were changed before their end. A torn last write is no
-/// error: see [`LoadedStore::valid_length`].
+/// Returns a [`StoreError`] if these bytes are not a store, were copied, or were changed before
+/// their end. A torn last write is no error: see [`LoadedStore::valid_length`].
 pub fn decode(bytes: &[u8], file_tag: &str) -> Result<LoadedStore, StoreError> {
     let (header, records_begin) = decode_header(bytes)?;
     if header.file_tag != file_tag {
--- a/crates/replicated-log/src/transfer.rs
+++ b/crates/replicated-log/src/transfer.rs
@@ -1,4 +1,5 @@
-//! How a lagging replica catches up: with entries where others still have them, else with a snapshot in chunks.
+//! How a lagging replica catches up: with entries where others still have them, else with a
+//! snapshot in chunks.
 
 use crate::entry::Entry;
 use crate::identity::{Configuration, Position, ReplicaId};
@@ -98,17 +99,19 @@
 /// The progress of catching up.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CatchUp {
-    /// The peer that is asked; none while there is nothing to ask for, or nobody to ask.
+    /// The peer that is asked; none while there is nothing to ask for, or no peer to ask.
     pub source: Option<CatchUpSource>,
-    /// A snapshot that is arriving. The transfer resumes where it stopped, also from another peer that has the same snapshot.
+    /// A snapshot that is arriving. The transfer resumes where it stopped, also from another peer
+    /// that has the same snapshot.
     pub incoming: Option<IncomingSnapshot>,
     /// Nothing is asked for before this time.
     pub next_request: Millis,
 }
 
 impl CatchUp {
-    /// Considers an offer. What has arrived of the same snapshot stays. One that is arriving is given up only for a later one,
-    /// unless none of it has arrived since `stalled_since`: otherwise two peers with different snapshots would alternate forever.
+    /// Considers an offer. What has arrived of the same snapshot stays. One that is arriving is
+    /// given up only for a later one, unless none of it has arrived since `stalled_since`:
+    /// otherwise two peers with different snapshots would alternate forever.
     pub(crate) fn offered(&mut self, now: Millis, stalled_since: Millis, offer: SnapshotOffer) {
         let keeps_current = self.incoming.as_ref().is_some_and(|current| {
             let is_later = current.offer.position > offer.position;
@@ -125,8 +128,8 @@
         });
     }
 
-    /// Adds a chunk. Returns the snapshot once it is complete and its checksum is right; one whose checksum is wrong is dropped, to
-    /// be asked for again.
+    /// Adds a chunk. Returns the snapshot once it is complete and its checksum is right; one whose
+    /// checksum is wrong is dropped, to be asked for again.
     pub(crate) fn add_chunk(
         &mut self,
         now: Millis,
--- a/crates/replicated-log/tests/deliberate_faults.rs
+++ b/crates/replicated-log/tests/deliberate_faults.rs
@@ -1,13 +1,14 @@
-//! The checker finds what is wrong: each rule is left out in turn, and a run must show it. A checker that found nothing then would
-//! never find anything.
+//! The checker finds what is wrong: each rule is left out in turn, and a run must show it. A
+//! checker that found nothing then would never find anything.
 
 use cometspool_replicated_log::fault::{enable, Fault};
 use cometspool_replicated_log::simulation::{run_random, Simulation, SimulationConfig};
 use cometspool_replicated_log::{Settings, Timing};
 use std::panic::{catch_unwind, UnwindSafe};
 
-/// Whether a run shows a fault: the checker reports it; or the agreement library met an impossible state and panicked; or a group
-/// that has everything it needs did not complete all writes, as it always does without a fault.
+/// Whether a run shows a fault: the checker reports it; or the agreement library met an impossible
+/// state and panicked; or a group that has everything it needs did not complete all writes, as it
+/// always does without a fault.
 fn shows_fault(run: impl FnOnce() -> Simulation + UnwindSafe) -> bool {
     catch_unwind(run).map_or(true, |group| {
         !group.violations().is_empty() || group.pending_writes() > 0
@@ -53,7 +54,8 @@
     group
 }
 
-/// Two of three replicas lose their disks at once, and the third, which they hear, does not hear them.
+/// Two of three replicas lose their disks at once, and the third, which they hear, does not hear
+/// them.
 fn run_with_lost_majority(seed: u64) -> Simulation {
     let timing = Timing {
         replacement_delay: 5000.0,
--- a/crates/replicated-log/tests/scenarios.rs
+++ b/crates/replicated-log/tests/scenarios.rs
@@ -67,7 +67,8 @@
     }
 }
 
-/// Guards acknowledged writes against the death of any minority, the leader above all, and of all replicas with their disks.
+/// Guards acknowledged writes against the death of any minority, the leader above all, and of all
+/// replicas with their disks.
 #[test]
 fn acknowledged_writes_survive_leaders_minorities_and_a_restart_of_all() {
     let mut group = start_group(3, 4, true, 2);
@@ -94,8 +95,8 @@
     );
 }
 
-/// Guards against replicas that lost data: wiped, restored from a backup, corrupted, one after another, with acknowledged writes in
-/// between.
+/// Guards against replicas that lost data: wiped, restored from a backup, corrupted, one after
+/// another, with acknowledged writes in between.
 #[test]
 fn replicas_that_lose_their_disks_one_after_another_are_replaced() {
     let mut group = start_group(3, 4, true, 3);
@@ -134,7 +135,8 @@
     format!("{replicas:?}")
 }
 
-/// Guards the vote of a replica that is gone for good: a standby gets it, in another zone than the remaining voters.
+/// Guards the vote of a replica that is gone for good: a standby gets it, in another zone than the
+/// remaining voters.
 #[test]
 fn a_lost_voter_is_replaced_by_a_standby_in_a_free_zone() {
     let mut group = start_group(5, 2, true, 4);
@@ -189,7 +191,8 @@
     },
 ];
 
-/// Guards progress where links are partly broken: a replica that is connected to a majority soon leads.
+/// Guards progress where links are partly broken: a replica that is connected to a majority soon
+/// leads.
 #[test]
 fn a_group_makes_progress_if_any_replica_is_connected_to_a_majority() {
     for topology in TOPOLOGIES {
@@ -260,7 +263,8 @@
     }
 }
 
-/// Guards against a lost majority: the remaining replica acknowledges nothing, and no replica founds another log.
+/// Guards against a lost majority: the remaining replica acknowledges nothing, and no replica
+/// founds another log.
 #[test]
 fn a_lost_majority_acknowledges_nothing_and_founds_no_log() {
     let mut group = start_group(3, 2, true, 5);
@@ -287,7 +291,8 @@
     }
 }
 
-/// Guards against a leader that was paused: what it sends when it resumes acknowledges nothing that is not so.
+/// Guards against a leader that was paused: what it sends when it resumes acknowledges nothing that
+/// is not so.
 #[test]
 fn a_leader_that_resumes_after_half_a_minute_does_no_harm() {
     let mut group = start_group(3, 4, true, 6);
@@ -353,7 +358,8 @@
     );
 }
 
-/// Guards a group in memory: a replica that restarts rejoins under a new identity, and gets its vote by a reconfiguration.
+/// Guards a group in memory: a replica that restarts rejoins under a new identity, and gets its
+/// vote by a reconfiguration.
 #[test]
 fn a_replica_in_memory_rejoins_under_a_new_identity_after_a_restart() {
     let mut group = start_group(3, 2, false, 8);
--- a/crates/replicated-log/tests/store.rs
+++ b/crates/replicated-log/tests/store.rs
@@ -49,8 +49,8 @@
     }
 }
 
-/// Guards the difference between a crash and a broken disk: a cut at any byte leaves the frames before it, and a changed byte
-/// anywhere is always taken for corruption.
+/// Guards the difference between a crash and a broken disk: a cut at any byte leaves the frames
+/// before it, and a changed byte anywhere is always taken for corruption.
 #[test]
 fn a_cut_leaves_the_frames_before_it_and_a_changed_byte_is_corruption() {
     let Store {
