--- a/crates/replicated-log/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -7,6 +7,7 @@
 
 mod client;
 mod entry;
+// Public for tests, which enable faults.
 pub mod fault;
 mod identity;
 mod log;
@@ -14,6 +15,7 @@
 mod replica;
 mod replicated_state;
 mod settings;
+// Public for tests, and for the binary that measures figures.
 pub mod simulation;
 mod state_machine;
 mod store;
--- a/crates/replicated-log/src/log/storage.rs
+++ b/crates/replicated-log/src/log/storage.rs
@@ -4,16 +4,29 @@
 use crate::entry::{EmptySnapshot, Entry};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{StopSign, Storage, StorageOp, StorageResult};
-use std::cell::RefCell;
+use std::cell::{Ref, RefCell, RefMut};
 use std::rc::Rc;
 
 /// The log, shared between the agreement library and its replica.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SharedLog(pub Rc<RefCell<Log>>);
+pub(crate) struct SharedLog(Rc<RefCell<Log>>);
 
 impl SharedLog {
+    pub(crate) fn borrow(&self) -> Ref<'_, Log> {
+        self.0.borrow()
+    }
+
+    pub(crate) fn borrow_mut(&self) -> RefMut<'_, Log> {
+        self.0.borrow_mut()
+    }
+
+    /// Replaces the whole log.
+    pub(crate) fn replace(&self, log: Log) {
+        self.0.replace(log);
+    }
+
     fn record(&self, record: LogRecord) {
-        self.0.borrow_mut().record(record);
+        self.borrow_mut().record(record);
     }
 }
 
@@ -42,7 +55,7 @@
     }
 
     fn append_entries(&mut self, entries: Vec<Entry>) -> StorageResult<()> {
-        let mut log = self.0.borrow_mut();
+        let mut log = self.borrow_mut();
         let from = log.end_index();
         if !entries.is_empty() {
             log.record(LogRecord::Entries { from, entries });
@@ -67,7 +80,7 @@
     }
 
     fn get_decided_idx(&self) -> StorageResult<usize> {
-        Ok(self.0.borrow().decided as usize)
+        Ok(self.borrow().decided as usize)
     }
 
     fn set_accepted_round(&mut self, ballot: Ballot) -> StorageResult<()> {
@@ -76,11 +89,11 @@
     }
 
     fn get_accepted_round(&self) -> StorageResult<Option<Ballot>> {
-        Ok(self.0.borrow().accepted_ballot)
+        Ok(self.borrow().accepted_ballot)
     }
 
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Entry>> {
-        let log = self.0.borrow();
+        let log = self.borrow();
         let from = from as u64;
         let to = to as u64;
         if from < log.first_index || to > log.end_index() || from >= to {
@@ -90,16 +103,16 @@
     }
 
     fn get_log_len(&self) -> StorageResult<usize> {
-        Ok(self.0.borrow().entries.len())
+        Ok(self.borrow().entries.len())
     }
 
     fn get_suffix(&self, from: usize) -> StorageResult<Vec<Entry>> {
-        let end = self.0.borrow().end_index();
+        let end = self.borrow().end_index();
         self.get_entries(from, end as usize)
     }
 
     fn get_promise(&self) -> StorageResult<Option<Ballot>> {
-        Ok(self.0.borrow().highest_ballot)
+        Ok(self.borrow().highest_ballot)
     }
 
     fn set_stopsign(&mut self, stop_sign: Option<StopSign>) -> StorageResult<()> {
@@ -108,13 +121,13 @@
     }
 
     fn get_stopsign(&self) -> StorageResult<Option<StopSign>> {
-        Ok(self.0.borrow().stop_sign.clone())
+        Ok(self.borrow().stop_sign.clone())
     }
 
     // The replica itself records a compaction, together with the state that replaces the discarded
     // entries.
     fn trim(&mut self, index: usize) -> StorageResult<()> {
-        self.0.borrow_mut().discard_before(index as u64);
+        self.borrow_mut().discard_before(index as u64);
         Ok(())
     }
 
@@ -123,7 +136,7 @@
     }
 
     fn get_compacted_idx(&self) -> StorageResult<usize> {
-        Ok(self.0.borrow().first_index as usize)
+        Ok(self.borrow().first_index as usize)
     }
 
     fn set_snapshot(&mut self, _: Option<EmptySnapshot>) -> StorageResult<()> {
--- a/crates/replicated-log/src/replica/agreement.rs
+++ b/crates/replicated-log/src/replica/agreement.rs
@@ -27,7 +27,7 @@
         let Phase::Voter(paxos) = &mut self.phase else {
             return;
         };
-        if lacks_compacted_entries(&self.log.0.borrow(), &message) {
+        if lacks_compacted_entries(&self.log.borrow(), &message) {
             // Compacted entries cannot be sent: the sender fetches a snapshot first, and then
             // repeats this message.
             self.send_position(sender);
@@ -38,7 +38,7 @@
             match &mut message.msg {
                 PaxosMsg::Promise(promise) => sync_from_decided_index(paxos, promise),
                 PaxosMsg::AcceptSync(sync) => {
-                    let is_useful = correct_accept_sync(&self.log.0.borrow(), sync);
+                    let is_useful = correct_accept_sync(&self.log.borrow(), sync);
                     if !is_useful {
                         return;
                     }
@@ -47,7 +47,7 @@
                 // a lost acknowledgement is never repeated (0.2.4, `handle_accept_stopsign` and its
                 // sequence numbers). Synchronizing with the leader anew repeats it.
                 PaxosMsg::AcceptStopSign(accept)
-                    if is_accepted_in(&self.log.0.borrow(), accept.n) =>
+                    if is_accepted_in(&self.log.borrow(), accept.n) =>
                 {
                     paxos.reconnected(sender_voter_id);
                     return;
--- a/crates/replicated-log/src/replica/bootstrap.rs
+++ b/crates/replicated-log/src/replica/bootstrap.rs
@@ -68,8 +68,8 @@
             .filter(|(_, peer)| peer.is_uninitialized || accepts_all)
             .filter(|(id, _)| self.founders.contains(&id.name))
             .collect();
-        // Of several incarnations under one name, the one that was heard last is the one that runs.
-        peers.sort_by(|a, b| b.1.last_heard.total_cmp(&a.1.last_heard));
+        // Of several incarnations under one name, the one whose message came last is the one that runs.
+        peers.sort_by(|a, b| b.1.last_received.total_cmp(&a.1.last_received));
         let mut founders = vec![self.id.clone()];
         for (id, _) in peers {
             if founders.iter().all(|founder| founder.name != id.name) {
@@ -104,7 +104,7 @@
             state: state.clone(),
         });
         {
-            let mut log = self.log.0.borrow_mut();
+            let mut log = self.log.borrow_mut();
             // Records of the previous configuration no longer count.
             log.replay(checkpoint.clone());
             log.unwritten = vec![checkpoint, LogRecord::Started(self.start_count)];
--- a/crates/replicated-log/src/replica/catch_up.rs
+++ b/crates/replicated-log/src/replica/catch_up.rs
@@ -108,7 +108,7 @@
 
     /// Entries of the own configuration.
     fn entries_after(&self, after: Position, configuration: u32) -> Option<PeerMessage> {
-        let log = self.log.0.borrow();
+        let log = self.log.borrow();
         let is_voter = matches!(self.phase, Phase::Voter(_));
         if !is_voter || after.configuration != configuration {
             return None;
@@ -228,7 +228,7 @@
             self.applied += 1;
         }
         if matches!(self.phase, Phase::Voter(_)) && has_entries {
-            self.log.0.borrow_mut().insert_decided(after.index, entries);
+            self.log.borrow_mut().insert_decided(after.index, entries);
             if next_configuration.is_none() {
                 // The agreement continues from there, with what this replica has accepted beyond.
                 self.start_voting();
@@ -272,7 +272,7 @@
     fn skip_to(&mut self, snapshot: Snapshot) {
         let index = snapshot.position.index;
         {
-            let mut log = self.log.0.borrow_mut();
+            let mut log = self.log.borrow_mut();
             log.unwritten.clear();
             if index > log.end_index() {
                 log.accept_fetched_state();
@@ -305,7 +305,7 @@
         };
         self.applied = 0;
         self.become_learner(Snapshot::new(position, next, self.state.snapshot()));
-        self.log.0.borrow_mut().unwritten.clear();
+        self.log.borrow_mut().unwritten.clear();
     }
 
     /// Keeps the end of the configuration for voters that missed it.
@@ -316,7 +316,7 @@
         if !matches!(self.phase, Phase::Voter(_)) {
             return;
         }
-        let log = self.log.0.borrow();
+        let log = self.log.borrow();
         let mut entries = log.entries.clone();
         if Fault::DropLastEntry.is_enabled() {
             entries.pop();
--- a/crates/replicated-log/src/replica/client_requests.rs
+++ b/crates/replicated-log/src/replica/client_requests.rs
@@ -98,7 +98,7 @@
     }
 
     pub(super) fn undecided_entries(&self) -> u64 {
-        let log = self.log.0.borrow();
+        let log = self.log.borrow();
         log.accepted_index().saturating_sub(log.decided)
     }
 }
--- a/crates/replicated-log/src/replica/compaction.rs
+++ b/crates/replicated-log/src/replica/compaction.rs
@@ -10,7 +10,7 @@
     /// Compacts the log if it has grown to its limit.
     pub(super) fn compact(&mut self) {
         let (first_index, end_index) = {
-            let log = self.log.0.borrow();
+            let log = self.log.borrow();
             (log.first_index, log.end_index())
         };
         let limits = &self.settings.limits;
@@ -46,7 +46,7 @@
             position: snapshot.position,
             state: snapshot.bytes.to_vec(),
         });
-        let mut log = self.log.0.borrow_mut();
+        let mut log = self.log.borrow_mut();
         let mut records = vec![checkpoint, LogRecord::Started(self.start_count)];
         records.extend(log.to_records());
         log.unwritten = records;
--- a/crates/replicated-log/src/replica/leadership.rs
+++ b/crates/replicated-log/src/replica/leadership.rs
@@ -114,20 +114,20 @@
         self.peers
             .iter()
             .filter(|(id, _)| !configuration.has_voter(id))
-            .filter(|(_, peer)| self.was_heard_lately(now, peer))
+            .filter(|(_, peer)| self.is_recently_active(now, peer))
             .filter(|(_, peer)| peer.standby.as_ref().is_some_and(is_near))
             .map(|(id, _)| id)
             .collect()
     }
 
-    fn was_heard_lately(&self, now: Millis, peer: &Peer) -> bool {
-        now - peer.last_heard < 2.0 * self.settings.timing.response_timeout
+    fn is_recently_active(&self, now: Millis, peer: &Peer) -> bool {
+        now - peer.last_received < 2.0 * self.settings.timing.response_timeout
     }
 
     fn is_connected(&self, now: Millis, id: &ReplicaId) -> bool {
         self.peers
             .get(id)
-            .is_some_and(|peer| self.was_heard_lately(now, peer))
+            .is_some_and(|peer| self.is_recently_active(now, peer))
     }
 
     /// A standby under the name of a voter: the voter has lost its store, or runs on another
@@ -182,6 +182,6 @@
         let delay = self.settings.timing.replacement_delay;
         self.peers
             .get(id)
-            .is_none_or(|peer| now - peer.last_heard > delay)
+            .is_none_or(|peer| now - peer.last_received > delay)
     }
 }
--- a/crates/replicated-log/src/replica/mod.rs
+++ b/crates/replicated-log/src/replica/mod.rs
@@ -190,7 +190,7 @@
             self.load(store, &mut effects);
         }
         let started = LogRecord::Started(self.start_count);
-        self.log.0.borrow_mut().unwritten.push(started);
+        self.log.borrow_mut().unwritten.push(started);
         self.settle(now, &mut effects);
         effects
     }
--- a/crates/replicated-log/src/replica/output.rs
+++ b/crates/replicated-log/src/replica/output.rs
@@ -80,7 +80,7 @@
         self.compact();
         self.issue_records(effects);
         if self.writes.durable >= self.writes.issued {
-            self.writes.decided_when_durable = self.log.0.borrow().decided;
+            self.writes.decided_when_durable = self.log.borrow().decided;
         }
         self.release_output(effects);
     }
@@ -109,7 +109,7 @@
     /// reason to write: it can be learned again from others, nothing waits for it, and it goes with
     /// the next write.
     fn take_records(&mut self) -> Option<Vec<LogRecord>> {
-        let mut log = self.log.0.borrow_mut();
+        let mut log = self.log.borrow_mut();
         let mut records = std::mem::take(&mut log.unwritten);
         let only_decided = records
             .iter()
@@ -197,7 +197,7 @@
     /// The decided entries that are not applied yet, and the stop sign that ends the configuration
     /// if it is decided.
     fn decided_but_not_applied(&self) -> (Vec<Entry>, Option<StopSign>) {
-        let log = self.log.0.borrow();
+        let log = self.log.borrow();
         let entries = if self.is_leader() && Fault::RespondBeforeMajority.is_enabled() {
             let first = self.applied.saturating_sub(log.first_index);
             &log.entries[first as usize..]
@@ -276,7 +276,7 @@
                         start: self.start_count,
                         sequence: self.messages_sent,
                     },
-                    first_index: self.log.0.borrow().first_index,
+                    first_index: self.log.borrow().first_index,
                     message,
                 };
                 Effect::Send {
--- a/crates/replicated-log/src/replica/peers.rs
+++ b/crates/replicated-log/src/replica/peers.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peer {
     /// When a message from it last arrived.
-    pub(super) last_heard: Millis,
+    pub(super) last_received: Millis,
     /// The number of that message.
     pub(super) last_number: MessageNumber,
     /// What it promised and accepted.
@@ -36,7 +36,7 @@
                 .peers
                 .iter()
                 .filter(|(id, _)| has_no_vote(id))
-                .min_by(|a, b| a.1.last_heard.total_cmp(&b.1.last_heard))
+                .min_by(|a, b| a.1.last_received.total_cmp(&b.1.last_received))
                 .map(|(id, _)| id.clone());
             let Some(oldest) = oldest else { return };
             self.peers.remove(&oldest);
--- a/crates/replicated-log/src/replica/receive.rs
+++ b/crates/replicated-log/src/replica/receive.rs
@@ -95,7 +95,7 @@
             self.stale_messages += 1;
             return effects;
         }
-        peer.last_heard = now;
+        peer.last_received = now;
         peer.last_number = number;
         peer.is_uninitialized = matches!(
             &message,
@@ -127,7 +127,7 @@
         let Some(own) = self.configuration.as_ref().map(|own| own.number) else {
             return;
         };
-        let lacks_entries = configuration == own && first_index > self.log.0.borrow().decided;
+        let lacks_entries = configuration == own && first_index > self.log.borrow().decided;
         let is_voter = matches!(self.phase, Phase::Voter(_));
         if configuration > own || (lacks_entries && is_voter) {
             self.catch_up_from(now, sender);
--- a/crates/replicated-log/src/replica/recovery.rs
+++ b/crates/replicated-log/src/replica/recovery.rs
@@ -21,7 +21,7 @@
         let Some(checkpoint) = store.checkpoint else {
             return;
         };
-        self.log.0.replace(store.log);
+        self.log.replace(store.log);
         self.log_id = checkpoint.log_id;
         let configuration = checkpoint.configuration;
         match ReplicatedState::restore(&checkpoint.state) {
@@ -63,7 +63,7 @@
 
     /// What this replica itself has promised and accepted.
     fn own_progress(&self) -> VoterProgress {
-        let log = self.log.0.borrow();
+        let log = self.log.borrow();
         VoterProgress {
             configuration: self.configuration_number(),
             highest_ballot: log.highest_ballot.unwrap_or_default(),
@@ -95,7 +95,7 @@
             highest_ballot: own.accepted.ballot,
             accepted: AcceptedPrefix {
                 ballot: own.accepted.ballot,
-                length: self.log.0.borrow().decided,
+                length: self.log.borrow().decided,
             },
         };
         if sent.configuration < own.configuration {
@@ -157,7 +157,7 @@
         }
         // Entries that are decided here are not lost, whatever the ballot in which they were
         // accepted.
-        let is_undecided = known.accepted.length > self.log.0.borrow().decided;
+        let is_undecided = known.accepted.length > self.log.borrow().decided;
         let lost_entries = known.accepted > own.accepted && is_undecided;
         known.highest_ballot > own.highest_ballot || lost_entries
     }
--- a/crates/replicated-log/src/simulation/links.rs
+++ b/crates/replicated-log/src/simulation/links.rs
@@ -6,8 +6,8 @@
 use crate::settings::Millis;
 use rand::RngExt;
 
-/// The least spread of the arrival of a duplicate after the first.
-const MIN_DUPLICATE_SPREAD: Millis = 5.0;
+/// The range from which the delay of a duplicate is drawn is at least this long.
+const MIN_DUPLICATE_DELAY_RANGE: Millis = 5.0;
 
 /// A range of one-way delays, both ends included.
 #[derive(Clone, Copy, Debug)]
@@ -96,11 +96,11 @@
         let at = self.draw_arrival(link);
         if self.draw(self.link_conditions.duplication) {
             self.statistics.duplicated += 1;
-            let spread = self
+            let range = self
                 .link_conditions
                 .max_straggling
-                .max(MIN_DUPLICATE_SPREAD);
-            let duplicate_at = at + self.rng.random_range(0.0..spread);
+                .max(MIN_DUPLICATE_DELAY_RANGE);
+            let duplicate_at = at + self.rng.random_range(0.0..range);
             self.schedule(duplicate_at, to, Event::Message(envelope.clone()));
         }
         self.schedule(at, to, Event::Message(envelope));
--- a/crates/replicated-log/src/store.rs
+++ b/crates/replicated-log/src/store.rs
@@ -41,6 +41,8 @@
         offset: usize,
         /// The length of the store.
         length: usize,
+        /// Why the records cannot be decoded; `None` if a checksum is wrong.
+        source: Option<postcard::Error>,
     },
     /// The file was copied or moved: it may be older than the last messages of its replica.
     #[error("not the file that was written: a copy, which may be older")]
@@ -185,9 +187,10 @@
         is_torn: false,
     };
     loop {
-        let corrupt = StoreError::Corrupt {
+        let corrupt = |source| StoreError::Corrupt {
             offset: store.valid_length,
             length: bytes.len(),
+            source,
         };
         match next_frame(bytes, store.valid_length) {
             NextFrame::End => return Ok(store),
@@ -195,9 +198,10 @@
                 store.is_torn = true;
                 return Ok(store);
             }
-            NextFrame::Corrupt => return Err(corrupt),
+            NextFrame::Corrupt => return Err(corrupt(None)),
             NextFrame::Frame { body, end } => {
-                let records: Vec<LogRecord> = postcard::from_bytes(body).map_err(|_| corrupt)?;
+                let records: Vec<LogRecord> =
+                    postcard::from_bytes(body).map_err(|error| corrupt(Some(error)))?;
                 for record in records {
                     store.replay(record);
                 }
