--- a/src/net/control/backoff.rs
+++ b/src/net/control/backoff.rs
@@ -18,7 +18,7 @@
 ///
 /// With [`MAX_WINDOW_PER_GATEWAY`] a fleet all of whose calls are rejected makes some twenty-five calls a second at first,
 /// and comes down to under fifteen, as long as the window is below the longest pause that the caller allows. A service that
-/// works on calls whose callers have left must be called less than it can bear before anybody is served again.
+/// works on calls whose callers have left recovers only at a lower rate of calls than it can serve.
 const INITIAL_WINDOW_PER_GATEWAY: Duration = Duration::from_millis(60);
 /// What each gateway of the fleet adds to the largest window.
 const MAX_WINDOW_PER_GATEWAY: Duration = Duration::from_millis(120);
--- a/src/net/control/backoff/tests.rs
+++ b/src/net/control/backoff/tests.rs
@@ -4,7 +4,7 @@
 use crate::net::control::discovery::MAX_BACKOFF;
 
 const FLEET: u64 = 100;
-/// The largest fleet whose windows are not cut by the longest pause.
+/// The largest fleet whose windows are not capped by the longest pause.
 const UNCAPPED_FLEET: u32 = 36;
 /// Mean part of a window that a pause takes.
 const MEAN_PART: f64 = 0.625;
@@ -96,7 +96,7 @@
     calls
 }
 
-/// Guards a service that a whole fleet lost against being called in step where the time of the list cuts the windows: up to 36
+/// Guards a service that a whole fleet lost against being called in step where the update deadline caps the windows: up to 36
 /// gateways stay under the bounds of an uncapped window, and beyond that each calls no more often than the longest pause
 /// makes it, with no tenth of a second busier than chance has it.
 #[test]
@@ -106,11 +106,9 @@
         let mean = f64::from(fleet) / (MAX_BACKOFF.as_secs_f64() * 10.0 * MEAN_PART);
         // Calls that know nothing of each other stay within four deviations of their mean.
         let unrelated = (mean + 4.0 * mean.sqrt()) as usize;
-        let (most_at_first, most_later) = if fleet <= UNCAPPED_FLEET {
-            (9, 6)
-        } else {
-            (unrelated, unrelated)
-        };
+        let is_uncapped = fleet <= UNCAPPED_FLEET;
+        let most_at_first = if is_uncapped { 9 } else { unrelated };
+        let most_later = if is_uncapped { 6 } else { unrelated };
         let first = busiest(&calls[..60]);
         assert!(
             first <= most_at_first,
@@ -124,7 +122,7 @@
         );
         let called = later.iter().sum::<usize>() as f64 / later.len() as f64;
         assert!(
-            fleet <= UNCAPPED_FLEET || called <= mean * 1.1,
+            is_uncapped || called <= mean * 1.1,
             "{called} of {fleet} in a tenth of a second"
         );
     }
--- a/src/net/control/discovery/error/tests.rs
+++ b/src/net/control/discovery/error/tests.rs
@@ -54,8 +54,8 @@
     assert_eq!(error.watch_end(), WatchEnd::Silent);
 }
 
-/// Guards an overloaded agent against being asked for more than the changes, and a gateway against resuming what
-/// cannot be resumed.
+/// Guards an overloaded agent against requests for the full list, and a gateway against resuming a watch that cannot be
+/// resumed.
 #[test]
 fn the_full_list_is_requested_only_where_the_watch_cannot_be_resumed() {
     for status in [429, 500, 503] {
--- a/src/net/control/discovery/versions.rs
+++ b/src/net/control/discovery/versions.rs
@@ -17,7 +17,7 @@
     received_at: Instant,
 }
 
-/// Owns the version from which a watch is resumed, and tells a stale list from a current one.
+/// Owns the version from which a watch is resumed, and distinguishes a stale list from a current one.
 ///
 /// The two differ after a watch that could not be resumed: the full list is requested without a version then, and may come
 /// from an agent that lags.
--- a/src/net/control/endpoint_list.rs
+++ b/src/net/control/endpoint_list.rs
@@ -1,15 +1,16 @@
-//! The endpoint list as discovery sends it. The names in JSON are those of the platform's protocol.
+//! The endpoint list as discovery sends it and the configuration caches it. The keys of the JSON are those of the platform's
+//! protocol; unknown ones are ignored.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// A list of backends, whole or only what changed.
+/// The endpoints of the service, or those that changed since the version before.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct EndpointList {
-    /// The version of the list that this state is of.
+    /// The version of the list after these changes; a watch is resumed from it.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether it names every endpoint; else only those that changed.
+    /// Whether it names every endpoint, rather than only those that changed.
     #[serde(rename = "whole")]
     pub is_full: bool,
     /// The endpoints.
@@ -32,23 +33,23 @@
     /// Its cell, by number.
     #[serde(rename = "block", default)]
     pub cell: u32,
-    /// Whether it may be sent requests.
+    /// Whether it accepts requests.
     pub health: Health,
-    /// Its capacity relative to other backends.
+    /// Its capacity relative to other backends; 1 where the list has none.
     #[serde(rename = "share", default = "default_weight")]
     pub weight: f64,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// When it last started, in Unix milliseconds; 0 if that is long ago.
     #[serde(rename = "born_ms", default)]
     pub started_at_ms: f64,
 }
 
-/// State of a backend in the list.
+/// The state of a backend in the list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Health {
-    /// May be sent requests.
+    /// Accepts requests.
     Up,
-    /// Finishes the requests that it has.
+    /// Finishes its requests and is sent no new ones.
     Draining,
     /// No longer part of the service.
     Removed,
--- a/src/net/control/handover.rs
+++ b/src/net/control/handover.rs
@@ -23,7 +23,7 @@
 const RETENTION: Millis = 5000.0;
 /// Bytes after which the file is compacted.
 const COMPACTION_BYTES: u64 = 1 << 20;
-/// The most records that are held of this process; twice as many are replayed.
+/// The most records of this process in memory; twice as many are replayed.
 const MAX_RECORDS: usize = 16_384;
 /// After a write that failed, how long until the next one is tried.
 const WRITE_RETRY_DELAY: Millis = 1000.0;
@@ -129,24 +129,37 @@
         self.record(id, record);
     }
 
-    /// Holds a record and writes it. While the file cannot be written, a new one is tried at times.
+    /// Keeps a record in memory and writes it, or tries to resume writing.
     fn record(&mut self, id: &Rc<str>, record: RequestRecord) {
         let now = self.clock.now();
-        let was_writable = self.file.is_some();
         self.current.insert(id.clone(), record);
-        if was_writable {
-            let must_compact =
-                self.file_bytes >= COMPACTION_BYTES || self.current.len() > MAX_RECORDS;
-            let result = if must_compact {
-                self.compact()
-            } else {
-                self.append(id, record)
-            };
-            if let Err(error) = result {
-                self.suspend(now, Some(&error));
-            }
-            return;
+        if self.file.is_some() {
+            self.write(id, record, now);
+        } else {
+            self.resume_writing(now);
+        }
+    }
+
+    /// Appends a record, or compacts the file with it where that is due.
+    fn write(&mut self, id: &str, record: RequestRecord, now: Millis) {
+        let must_compact = self.file_bytes >= COMPACTION_BYTES || self.current.len() > MAX_RECORDS;
+        let result = if must_compact {
+            self.compact()
+        } else {
+            self.append(id, record)
+        };
+        if let Err(error) = result {
+            // Logged once for an outage.
+            eprintln!(
+                "handover: {}: {error}: nothing more is handed over for now",
+                self.path.display()
+            );
+            self.suspend_writing(now);
         }
+    }
+
+    /// Writes all records to a new file, at most once in [`WRITE_RETRY_DELAY`].
+    fn resume_writing(&mut self, now: Millis) {
         if self.current.len() > MAX_RECORDS {
             self.evict_expired(now);
         }
@@ -155,26 +168,21 @@
         }
         match self.compact() {
             Ok(()) => eprintln!("handover: {}: handed over again", self.path.display()),
-            Err(_) => self.suspend(now, None),
+            Err(_) => self.suspend_writing(now),
         }
     }
 
-    /// Stops writing until `WRITE_RETRY_DELAY` has passed. An error is logged where it is the first of an outage.
+    /// Stops writing for [`WRITE_RETRY_DELAY`].
     ///
-    /// The gateway goes on serving, and the records in memory still hold. A process that starts meanwhile may miss the
+    /// The gateway continues to serve, and the records in memory stay valid. A process that starts meanwhile may miss the
     /// last ones; they are written once the file can be.
-    fn suspend(&mut self, now: Millis, first_error: Option<&io::Error>) {
-        if let Some(error) = first_error {
-            eprintln!(
-                "handover: {}: {error}: nothing more is handed over for now",
-                self.path.display()
-            );
-        }
+    fn suspend_writing(&mut self, now: Millis) {
         self.file = None;
         self.retry_at = now + WRITE_RETRY_DELAY;
     }
 
-    /// Drops the records that no longer matter, and of more than fit those of requests that may run again.
+    /// Drops the records of requests that ended over [`RETENTION`] ago. If this process still has too many, it drops those of
+    /// requests that have not run: without its record such a request may be granted its full time again, and nothing worse.
     fn evict_expired(&mut self, now: Millis) {
         let matters = |record: &RequestRecord| record.deadline > now - RETENTION;
         self.previous.retain(|_, record| matters(record));
--- a/src/net/control/handover/tests.rs
+++ b/src/net/control/handover/tests.rs
@@ -146,8 +146,8 @@
     assert!(matches!(unreadable, Some(HandoverError::Unreadable { .. })));
 }
 
-/// Guards a gateway against ending with its disk: it serves on, tries a new file after a second and writes all records that
-/// it holds.
+/// Guards the records of an outage of the disk: the gateway tries a new file after a second and writes all that are in
+/// memory.
 #[tokio::test(start_paused = true)]
 async fn records_that_could_not_be_written_are_written_once_the_file_can_be() {
     let folder = path("outage");
@@ -156,7 +156,7 @@
     let clock = Clock::new();
     let deadline = (clock.now() + 4000.0).floor();
     let mut handover = Handover::open(path.clone(), clock, 8000.0).expect("a handover");
-    handover.suspend(clock.now(), None);
+    handover.suspend_writing(clock.now());
     handover.record_accepted(&"a".into(), deadline);
     assert_eq!(bytes(&path), "");
     let pause = std::time::Duration::from_millis(1001);
--- a/src/net/control/mod.rs
+++ b/src/net/control/mod.rs
@@ -1,4 +1,13 @@
-//! The control side: the endpoint list, configuration, and what a successor process has to know.
+//! The control plane of a gateway: what it learns other than from its clients and backends.
+//!
+//! | module | what it does |
+//! | --- | --- |
+//! | [`config`] | the configuration, from variables and a JSON file |
+//! | [`fleet_section`] | the `fleet` section of that file |
+//! | [`discovery`] | the watch on the endpoint list |
+//! | [`endpoint_list`] | the list's JSON |
+//! | [`backoff`] | pauses between calls to a service that the fleet shares |
+//! | [`handover`] | the file by which a process learns of the one before it |
 
 pub(super) mod backoff;
 pub(super) mod config;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings by their wire names: the one mapping for both programs.
 //!
-//! The simulator sends settings as `path=value` lines; the gateway flattens its JSON file to the same lines. [`parse`] reads
+//! The simulator sends settings as `path=value` lines; the gateway flattens its JSON file to the same lines. [`parse()`] reads
 //! them. Unknown paths are ignored, and missing ones take the defaults of [`Settings::default`], [`Class::default`],
 //! [`Plan::default`] and [`ConnectionSettings::default`].
 //!
@@ -46,6 +46,7 @@
 }
 
 impl Default for ConnectionSettings {
+    /// Timeouts of an ordinary backend, and no costs.
     fn default() -> Self {
         ConnectionSettings {
             dial_timeout: 250.0,
--- a/src/settings/flat.rs
+++ b/src/settings/flat.rs
@@ -70,7 +70,7 @@
     /// # Errors
     /// [`SettingsError::Unreadable`] if `<list>.count` is no number of entries.
     pub(super) fn entry_names(&self, list: &str) -> Result<Vec<String>, SettingsError> {
-        // 32 bits: the names are collected before any entry is parsed, so a greater count is rejected here.
+        // The names are collected before the entries are parsed: 32 bits bound what a wrong count allocates.
         let count: i32 = self.get(&format!("{list}.count"), 0)?;
         let mut names = Vec::new();
         for index in 0..count {
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -234,7 +234,7 @@
     );
 }
 
-/// Guards the memory of a start against a count that nobody can mean, and the order in which faults are reported.
+/// Guards the memory of a start against an implausible count, and the order in which faults are reported.
 #[test]
 fn a_count_out_of_range_is_reported_and_not_allocated() {
     for (list, count) in [("grades", "4000000000"), ("plans", "-1"), ("grades", "x")] {
