--- a/src/net/control/backoff.rs
+++ b/src/net/control/backoff.rs
@@ -59,9 +59,9 @@
         self.draw_pause(BASE_WINDOW)
     }
 
-    /// The pause after a call that was rejected because the service is overloaded: at most `max_pause`, or 200 ms if that is
-    /// more, as a shorter window would leave the gateways in step. The window is cut to it rather than the pause: pauses that
-    /// are cut would end in step.
+    /// The pause after a call that was rejected because the service is overloaded: at most `max_pause`, or 200 ms if that
+    /// is more, as a shorter window would leave the gateways in step. The window is cut to it rather than the pause: pauses
+    /// that are cut would end in step.
     pub(crate) fn after_rejection(&mut self, max_pause: Duration) -> Duration {
         let doubled = self
             .initial_window()
--- a/src/net/control/backoff/tests.rs
+++ b/src/net/control/backoff/tests.rs
@@ -25,7 +25,7 @@
     tenths.into_iter().max().unwrap_or(0)
 }
 
-/// Guards a service that a whole fleet lost at the same instant against being called by all in step, and
+/// Guards a service that an entire fleet lost at the same instant against being called by all in step, and
 /// against being kept overloaded by the calls that it rejected.
 #[test]
 fn a_fleet_that_fails_together_does_not_retry_in_step() {
@@ -96,8 +96,8 @@
     calls
 }
 
-/// Guards a service that a whole fleet lost against being called in step where the update deadline caps the windows: up to 36
-/// gateways stay under the bounds of an uncapped window, and beyond that each calls no more often than the longest pause
+/// Guards a service that an entire fleet lost against being called in step where the update deadline caps the windows: up
+/// to 36 gateways stay under the bounds of an uncapped window. Beyond that each calls no more often than the longest pause
 /// makes it, with no tenth of a second busier than chance has it.
 #[test]
 fn a_fleet_whose_windows_are_capped_does_not_retry_in_step() {
--- a/src/net/control/discovery.rs
+++ b/src/net/control/discovery.rs
@@ -37,8 +37,8 @@
     Cached,
     /// The newest that discovery has sent.
     Current,
-    /// Sent by discovery, but of a lower version than one shortly before: an agent lags, or discovery numbers anew. It must not
-    /// undo the removal of an endpoint.
+    /// Sent by discovery, but of a lower version than one shortly before: an agent lags, or discovery numbers anew. It
+    /// must not undo the removal of an endpoint.
     Stale,
 }
 
--- a/src/net/control/discovery/deadline.rs
+++ b/src/net/control/discovery/deadline.rs
@@ -19,8 +19,8 @@
 /// How long a watch may bring neither an object nor a heartbeat.
 ///
 /// Discovery sends a heartbeat every 2 s. A watch that has missed two of these, with 250 ms for the way, has lost its other
-/// end. It cannot wait for the third: a change that it misses has to be in effect 6 s after the watch fell silent. The gateways of a fleet whose
-/// agents fall silent together reconnect within this time, each at its own moment.
+/// end. It cannot wait for the third: a change that it misses has to be in effect 6 s after the watch fell silent. The
+/// gateways of a fleet whose agents fall silent together reconnect within this time, each at its own moment.
 pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(4250);
 /// How long after discovery has a change, and can be reached, the change has to be in effect.
 const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
--- a/src/net/control/discovery/deadline/tests.rs
+++ b/src/net/control/discovery/deadline/tests.rs
@@ -13,8 +13,9 @@
     Instant::now()
 }
 
-/// Guards the time in which a change of the list takes effect after a rejected call, however long it waited and however large the fleet is: with the longest
-/// pause and the longest response, what discovery had when the call began is known within the time less its margin.
+/// Guards the time in which a change takes effect after a rejected call, however long the call waited and however large the
+/// fleet is: with the longest pause and the longest response, what discovery had when the call began is known within the
+/// deadline less its margin.
 #[tokio::test(start_paused = true)]
 async fn a_rejected_call_its_pause_and_a_response_stay_within_the_update_deadline() {
     for gateways in [1, 30, 100, 300, 790, 100_000] {
@@ -39,8 +40,8 @@
     }
 }
 
-/// Guards the time in which a change of the list takes effect after calls that hang, however many: a call, the pause and the slowest response that is
-/// waited for.
+/// Guards the time in which a change takes effect after calls that hang, however many: a call, the pause and the
+/// slowest response that is waited for.
 #[tokio::test(start_paused = true)]
 async fn a_call_that_times_out_its_pause_and_a_response_stay_within_the_update_deadline() {
     let mut deadline = Deadline::default();
@@ -62,7 +63,8 @@
     assert_eq!(deadline.response_timeout(), RESPONSE_TIMEOUT);
 }
 
-/// Guards the time in which a change of the list takes effect after a silent watch: with a response to the next call, and with a rejected one between.
+/// Guards the time in which a change takes effect after a silent watch: with a response to the next call, and
+/// with a rejected one between.
 #[tokio::test(start_paused = true)]
 async fn a_silent_watch_and_the_calls_after_it_stay_within_the_update_deadline() {
     let silent = Instant::now();
@@ -84,7 +86,7 @@
     );
 }
 
-/// Guards the time in which a change of the list takes effect after a new configuration, which is shorter.
+/// Guards the time in which a change takes effect after a new configuration: it is shorter.
 #[tokio::test(start_paused = true)]
 async fn a_rejected_call_after_a_change_of_address_is_retried_sooner() {
     let mut deadline = Deadline::default();
--- a/src/net/control/handover.rs
+++ b/src/net/control/handover.rs
@@ -181,8 +181,9 @@
         self.retry_at = now + WRITE_RETRY_DELAY;
     }
 
-    /// Drops the records of requests that ended over [`RETENTION`] ago. If this process still has too many, it drops those of
-    /// requests that have not run: without its record such a request may be granted its full time again, and nothing worse.
+    /// Drops the records of requests that ended over [`RETENTION`] ago. If this process still has too many, it drops those
+    /// of requests that have not run: without its record such a request may be granted its full time again, and nothing
+    /// worse.
     fn evict_expired(&mut self, now: Millis) {
         let matters = |record: &RequestRecord| record.deadline > now - RETENTION;
         self.previous.retain(|_, record| matters(record));
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings by their wire names: the one mapping for both programs.
 //!
-//! The simulator sends settings as `path=value` lines; the gateway flattens its JSON file to the same lines. [`parse()`] reads
-//! them. Unknown paths are ignored, and missing ones take the defaults of [`Settings::default`], [`Class::default`],
+//! The simulator sends settings as `path=value` lines; the gateway flattens its JSON file to the same lines. [`parse()`]
+//! reads them. Unknown paths are ignored, and missing ones take the defaults of [`Settings::default`], [`Class::default`],
 //! [`Plan::default`] and [`ConnectionSettings::default`].
 //!
 //! [`Class::default`]: crate::Class
