--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -12,6 +12,8 @@
 mod load;
 mod member;
 pub mod sim;
+#[cfg(test)]
+mod tests;
 mod times;
 mod view;
 
--- a/src/net/fleet/frame/tests.rs
+++ b/src/net/fleet/frame/tests.rs
@@ -135,3 +135,57 @@
         }
     }
 }
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Guards the bytes of a frame: front doors of two versions run side by side. The body begins after the checksum.
+#[test]
+fn a_frame_keeps_its_bytes_for_every_kind() {
+    let cases: [(FrameKind, &[u8], &str); 4] = [
+        (
+            FrameKind::Hello,
+            b"hello",
+            "43530001000100007e01834b0000000700000005d6582a1e68656c6c6f",
+        ),
+        (
+            FrameKind::Heartbeat,
+            b"",
+            "43530001000200007e01834b00000007000000002fa53200",
+        ),
+        (
+            FrameKind::Gossip,
+            &[0, 1, 254, 255],
+            "43530001001000007e01834b0000000700000004ac6103410001feff",
+        ),
+        (
+            FrameKind::Compare,
+            b"compare",
+            "43530001001100007e01834b00000007000000070421cfca636f6d70617265",
+        ),
+    ];
+    for (kind, body, expected) in cases {
+        let bytes = codec().encode(kind, body).expect("it fits");
+        assert_eq!(hex(&bytes), expected, "{kind:?}");
+        let frame = decoded(&bytes).expect("ours").expect("whole");
+        assert_eq!((frame.version, frame.kind), (1, Some(kind)));
+        assert_eq!(frame.body(), body);
+        assert_eq!(codec().decode_datagram(&bytes), Ok(frame));
+    }
+    let other = FrameCodec::new("symud", 0xdead_beef, 1000);
+    let bytes = other.encode_as(2, 999, b"?").expect("it fits");
+    assert_eq!(
+        hex(&bytes),
+        "4353000203e7000071be11d9deadbeef0000000133df86ac3f"
+    );
+}
+
+/// Guards the bodies of all lanes: a body is the value in postcard and nothing more, or the sender's bytes as they are.
+#[test]
+fn a_body_keeps_its_bytes() {
+    let body = encode_body(&("n1", 300u64, Some(-2i32), vec![1u8, 2]));
+    assert_eq!(hex(&body), "026e31ac020103020102");
+    let bytes = codec().encode(FrameKind::Compare, &body).expect("it fits");
+    assert_eq!(&bytes[HEADER_LENGTH..], &body[..]);
+}
--- a/src/net/fleet/transport/tests.rs
+++ b/src/net/fleet/transport/tests.rs
@@ -242,3 +242,75 @@
         assert!(ended.is_err() || rest.is_empty());
     });
 }
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Guards the bytes of a greeting: front doors of two versions greet each other.
+#[test]
+fn a_greeting_keeps_its_bytes_on_the_connection() {
+    let body = encode_body(&Hello {
+        name: "n1".to_owned(),
+        to: "n2".to_owned(),
+        life: 0x0123_4567_89ab_cdef,
+    });
+    assert_eq!(hex(&body), "026e31026e32ef9bafcdf8acd19101");
+    played(async {
+        let (here, at, _) = transport("a", &[]).await;
+        let mut stream = greet(at, here.codec, "n", "a").await;
+        let mut reply = [0; 29];
+        timeout(PATIENCE, stream.read_exact(&mut reply))
+            .await
+            .expect("an answer")
+            .expect("a whole one");
+        assert_eq!(
+            hex(&reply),
+            "4353000100010000151a27db0000000000000005e2637adc0161016e61"
+        );
+    });
+}
+
+/// Guards the bytes of each lane on a connection: the lane decides when a frame goes, and leaves no mark on it.
+#[test]
+fn a_frame_of_each_lane_keeps_its_bytes_on_the_connection() {
+    for lane in [Lane::Consensus, Lane::Replication, Lane::BestEffort] {
+        played(async move {
+            let (here, at, _) = transport("a", &[]).await;
+            let mut stream = greet(at, here.codec, "n", "a").await;
+            let mut reply = [0; 29];
+            timeout(PATIENCE, stream.read_exact(&mut reply))
+                .await
+                .expect("an answer")
+                .expect("a whole one");
+            let sent = here.send("n", None, lane, FrameKind::Compare, b"body");
+            assert_eq!(sent, Ok(()));
+            let mut frame = [0; 28];
+            // Heartbeats have no body and may come before.
+            loop {
+                let head = &mut frame[..24];
+                timeout(PATIENCE, stream.read_exact(head))
+                    .await
+                    .expect("a frame")
+                    .expect("a whole one");
+                if head[5] != 2 {
+                    break;
+                }
+                assert_eq!(
+                    hex(head),
+                    "4353000100020000151a27db0000000000000000d591a346"
+                );
+            }
+            let body = &mut frame[24..];
+            timeout(PATIENCE, stream.read_exact(body))
+                .await
+                .expect("a body")
+                .expect("a whole one");
+            assert_eq!(
+                hex(&frame),
+                "4353000100110000151a27db0000000000000004641051da626f6479",
+                "{lane:?}"
+            );
+        });
+    }
+}
