--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -113,3 +113,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/fleet/transport.rs
+++ b/src/net/fleet/transport.rs
@@ -4,7 +4,7 @@
 //! for four heartbeats: a peer that is silent, dribbles or does not read costs no more than its own connection and its outbox.
 
 mod connection;
-mod counters;
+pub(super) mod counters;
 mod dialer;
 mod handshake;
 mod listener;
