--- a/crates/membership/src/bin/cometspool-membership.rs
+++ b/crates/membership/src/bin/cometspool-membership.rs
@@ -1,14 +1,24 @@
-//! The figures of `docs/MEMBERSHIP.md`: `cometspool-membership [seeds] [sizes…]`.
+//! Measures simulated fleets for the figures of `docs/MEMBERSHIP.md`: `cometspool-membership [seeds] [sizes…]`.
 
-use cometspool_membership::sim::{Network, Sim};
-use cometspool_membership::{Change, Times};
+use cometspool_membership::simulation::{NetworkConditions, Simulation};
+use cometspool_membership::{Change, Millis, Timing};
+use std::collections::BTreeSet;
 use std::process::ExitCode;
 
-/// Time in which messages and false failures are counted, ms.
-const STEADY: f64 = 60_000.0;
-/// Longest that a fleet may take to know itself, or to miss one, ms.
-const LONGEST: f64 = 300_000.0;
-const COLUMNS: [&str; 8] = [
+/// Time in which datagrams and false failures are counted.
+const MEASURED_TIME: Millis = 60_000.0;
+/// Time after a start in which the fleet is let come to rest.
+const SETTLING_TIME: Millis = 30_000.0;
+/// Longest time that a fleet may take to converge.
+const MAX_CONVERGENCE_TIME: Millis = 300_000.0;
+const MILLIS_PER_SECOND: f64 = 1000.0;
+const MILLIS_PER_HOUR: f64 = 3_600_000.0;
+const DEFAULT_SEEDS: u64 = 5;
+const DEFAULT_SIZES: [usize; 4] = [10, 100, 300, 1000];
+/// Peers that each member is configured with.
+const CONFIGURED_PEERS: usize = 5;
+const COLUMN_COUNT: usize = 8;
+const COLUMNS: [&str; COLUMN_COUNT] = [
     "start_s",
     "msgs/s",
     "bytes/s",
@@ -19,104 +29,155 @@
     "false/h 30%",
 ];
 
+/// What the command line asks for.
+struct Arguments {
+    seeds: u64,
+    sizes: Vec<usize>,
+}
+
+impl Arguments {
+    /// Reads the words of the command line; `None` if one is not a number.
+    fn parse(words: impl Iterator<Item = String>) -> Option<Arguments> {
+        let numbers: Vec<u64> = words.map(|word| word.parse().ok()).collect::<Option<_>>()?;
+        let mut numbers = numbers.into_iter();
+        let seeds = numbers.next().unwrap_or(DEFAULT_SEEDS);
+        let mut sizes: Vec<usize> = numbers.map(|size| size as usize).collect();
+        if sizes.is_empty() {
+            sizes = DEFAULT_SIZES.to_vec();
+        }
+        Some(Arguments { seeds, sizes })
+    }
+}
+
 fn main() -> ExitCode {
-    let numbers: Option<Vec<u64>> = std::env::args()
-        .skip(1)
-        .map(|word| word.parse().ok())
-        .collect();
-    let Some(numbers) = numbers else {
+    let Some(arguments) = Arguments::parse(std::env::args().skip(1)) else {
         eprintln!("usage: cometspool-membership [seeds] [sizes…]");
         return ExitCode::from(2);
     };
-    let seeds = numbers.first().copied().unwrap_or(5);
-    let sizes = if numbers.len() > 1 {
-        numbers[1..].to_vec()
-    } else {
-        vec![10, 100, 300, 1000]
-    };
+    let seeds = arguments.seeds;
     println!("per member; false failures per member and hour, none counted twice; of {seeds} seeds: mean (least to most)");
     println!("| members | {} |", COLUMNS.join(" | "));
     println!("| --- |{}", " --- |".repeat(COLUMNS.len()));
-    for size in sizes {
-        // Each seed is a fleet of its own: one thread each.
-        let rows: Vec<[f64; 8]> = std::thread::scope(|scope| {
-            let plays: Vec<_> = (1..=seeds)
-                .map(|seed| scope.spawn(move || row(size as usize, seed)))
-                .collect();
-            plays
-                .into_iter()
-                .map(|play| play.join().unwrap_or([f64::NAN; 8]))
-                .collect()
-        });
-        let cells = (0..COLUMNS.len()).map(|i| {
-            let column = || rows.iter().map(move |row| row[i]);
-            let (least, most) = (
-                column().fold(f64::INFINITY, f64::min),
-                column().fold(0.0, f64::max),
-            );
-            format!(
-                "{:.2} ({least:.2} to {most:.2})",
-                column().sum::<f64>() / rows.len() as f64
-            )
-        });
-        println!("| {size} | {} |", cells.collect::<Vec<_>>().join(" | "));
+    for size in arguments.sizes {
+        let rows = measure_seeds(size, seeds);
+        let cells: Vec<String> = (0..COLUMN_COUNT)
+            .map(|column| format_cell(&rows, column))
+            .collect();
+        println!("| {size} | {} |", cells.join(" | "));
     }
     ExitCode::SUCCESS
 }
 
-fn row(size: usize, seed: u64) -> [f64; 8] {
-    let mut sim = Sim::new(size, 5, Times::of(size as u32), Network::default(), seed);
-    (0..size).for_each(|seat| sim.start(seat));
+/// A row for each seed, measured in a thread of its own.
+fn measure_seeds(size: usize, seeds: u64) -> Vec<[f64; COLUMN_COUNT]> {
+    std::thread::scope(|scope| {
+        let runs: Vec<_> = (1..=seeds)
+            .map(|seed| scope.spawn(move || measure(size, seed)))
+            .collect();
+        runs.into_iter()
+            .map(|run| run.join().unwrap_or([f64::NAN; COLUMN_COUNT]))
+            .collect()
+    })
+}
+
+/// The mean, the least and the most of a column.
+fn format_cell(rows: &[[f64; COLUMN_COUNT]], column: usize) -> String {
+    let values = || rows.iter().map(|row| row[column]);
+    let least = values().fold(f64::INFINITY, f64::min);
+    let most = values().fold(0.0, f64::max);
+    let mean = values().sum::<f64>() / rows.len() as f64;
+    format!("{mean:.2} ({least:.2} to {most:.2})")
+}
+
+/// Measures one fleet, in the order of [`COLUMNS`].
+fn measure(size: usize, seed: u64) -> [f64; COLUMN_COUNT] {
+    let timing = Timing::for_size(size as u32);
+    let network = NetworkConditions::default();
+    let mut simulation = Simulation::new(size, CONFIGURED_PEERS, timing, network, seed);
+    (0..size).for_each(|node| simulation.start(node));
     let all: Vec<usize> = (0..size).collect();
-    sim.run_while(LONGEST, |sim| !sim.agree(&all));
-    let start = sim.now / 1000.0;
-    // What a start set in motion is let come to rest.
-    sim.run_to(sim.now + 30_000.0);
-    let (begun, sent, compared) = (sim.now, sim.sent(), sim.compared_bytes);
-    sim.run_to(begun + STEADY);
-    let each = |count: u64| count as f64 / size as f64 / (STEADY / 1000.0);
-    let now = sim.sent();
-    let (messages, bytes) = (each(now.0 - sent.0), each(now.1 - sent.1));
-    let compared = each(sim.compared_bytes - compared);
-    let died = sim.now;
-    sim.kill(size / 2);
-    let rest: Vec<usize> = all
+    simulation.run_while(MAX_CONVERGENCE_TIME, |fleet| !fleet.has_converged(&all));
+    let start = simulation.now / MILLIS_PER_SECOND;
+    simulation.run_until(simulation.now + SETTLING_TIME);
+    let cost = measure_cost(&mut simulation, size);
+    let detection = measure_detection(&mut simulation, &all, size / 2);
+    [
+        start,
+        cost.datagrams,
+        cost.bytes,
+        cost.comparison_bytes,
+        detection.first,
+        detection.all,
+        false_failures(&mut simulation, 0.05),
+        false_failures(&mut simulation, 0.3),
+    ]
+}
+
+/// What a fleet at rest sends, per member and second.
+struct Cost {
+    datagrams: f64,
+    bytes: f64,
+    comparison_bytes: f64,
+}
+
+fn measure_cost(simulation: &mut Simulation, size: usize) -> Cost {
+    let before = simulation.traffic();
+    let comparisons_before = simulation.comparison_bytes;
+    simulation.run_until(simulation.now + MEASURED_TIME);
+    let after = simulation.traffic();
+    let per_member = |count: u64| count as f64 / size as f64 / (MEASURED_TIME / MILLIS_PER_SECOND);
+    Cost {
+        datagrams: per_member(after.datagrams - before.datagrams),
+        bytes: per_member(after.bytes - before.bytes),
+        comparison_bytes: per_member(simulation.comparison_bytes - comparisons_before),
+    }
+}
+
+/// When a death was known, in seconds after it.
+struct Detection {
+    /// To the first member.
+    first: f64,
+    /// To all.
+    all: f64,
+}
+
+fn measure_detection(simulation: &mut Simulation, nodes: &[usize], victim: usize) -> Detection {
+    let killed_at = simulation.now;
+    simulation.kill(victim);
+    let survivors: Vec<usize> = nodes
         .iter()
         .copied()
-        .filter(|seat| *seat != size / 2)
+        .filter(|node| *node != victim)
         .collect();
-    sim.run_while(died + LONGEST, |sim| !sim.agree(&rest));
-    let first = sim
-        .seen
+    simulation.run_while(killed_at + MAX_CONVERGENCE_TIME, |fleet| {
+        !fleet.has_converged(&survivors)
+    });
+    let first = simulation
+        .observed_changes
         .iter()
-        .find(|seen| seen.at >= died && matches!(seen.change, Change::Failed(_)));
-    let first = first.map_or(f64::NAN, |seen| (seen.at - died) / 1000.0);
-    let all_know = (sim.now - died) / 1000.0;
-    [
-        start,
-        messages,
-        bytes,
-        compared,
-        first,
-        all_know,
-        wrong(&mut sim, 0.05),
-        wrong(&mut sim, 0.3),
-    ]
+        .find(|observed| observed.at >= killed_at && matches!(observed.change, Change::Failed(_)));
+    Detection {
+        first: first.map_or(f64::NAN, |observed| {
+            (observed.at - killed_at) / MILLIS_PER_SECOND
+        }),
+        all: (simulation.now - killed_at) / MILLIS_PER_SECOND,
+    }
 }
 
-/// Members that run and were taken for dead, by whomever first, per member and hour at this loss.
-fn wrong(sim: &mut Sim, loss: f64) -> f64 {
-    sim.network.loss = loss;
-    let begun = sim.now;
-    sim.run_to(begun + STEADY);
-    let failures = sim
-        .seen
+/// Members that ran and were declared failed by anybody, per member and hour at this loss. A member counts once.
+fn false_failures(simulation: &mut Simulation, loss: f64) -> f64 {
+    simulation.network.loss = loss;
+    let start = simulation.now;
+    simulation.run_until(start + MEASURED_TIME);
+    let failed: BTreeSet<_> = simulation
+        .observed_changes
         .iter()
-        .filter(|seen| seen.at >= begun)
-        .filter_map(|seen| match &seen.change {
-            Change::Failed(member) => Some((member.name.clone(), member.number)),
+        .filter(|observed| observed.at >= start)
+        .filter_map(|observed| match &observed.change {
+            Change::Failed(member) => Some((member.name.clone(), member.generation)),
             _ => None,
-        });
-    let distinct: std::collections::BTreeSet<_> = failures.collect();
-    distinct.len() as f64 / sim.running().len() as f64 * (3_600_000.0 / STEADY)
+        })
+        .collect();
+    let active = simulation.active_nodes().len();
+    failed.len() as f64 / active as f64 * (MILLIS_PER_HOUR / MEASURED_TIME)
 }
--- a/crates/membership/src/effect.rs
+++ b/crates/membership/src/effect.rs
@@ -6,35 +6,35 @@
 /// A change of the view, or of this process's place in the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Somebody has come, or come back.
-    Up(Member),
-    /// Somebody goes by its own choice.
+    /// A member joined, or came back.
+    Joined(Member),
+    /// A member left by its own choice.
     Left(Member),
-    /// Somebody does not answer.
+    /// A member does not answer and did not refute the suspicion in time.
     Failed(Member),
-    /// Another process lives under the name of this one.
-    Twin(Member),
-    /// The other one started later, so the name is its own: this one takes part no more.
-    Displaced(Member),
+    /// Another process runs under the name of this one.
+    NameConflict(Member),
+    /// The other process started later and has the name now: this one takes part no more.
+    NameLost(Member),
 }
 
 /// Something for the caller to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// A datagram for a member.
-    Send {
-        /// For whom.
+    /// Send a datagram to a member. It may be lost.
+    SendDatagram {
+        /// The receiver.
         to: Member,
-        /// What.
+        /// The datagram, at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES) long.
         bytes: Bytes,
     },
-    /// A comparison of all that is known, by a way that carries more than a datagram.
-    Compare {
-        /// With whom.
-        with: Member,
-        /// What to send it first.
+    /// Send a message of a comparison to a member, on a connection: it may be longer than a datagram.
+    SendComparison {
+        /// The receiver.
+        to: Member,
+        /// The message.
         bytes: Vec<u8>,
     },
-    /// Something has changed.
+    /// Take note of a change.
     Changed(Change),
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,25 +1,33 @@
-//! Who of a fleet seems present.
+//! Membership of a fleet: which members seem present.
 //!
-//! [`Membership`] is SWIM with suspicion (the `foca` crate) without sockets, clocks or threads: what comes in and the time
-//! go into it, what is to be sent and what has changed come out. It is a hint: nothing that must not happen twice, or in
-//! sum, may hang on it. `docs/MEMBERSHIP.md` tells what it promises.
+//! [`Membership`] is SWIM with suspicion (the `foca` crate), Lifeguard's local health and anti-entropy, without sockets, clocks
+//! or threads: datagrams and the time go in; what is to be sent, and what has changed, come out. What it knows is a hint:
+//! nothing that must not happen twice, or that has to add up across members, may depend on it. `docs/MEMBERSHIP.md` states what
+//! it guarantees. [`simulation`] runs any number of members in one process.
 
 #![forbid(unsafe_code)]
 
-mod core;
 mod counters;
 mod effect;
 mod load;
+mod local_health;
 mod member;
-pub mod sim;
+mod membership;
+mod name;
+pub mod simulation;
 #[cfg(test)]
 mod tests;
-mod times;
+mod time_queue;
+mod timers;
+mod timing;
 mod view;
+mod wire;
 
-pub use self::core::Membership;
 pub use counters::Counters;
 pub use effect::{Change, Effect};
-pub use member::{Entry, Member, Standing, WireError, LONGEST_NAME, LONGEST_ZONE};
-pub use times::{Times, GREATEST_DATAGRAM};
-pub use view::View;
+pub use member::{Member, MemberState, MemberUpdate, MAX_NAME_BYTES, MAX_ZONE_BYTES};
+pub use membership::{ComparisonOutcome, Membership};
+pub use name::Name;
+pub use timing::{Millis, Timing, MAX_DATAGRAM_BYTES};
+pub use view::{FailedMember, View};
+pub use wire::WireError;
--- a/crates/membership/src/load.rs
+++ b/crates/membership/src/load.rs
@@ -1,69 +1,126 @@
-//! What members report of how busy they are. It changes too often to be part of who a member is.
+//! Members' reports of how busy they are. A load changes too often to be part of a member's identity, so reports travel on
+//! their own, behind the updates of a datagram.
 
-use crate::member::{Name, LONGEST_NAME, MAX_MEMBERS};
+use crate::member::{Member, MAX_MEMBERS, MAX_NAME_BYTES};
+use crate::name::Name;
+use crate::timing::Millis;
 use foca::{BroadcastHandler, Invalidates};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A member's report of its load.
+/// Load reports that all members together send in a second: each costs every member some ten times its 25 bytes, as it is sent
+/// on.
+const LOAD_REPORTS_PER_SECOND: f64 = 5.0;
+/// A load is reported at once if it has changed by this, in thousandths of the member's capacity.
+const LOAD_CHANGE: u16 = 100;
+/// Intervals between reports after which a load that has not changed is repeated, for members that joined since.
+const REPEAT_INTERVALS: f64 = 20.0;
+
+/// A member's report of its load. The order of the fields is the order on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LoadReport {
+    /// The member's name.
     pub name: Name,
-    pub number: u64,
-    /// Grows with each report.
+    /// The member's generation.
+    pub generation: u64,
+    /// Grows with each report of one generation.
     pub sequence: u32,
-    /// Parts of a thousand of what it can bear.
+    /// The load in thousandths of the member's capacity.
     pub load: u16,
 }
 
 impl LoadReport {
-    fn newer(&self, than: &LoadReport) -> bool {
-        (self.number, self.sequence) > (than.number, than.sequence)
+    fn is_newer_than(&self, other: &LoadReport) -> bool {
+        (self.generation, self.sequence) > (other.generation, other.sequence)
     }
 }
 
-/// By which a later report takes the place of an earlier one that is still being spread.
-pub(crate) struct Key(LoadReport);
+/// Makes a later report replace an earlier one of the same member that is still being spread.
+pub(crate) struct LoadReportKey(LoadReport);
 
-impl Invalidates for Key {
-    fn invalidates(&self, other: &Key) -> bool {
-        self.0.name == other.0.name && !other.0.newer(&self.0)
+impl Invalidates for LoadReportKey {
+    fn invalidates(&self, other: &LoadReportKey) -> bool {
+        self.0.name == other.0.name && !other.0.is_newer_than(&self.0)
     }
 }
 
-/// The last report of each. The protocol holds one handle and who asks for loads another.
+/// The last report of each member. The protocol library owns one handle, and [`Membership`](crate::Membership) reads another.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Loads(Rc<RefCell<BTreeMap<Name, LoadReport>>>);
+pub(crate) struct LoadTable(Rc<RefCell<BTreeMap<Name, LoadReport>>>);
 
-impl Loads {
-    /// What a member last reported.
-    pub(crate) fn of(&self, name: &str) -> Option<u16> {
+impl LoadTable {
+    /// The load that a member reported last, in thousandths of its capacity.
+    pub(crate) fn load_of(&self, name: &str) -> Option<u16> {
         self.0.borrow().get(name).map(|report| report.load)
     }
 }
 
-impl<T> BroadcastHandler<T> for Loads {
-    type Key = Key;
+impl<T> BroadcastHandler<T> for LoadTable {
+    type Key = LoadReportKey;
     type Error = postcard::Error;
 
     fn receive_item(
         &mut self,
         data: &[u8],
         _sender: Option<&T>,
-    ) -> Result<Option<Key>, postcard::Error> {
+    ) -> Result<Option<LoadReportKey>, postcard::Error> {
         let report: LoadReport = postcard::from_bytes(data)?;
         let mut reports = self.0.borrow_mut();
         let known = reports.get(&report.name);
         let has_capacity = known.is_some() || reports.len() < MAX_MEMBERS;
         if !has_capacity
-            || report.name.len() > LONGEST_NAME
-            || known.is_some_and(|known| !report.newer(known))
+            || report.name.len() > MAX_NAME_BYTES
+            || known.is_some_and(|known| !report.is_newer_than(known))
         {
             return Ok(None);
         }
         reports.insert(report.name.clone(), report.clone());
-        Ok(Some(Key(report)))
+        Ok(Some(LoadReportKey(report)))
+    }
+}
+
+/// When this process last reported its load, and what it reported.
+#[derive(Clone, Copy, Debug)]
+struct LastReport {
+    at: Millis,
+    load: u16,
+}
+
+/// Decides when this process reports its load.
+#[derive(Debug, Default)]
+pub(crate) struct LoadReporter {
+    sequence: u32,
+    last: Option<LastReport>,
+}
+
+impl LoadReporter {
+    /// The report to send now, if one is due. Every report goes to all members, so the time between two grows with their
+    /// number: all together send no more than [`LOAD_REPORTS_PER_SECOND`].
+    pub(crate) fn report(
+        &mut self,
+        now: Millis,
+        load: u16,
+        local: &Member,
+        members: usize,
+    ) -> Option<LoadReport> {
+        let interval = 1000.0 / LOAD_REPORTS_PER_SECOND * members as f64;
+        let due = self.last.is_none_or(|last| {
+            let elapsed = now - last.at;
+            let changed = load.abs_diff(last.load) >= LOAD_CHANGE;
+            elapsed >= interval * REPEAT_INTERVALS || elapsed >= interval && changed
+        });
+        if !due {
+            return None;
+        }
+        self.last = Some(LastReport { at: now, load });
+        self.sequence = self.sequence.wrapping_add(1);
+        Some(LoadReport {
+            name: local.name.clone(),
+            generation: local.generation,
+            sequence: self.sequence,
+            load,
+        })
     }
 }
--- a/crates/membership/src/tests.rs
+++ b/crates/membership/src/tests.rs
@@ -2,8 +2,8 @@
 //! bytes is a change of the protocol and never a side effect.
 
 use crate::load::LoadReport;
-use crate::member::{Entry, Member, Standing, Wire};
-use crate::{Effect, Membership, Times};
+use crate::wire::PostcardCodec;
+use crate::{Effect, Member, MemberState, MemberUpdate, Membership, Timing};
 use foca::{Codec, Header, Message};
 use std::fmt::Write;
 
@@ -21,19 +21,19 @@
         .collect()
 }
 
-fn member(name: &str, number: u64) -> Member {
+fn member(name: &str, generation: u64) -> Member {
     let address = match name {
         "v6" => "[2001:db8::7]:9100".parse(),
         _ => "10.0.0.4:9100".parse(),
     };
     Member {
-        number,
-        life: 0x0123_4567_89ab_cdef,
+        generation,
+        instance_id: 0x0123_4567_89ab_cdef,
         zone: "hall-a".to_owned(),
         version: 1,
-        keeper: number % 2 == 1,
-        leaving: number > 1000,
-        ..Member::unknown(name, address.expect("an address"))
+        may_hold_replicas: generation % 2 == 1,
+        leaving: generation > 1000,
+        ..Member::at_address(name, address.expect("an address"))
     }
 }
 
@@ -46,12 +46,12 @@
     }
 }
 
-/// `member("n1", 300)`: name, number, drawn number, address, zone, version, two flags.
+/// `member("n1", 300)`: name, generation, instance id, address, zone, version, two flags.
 const MEMBER_N1: &str = "026e31ac02ef9bafcdf8acd19101000a0000048c470668616c6c2d61010000";
 /// `member("n3", 1)`.
 const MEMBER_N3: &str = "026e3301ef9bafcdf8acd19101000a0000048c470668616c6c2d61010100";
 
-/// Guards the header of a datagram: the sender, its incarnation, the receiver's name and number, the message.
+/// Guards the header of a datagram: the sender, its incarnation, the receiver's name and generation, the message.
 #[test]
 fn a_datagram_header_keeps_its_bytes_for_every_message() {
     let n3 = member("n3", 1);
@@ -94,23 +94,26 @@
     ];
     for (message, kind) in cases {
         let mut bytes = Vec::new();
-        Wire.encode_header(&header(message.clone()), &mut bytes)
+        PostcardCodec
+            .encode_header(&header(message.clone()), &mut bytes)
             .expect("a vector has room");
         assert_eq!(
             hex(&bytes),
             format!("{MEMBER_N1}05026e3207{kind}"),
             "{message:?}"
         );
-        let read = Wire.decode_header(&bytes[..]).expect("its own bytes");
+        let read = PostcardCodec
+            .decode_header(&bytes[..])
+            .expect("its own bytes");
         assert_eq!(read.message, message);
         assert_eq!((read.src, read.src_incarnation), (member("n1", 300), 5));
         assert_eq!(read.dst, member("n2", 7));
     }
 }
 
-/// Guards the entry of a member: who it is, its incarnation, and its state, for every state, flag and kind of address.
+/// Guards the update on a member: its identity, its incarnation, and its state, for every state, flag and kind of address.
 #[test]
-fn a_member_entry_keeps_its_bytes_in_every_state() {
+fn a_member_update_keeps_its_bytes_in_every_state() {
     let cases = [
         (member("n1", 300), 5, foca::State::Alive, "026e31ac02ef9bafcdf8acd19101000a0000048c470668616c6c2d610100000500"),
         (member("n3", 1), 0, foca::State::Suspect, "026e3301ef9bafcdf8acd19101000a0000048c470668616c6c2d610101000001"),
@@ -119,31 +122,34 @@
     for (member, incarnation, state, expected) in cases {
         let mut bytes = Vec::new();
         let known = foca::Member::new(member.clone(), incarnation, state);
-        Wire.encode_member(&known, &mut bytes)
+        PostcardCodec
+            .encode_member(&known, &mut bytes)
             .expect("a vector has room");
         assert_eq!(hex(&bytes), expected, "{member:?}");
-        let entry = Entry {
+        let update = MemberUpdate {
             member: member.clone(),
             incarnation,
-            standing: Standing::from(state),
+            state: MemberState::from(state),
         };
         assert_eq!(
-            hex(&postcard::to_stdvec(&entry).expect("plain values")),
+            hex(&postcard::to_stdvec(&update).expect("plain values")),
             expected
         );
-        let read = Wire.decode_member(&bytes[..]).expect("its own bytes");
-        let expected = Entry::of(&known);
-        let read = Entry::of(&read);
+        let read = PostcardCodec
+            .decode_member(&bytes[..])
+            .expect("its own bytes");
+        let expected = MemberUpdate::from_foca(&known);
+        let read = MemberUpdate::from_foca(&read);
         assert_eq!(format!("{read:?}"), format!("{expected:?}"));
     }
 }
 
-/// Guards the report of a load, which travels behind the entries of a datagram.
+/// Guards the report of a load, which travels behind the updates of a datagram.
 #[test]
 fn a_load_report_keeps_its_bytes() {
     let report = LoadReport {
         name: "n1".into(),
-        number: 300,
+        generation: 300,
         sequence: 70_000,
         load: 999,
     };
@@ -156,44 +162,55 @@
 /// Guards the messages of a comparison, the digest's hash included: both sides compute it.
 #[test]
 fn a_comparison_keeps_its_bytes_from_the_digest_to_the_last_reply() {
-    let configured = vec![Member::unknown("n2", "10.0.0.5:9100".parse().expect("one"))];
-    let mut first = Membership::new(0.0, member("n1", 300), configured, Times::of(3), 3, 1);
+    let configured = vec![Member::at_address(
+        "n2",
+        "10.0.0.5:9100".parse().expect("one"),
+    )];
+    let mut first = Membership::new(
+        0.0,
+        member("n1", 300),
+        configured,
+        Timing::for_size(3),
+        3,
+        1,
+    );
     let effects = first.tick(0.0);
     let digest = effects.iter().find_map(|effect| match effect {
-        Effect::Compare { bytes, .. } => Some(bytes.clone()),
+        Effect::SendComparison { bytes, .. } => Some(bytes.clone()),
         _ => None,
     });
     let digest = digest.expect("it looks for the configured member at once");
     assert_eq!(hex(&digest), "00e5b79af699f58b8a9c01");
 
-    let mut second = Membership::new(0.0, member("n3", 1), Vec::new(), Times::of(3), 3, 2);
-    let (_, reply) = second.compare(1.0, &digest);
+    let mut second = Membership::new(0.0, member("n3", 1), Vec::new(), Timing::for_size(3), 3, 2);
+    let reply = second.handle_comparison(1.0, &digest).reply;
     let reply = reply.expect("another digest is answered with all that is known");
     assert_eq!(hex(&reply), format!("0101{MEMBER_N3}000001"));
 
-    let (_, last) = first.compare(2.0, &reply);
+    let last = first.handle_comparison(2.0, &reply).reply;
     let last = last.expect("the other side wants this one's part");
     assert_eq!(hex(&last), format!("0102{MEMBER_N3}0000{MEMBER_N1}000000"));
-    let (_, none) = second.compare(3.0, &last);
-    assert_eq!(none, None);
+    let outcome = second.handle_comparison(3.0, &last);
+    assert_eq!(outcome.reply, None);
     // Both know the same now: a digest is answered with nothing.
-    let (_, none) = second.compare(4.0, &unhex("00a9c1a5dde5e8e6dc49"));
-    assert_eq!(none, None);
+    let outcome = second.handle_comparison(4.0, &unhex("00a9c1a5dde5e8e6dc49"));
+    assert_eq!(outcome.reply, None);
 }
 
-/// Guards a whole datagram as a peer of another version reads it: header, number of entries, entries, load report.
+/// Guards a whole datagram as a peer of another version reads it: header, number of updates, updates, load report.
 #[test]
 fn a_whole_datagram_keeps_its_bytes() {
     let mut bytes = Vec::new();
-    Wire.encode_header(&header(Message::Announce), &mut bytes)
+    PostcardCodec
+        .encode_header(&header(Message::Announce), &mut bytes)
         .expect("a vector has room");
-    let mut other = Membership::new(0.0, member("n2", 7), Vec::new(), Times::of(3), 3, 2);
+    let mut other = Membership::new(0.0, member("n2", 7), Vec::new(), Timing::for_size(3), 3, 2);
     other.report_load(0.0, 250);
     let sent: Vec<String> = other
-        .receive(1.0, &bytes)
+        .handle_datagram(1.0, &bytes)
         .iter()
         .filter_map(|effect| match effect {
-            Effect::Send { bytes, .. } => Some(hex(bytes)),
+            Effect::SendDatagram { bytes, .. } => Some(hex(bytes)),
             _ => None,
         })
         .collect();
--- a/src/net/control/fleet_section.rs
+++ b/src/net/control/fleet_section.rs
@@ -1,6 +1,6 @@
 //! The `fleet` section of the configuration: as it is written, and as it is once checked. Without it the fleet layer is off.
 
-use cometspool_membership::{LONGEST_NAME, LONGEST_ZONE};
+use cometspool_membership::{MAX_NAME_BYTES, MAX_ZONE_BYTES};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -182,11 +182,11 @@
 
 impl Raw {
     fn check(self, own: &str) -> Result<FleetSection, SectionError> {
-        check_length("name", &self.name, LONGEST_NAME)?;
-        check_length("zone", &self.zone, LONGEST_ZONE)?;
-        if self.name.is_empty() || own.is_empty() || own.len() > LONGEST_NAME {
+        check_length("name", &self.name, MAX_NAME_BYTES)?;
+        check_length("zone", &self.zone, MAX_ZONE_BYTES)?;
+        if self.name.is_empty() || own.is_empty() || own.len() > MAX_NAME_BYTES {
             let fault =
-                format!("the fleet and its front doors need names of 1 to {LONGEST_NAME} bytes");
+                format!("the fleet and its front doors need names of 1 to {MAX_NAME_BYTES} bytes");
             return Err(SectionError::value("name", fault));
         }
         let listen = parse_address("listen", &self.listen)?;
@@ -225,7 +225,7 @@
         if peer.name.is_empty() {
             return Err(SectionError::value(&name_key, "it is empty".to_owned()));
         }
-        check_length(&name_key, &peer.name, LONGEST_NAME)?;
+        check_length(&name_key, &peer.name, MAX_NAME_BYTES)?;
         let address = parse_address(&format!("peers[{index}].dial"), &peer.dial)?;
         if peer.name == own {
             continue;
--- a/src/net/fleet/membership.rs
+++ b/src/net/fleet/membership.rs
@@ -5,7 +5,7 @@
 use super::transport::Transport;
 use crate::net::control::fleet_section::FleetSection;
 use crate::net::runtime::clock::Clock;
-use cometspool_membership::{Change, Effect, Member, Membership, Times};
+use cometspool_membership::{Change, Effect, Member, Membership, Timing};
 use serde_json::json;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -58,19 +58,20 @@
         } = start;
         let own = Member {
             // Later than any before under this name, if the clock is right; if not, the others tell.
-            number: clock.now().max(1.0) as u64,
-            life,
+            generation: clock.now().max(1.0) as u64,
+            instance_id: life,
             zone: section.zone.clone(),
             version: super::frame::VERSION,
-            ..Member::unknown(&section.own, section.advertise)
+            ..Member::at_address(&section.own, section.advertise)
         };
         let peers = section
             .peers
             .iter()
-            .map(|(name, dial)| Member::unknown(name, *dial))
+            .map(|(name, dial)| Member::at_address(name, *dial))
             .collect();
         let size = configured_size.max(section.peers.len() as u32 + 1);
-        let membership = Membership::new(clock.now(), own, peers, Times::of(size), size, seed);
+        let membership =
+            Membership::new(clock.now(), own, peers, Timing::for_size(size), size, seed);
         Rc::new(MembershipService {
             membership: RefCell::new(membership),
             socket,
@@ -86,7 +87,7 @@
     pub(super) async fn run(self: Rc<Self>) {
         let mut buffer = vec![0; LONGEST_DATAGRAM];
         loop {
-            let next = self.membership.borrow().next();
+            let next = self.membership.borrow().next_deadline();
             let due = async {
                 match next {
                     Some(at) => tokio::time::sleep_until(self.clock.instant(at)).await,
@@ -119,7 +120,7 @@
                 let effects = self
                     .membership
                     .borrow_mut()
-                    .receive(self.clock.now(), frame.body());
+                    .handle_datagram(self.clock.now(), frame.body());
                 self.apply(effects);
             }
             Ok(_) => self.transport.counters.borrow_mut().unknown += 1,
@@ -129,13 +130,13 @@
 
     /// Takes in a peer's part of a comparison.
     pub(super) fn receive_comparison(&self, from: &str, bytes: &[u8]) {
-        let (effects, reply) = self
+        let outcome = self
             .membership
             .borrow_mut()
-            .compare(self.clock.now(), bytes);
-        self.apply(effects);
+            .handle_comparison(self.clock.now(), bytes);
+        self.apply(outcome.effects);
         self.changed.notify_one();
-        if let Some(reply) = reply {
+        if let Some(reply) = outcome.reply {
             let at = self
                 .membership
                 .borrow()
@@ -153,7 +154,7 @@
     fn apply(&self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Send { to, bytes } => {
+                Effect::SendDatagram { to, bytes } => {
                     let at = self
                         .transport
                         .address(&to.name, Some(to.address))
@@ -168,11 +169,11 @@
                             .record_rejected(FrameError::Size(bytes.len() as u32)),
                     }
                 }
-                Effect::Compare { with, bytes } => {
+                Effect::SendComparison { to, bytes } => {
                     // A full lane is counted by the transport, and the next comparison comes anyhow.
                     let _ = self.transport.send(
-                        &with.name,
-                        Some(with.address),
+                        &to.name,
+                        Some(to.address),
                         Lane::BestEffort,
                         FrameKind::Compare,
                         &bytes,
@@ -191,14 +192,17 @@
 
     fn log_change(&self, change: &Change) {
         let (what, member) = match change {
-            Change::Up(member) => ("up", member),
+            Change::Joined(member) => ("up", member),
             Change::Left(member) => ("left", member),
             Change::Failed(member) => ("failed", member),
-            Change::Twin(member) => ("twin", member),
-            Change::Displaced(member) => ("displaced", member),
+            Change::NameConflict(member) => ("twin", member),
+            Change::NameLost(member) => ("displaced", member),
         };
         let Member {
-            name, number, zone, ..
+            name,
+            generation: number,
+            zone,
+            ..
         } = member;
         let (own, member, zone) = (self.own.as_str(), &**name, &**zone);
         tracing::info!(
@@ -233,8 +237,8 @@
             "loads": view.present.keys().filter_map(|name| Some((name.to_string(), membership.load_of(name)?)))
                 .collect::<BTreeMap<_, _>>(),
             "failed": view.failed.keys().map(|name| &**name).collect::<Vec<_>>(),
-            "revision": view.revision, "reachable": view.reachable(), "doubt": membership.self_doubt(),
-            "gone": membership.gone(), "number": membership.own().number, "counts": membership.counters(),
+            "revision": view.revision, "reachable": view.reachable_fraction(), "doubt": membership.health_score(),
+            "gone": membership.is_defunct(), "number": membership.local_member().generation, "counts": membership.counters(),
         })
     }
 }
--- a/src/net/fleet/transport.rs
+++ b/src/net/fleet/transport.rs
@@ -13,7 +13,7 @@
 use super::frame::{Frame, FrameCodec, FrameKind};
 use super::outbox::{Full, Lane, Outbox};
 use crate::net::control::fleet_section::FleetSection;
-use cometspool_membership::LONGEST_NAME;
+use cometspool_membership::MAX_NAME_BYTES;
 use counters::Counters;
 use peer::Peer;
 use std::cell::{Cell, RefCell};
@@ -140,7 +140,7 @@
         if let Some(peer) = peers.get(name) {
             return Some(peer.clone());
         }
-        if peers.len() >= MAX_PEERS || name.is_empty() || name.len() > LONGEST_NAME {
+        if peers.len() >= MAX_PEERS || name.is_empty() || name.len() > MAX_NAME_BYTES {
             return None;
         }
         let name: Rc<str> = name.into();
