--- a/src/net/control/fleet_section.rs
+++ b/src/net/control/fleet_section.rs
@@ -268,3 +268,6 @@
     }
     Ok(value)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/net/control/fleet_section/tests.rs
@@ -0,0 +1,121 @@
+//! Unit tests of `fleet_section.rs`.
+
+use super::*;
+use serde_json::json;
+
+/// Guards what an operator reads: one line that names the key and the fault.
+#[test]
+fn an_invalid_section_is_reported_with_its_key() {
+    let long = "n".repeat(65);
+    let cases = [
+        (
+            json!(5),
+            "fleet: invalid type: integer `5`, expected struct Raw",
+        ),
+        (
+            json!({"name": "f", "listen": "127.0.0.1:9"}),
+            "fleet: missing field `peers`",
+        ),
+        (
+            section("peers", json!([3])),
+            "fleet: invalid type: integer `3`, expected struct Peer",
+        ),
+        (
+            section("peers", json!([{"name": "a"}])),
+            "fleet: missing field `dial`",
+        ),
+        (
+            section("pace", json!(3)),
+            "fleet: invalid type: integer `3`, expected struct Pace",
+        ),
+        (
+            section("lnks", json!(3)),
+            "fleet: unknown field `lnks`, expected one of `name`, `generation`, `listen`, `advertise`, `peers`, \
+             `zone`, `membership`, `pace`, `links`, `accepted`, `frame_bytes`, `queue_bytes`, `hello_ms`, `beat_ms`, \
+             `keep_ms`, `tell_ms`",
+        ),
+        (
+            section("name", json!("")),
+            "fleet.name: the fleet and its front doors need names of 1 to 64 bytes",
+        ),
+        (
+            section("name", json!(long)),
+            "fleet.name: 65 bytes where 64 are the most",
+        ),
+        (
+            section("zone", json!(long)),
+            "fleet.zone: 65 bytes where 32 are the most",
+        ),
+        (
+            section("listen", json!("127.0.0.1:0")),
+            "fleet.listen: \"127.0.0.1:0\" is not an address with a port",
+        ),
+        (
+            section("advertise", json!("x")),
+            "fleet.advertise: \"x\" is not an address with a port",
+        ),
+        (
+            section("peers", json!([{"name": "", "dial": "127.0.0.1:1"}])),
+            "fleet.peers[0].name: it is empty",
+        ),
+        (
+            section("peers", json!([{"name": "a", "dial": "x"}])),
+            "fleet.peers[0].dial: \"x\" is not an address with a port",
+        ),
+        (
+            section(
+                "peers",
+                json!([{"name": "a", "dial": "127.0.0.1:1"}, {"name": "a", "dial": "127.0.0.1:2"}]),
+            ),
+            "fleet.peers[1].name: \"a\" stands here with two addresses",
+        ),
+        (
+            section("links", json!(0)),
+            "fleet.links: 0 is not between 1 and 4096",
+        ),
+        (
+            section("accepted", json!(4097)),
+            "fleet.accepted: 4097 is not between 1 and 4096",
+        ),
+        (
+            section("frame_bytes", json!(4095)),
+            "fleet.frame_bytes: 4095 is not between 4096 and 16777216",
+        ),
+        (
+            section("queue_bytes", json!(67_108_865)),
+            "fleet.queue_bytes: 67108865 is not between 4096 and 67108864",
+        ),
+        (
+            section("hello_ms", json!(9)),
+            "fleet.hello_ms: 9 is not between 10 and 60000",
+        ),
+        (
+            section("beat_ms", json!(60_001)),
+            "fleet.beat_ms: 60001 is not between 10 and 60000",
+        ),
+        (
+            section("keep_ms", json!(99)),
+            "fleet.keep_ms: 99 is not between 100 and 3600000",
+        ),
+        (
+            section("tell_ms", json!(49)),
+            "fleet.tell_ms: 49 is not between 50 and 3600000",
+        ),
+    ];
+    for (value, expected) in cases {
+        let error = FleetSection::parse(&value, "n0").expect_err(expected);
+        assert_eq!(error.to_string(), expected);
+    }
+    let error = FleetSection::parse(&section("zone", json!("z")), "").expect_err("no name");
+    assert_eq!(
+        error.to_string(),
+        "fleet.name: the fleet and its front doors need names of 1 to 64 bytes"
+    );
+}
+
+/// A valid section with one key changed.
+fn section(key: &str, value: Value) -> Value {
+    let mut section = json!({"name": "f", "listen": "127.0.0.1:9", "peers": []});
+    section[key] = value;
+    section
+}
