--- a/src/net/control/config.rs
+++ b/src/net/control/config.rs
@@ -151,7 +151,7 @@
     pub(crate) fn sockets(&self) -> usize {
         self.limits
             .sockets
-            .saturating_sub(self.fleet.as_ref().map_or(0, FleetSection::descriptors))
+            .saturating_sub(self.fleet.as_ref().map_or(0, FleetSection::max_descriptors))
     }
 
     /// Where discovery answers from now on, by a file that was replaced while the program runs. The file goes
@@ -182,18 +182,7 @@
             return Ok(None);
         };
         let section = FleetSection::parse(value, own)?;
-        let sockets = self.limits.sockets;
-        if sockets < section.descriptors() + LEAST_SOCKETS {
-            let FleetSection {
-                accepted, links, ..
-            } = section;
-            return Err(SectionError::Descriptors {
-                accepted,
-                links,
-                sockets,
-            }
-            .into());
-        }
+        section.check_descriptors(self.limits.sockets, LEAST_SOCKETS)?;
         Ok(Some(section))
     }
 
--- a/src/net/control/fleet_section/tests.rs
+++ b/src/net/control/fleet_section/tests.rs
@@ -12,6 +12,10 @@
             json!(5),
             "fleet: invalid type: integer `5`, expected struct Raw",
         ),
+        (
+            json!([]),
+            "fleet: invalid length 0, expected struct Raw with 16 elements",
+        ),
         (
             json!({"name": "f", "listen": "127.0.0.1:9"}),
             "fleet: missing field `peers`",
@@ -119,3 +123,46 @@
     section[key] = value;
     section
 }
+
+/// Guards the defaults, and what each key sets.
+#[test]
+fn every_key_sets_its_value_and_has_its_default() {
+    let defaults = FleetSection::parse(&section("zone", json!("")), "n0").expect("it is valid");
+    assert_eq!(defaults.advertise, defaults.listen);
+    assert_eq!(defaults.epoch, 0);
+    assert!(defaults.membership_enabled && defaults.peers.is_empty());
+    assert!(!defaults.pace.discovery && !defaults.pace.dials && !defaults.pace.trials);
+    assert_eq!((defaults.max_outbound, defaults.max_inbound), (12, 64));
+    assert_eq!(defaults.max_body_bytes, 262_144);
+    assert_eq!(defaults.max_queue_bytes, 1_048_576);
+    assert_eq!(defaults.handshake_timeout, Duration::from_millis(1000));
+    assert_eq!(defaults.heartbeat_interval, Duration::from_millis(1000));
+    assert_eq!(defaults.idle_timeout, Duration::from_millis(60_000));
+    assert_eq!(defaults.report_interval, Duration::from_millis(10_000));
+    let value = json!({
+        "name": "f", "generation": 2, "listen": "127.0.0.1:9", "advertise": "127.0.0.1:10",
+        "peers": [{"name": "n0", "dial": "127.0.0.1:1"}, {"name": "n1", "dial": "127.0.0.1:2"}],
+        "zone": "z", "membership": false, "pace": {"discovery": true, "dials": true, "trials": true},
+        "links": 3, "accepted": 4, "frame_bytes": 5000, "queue_bytes": 6000, "hello_ms": 70, "beat_ms": 80,
+        "keep_ms": 900, "tell_ms": 1000,
+    });
+    let section = FleetSection::parse(&value, "n0").expect("it is valid");
+    let address = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
+    assert_eq!(section.local_name, "n0");
+    assert_eq!(section.fleet_name, "f");
+    assert_eq!(section.epoch, 2);
+    assert_eq!(section.listen, address(9));
+    assert_eq!(section.advertise, address(10));
+    assert_eq!(section.peers, [("n1".to_owned(), address(2))].into());
+    assert_eq!(section.zone, "z");
+    assert!(!section.membership_enabled);
+    assert!(section.pace.discovery && section.pace.dials && section.pace.trials);
+    assert_eq!((section.max_outbound, section.max_inbound), (3, 4));
+    assert_eq!(section.max_descriptors(), 10);
+    assert_eq!(section.max_body_bytes, 5000);
+    assert_eq!(section.max_queue_bytes, 6000);
+    assert_eq!(section.handshake_timeout, Duration::from_millis(70));
+    assert_eq!(section.heartbeat_interval, Duration::from_millis(80));
+    assert_eq!(section.idle_timeout, Duration::from_millis(900));
+    assert_eq!(section.report_interval, Duration::from_millis(1000));
+}
--- a/src/net/fleet/frame/tests.rs
+++ b/src/net/fleet/frame/tests.rs
@@ -11,15 +11,15 @@
 fn decoded(bytes: &[u8]) -> Result<Option<Frame>, FrameError> {
     codec()
         .decode(&mut BytesMut::from(bytes))
-        .map_err(|broken| match broken {
-            ConnectionError::Frame(foreign) => foreign,
+        .map_err(|error| match error {
+            ConnectionError::Frame(error) => error,
             ConnectionError::Io(error) => panic!("{error}"),
         })
 }
 
-/// Guards the order of the checks: each is made on the header alone, before a body is there.
+/// Guards the order of the checks: each is made on the header alone, before the body is received.
 #[test]
-fn what_is_not_ours_is_refused_by_its_header_alone() {
+fn foreign_frames_are_rejected_by_their_header_alone() {
     let other = |codec: FrameCodec, body: usize| {
         codec
             .encode(FrameKind::Compare, &vec![0; body])
@@ -42,11 +42,11 @@
         ),
         (
             other(FrameCodec::new("fleet", 6, 1000), 9),
-            FrameError::Generation(6),
+            FrameError::Epoch(6),
         ),
         (
             other(FrameCodec::new("fleet", 7, 2000), 1001),
-            FrameError::Size(1001),
+            FrameError::TooLong(1001),
         ),
     ];
     for (bytes, expected) in cases {
@@ -59,7 +59,7 @@
     assert_eq!(
         decoded(&damaged)
             .expect("a frame")
-            .expect("a whole one")
+            .expect("a complete one")
             .body(),
         b"body"
     );
@@ -68,63 +68,73 @@
     assert_eq!(codec().encode(FrameKind::Heartbeat, &[0; 1001]), None);
 }
 
-/// Guards two versions side by side, by the rule that the module's page states.
+/// Guards two versions side by side, by the rule that the module's documentation states.
 #[test]
-fn frames_of_the_next_version_and_of_the_one_before_pass() {
+fn frames_of_the_next_and_the_previous_version_are_decoded() {
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
-    struct Before(String, u32);
+    struct Previous(String, u32);
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
-    struct Now(String, u32, Option<String>, u64);
+    struct Current(String, u32, Option<String>, u64);
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
     struct Next(String, u32, Option<String>, u64, Vec<u8>);
-    let passed = |version: u16, body: Vec<u8>| {
+    let decode = |version: u16, body: Vec<u8>| {
         let bytes = codec().encode_as(version, 1, &body).expect("it fits");
         decoded(&bytes)
-            .expect("ours")
-            .expect("whole")
-            .decode_body::<Now>()
+            .expect("a frame of this fleet")
+            .expect("a complete frame")
+            .decode_body::<Current>()
+    };
+    let current = |text: Option<&str>, number| {
+        Some(Current("a".into(), 300, text.map(str::to_owned), number))
     };
-    let now =
-        |text: Option<&str>, number| Some(Now("a".into(), 300, text.map(str::to_owned), number));
     assert_eq!(
-        passed(
+        decode(
             VERSION,
-            encode_body(&Now("a".into(), 300, Some("b".into()), 5))
+            encode_body(&Current("a".into(), 300, Some("b".into()), 5))
         ),
-        now(Some("b"), 5)
+        current(Some("b"), 5)
     );
     assert_eq!(
-        passed(VERSION - 1, encode_body(&Before("a".into(), 300))),
-        now(None, 0)
+        decode(VERSION - 1, encode_body(&Previous("a".into(), 300))),
+        current(None, 0)
     );
     assert_eq!(
-        passed(
+        decode(
             VERSION + 1,
             encode_body(&Next("a".into(), 300, Some("b".into()), 5, vec![9; 70]))
         ),
-        now(Some("b"), 5)
+        current(Some("b"), 5)
     );
-    // Within a version nothing may be over or missing.
+    // Within a version no field may be missing or left over.
     assert_eq!(
-        passed(
+        decode(
             VERSION,
             encode_body(&Next("a".into(), 300, None, 5, vec![9; 70]))
         ),
         None
     );
-    assert_eq!(passed(VERSION, encode_body(&Before("a".into(), 300))), None);
+    assert_eq!(
+        decode(VERSION, encode_body(&Previous("a".into(), 300))),
+        None
+    );
     let unknown = codec().encode_as(VERSION + 1, 999, b"?").expect("it fits");
-    assert_eq!(decoded(&unknown).expect("ours").expect("whole").kind, None);
+    assert_eq!(
+        decoded(&unknown)
+            .expect("a frame of this fleet")
+            .expect("a complete frame")
+            .kind,
+        None
+    );
 }
 
 proptest! {
-    /// Guards against whatever comes from outside, in pieces of any size.
+    /// Guards against arbitrary bytes, in pieces of any size.
     #[test]
-    fn arbitrary_bytes_end_in_a_frame_or_a_reason(bytes in prop::collection::vec(any::<u8>(), 0..200), good in any::<bool>()) {
+    fn arbitrary_bytes_decode_to_a_frame_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..200), valid in any::<bool>()) {
         let mut stream = BytesMut::new();
-        if good {
+        if valid {
             stream.extend_from_slice(&codec().encode(FrameKind::Heartbeat, &bytes).expect("it fits"));
-            let frame = codec().decode(&mut stream).expect("ours").expect("whole");
+            let frame = codec().decode(&mut stream).expect("a frame of this fleet").expect("a complete frame");
             prop_assert_eq!(frame.body(), &bytes[..]);
         } else {
             stream.extend_from_slice(&bytes);
@@ -168,7 +178,9 @@
     for (kind, body, expected) in cases {
         let bytes = codec().encode(kind, body).expect("it fits");
         assert_eq!(hex(&bytes), expected, "{kind:?}");
-        let frame = decoded(&bytes).expect("ours").expect("whole");
+        let frame = decoded(&bytes)
+            .expect("a frame of this fleet")
+            .expect("a complete frame");
         assert_eq!((frame.version, frame.kind), (1, Some(kind)));
         assert_eq!(frame.body(), body);
         assert_eq!(codec().decode_datagram(&bytes), Ok(frame));
--- a/src/net/fleet/membership.rs
+++ b/src/net/fleet/membership.rs
@@ -1,4 +1,4 @@
-//! Membership on sockets: datagrams, comparisons over the transport, and its timers.
+//! Drives [`Membership`] with sockets and timers: datagrams over UDP, comparisons over the transport.
 
 use super::frame::{FrameError, FrameKind};
 use super::outbox::Lane;
@@ -6,239 +6,252 @@
 use crate::net::control::fleet_section::FleetSection;
 use crate::net::runtime::clock::Clock;
 use cometspool_membership::{Change, Effect, Member, Membership, Timing};
-use serde_json::json;
+use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
+use std::io;
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
-/// Datagrams read before timers get their turn.
+/// Datagrams that are read before the timers get their turn.
 const MAX_BATCH: usize = 64;
-/// Longest datagram that is read; a longer one is no frame.
-const LONGEST_DATAGRAM: usize = 2048;
+/// Longest datagram that is read, bytes; a longer one is not a frame.
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// What is new with each start.
+/// What is new with each start of the process.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Start {
-    /// Front doors by the settings.
+pub(super) struct ProcessStart {
+    /// Front doors of the fleet by the settings.
     pub configured_size: u32,
-    /// Drawn: tells this process from all others under its name.
-    pub life: u64,
-    /// For chance.
+    /// Drawn at random: tells this process from all others under its name.
+    pub instance_id: u64,
+    /// The seed of membership's random draws.
     pub seed: u64,
 }
 
-/// Who seems present, as far as sockets tell.
+/// The membership of this front door, and the socket that it runs on.
 pub(super) struct MembershipService {
     membership: RefCell<Membership>,
     socket: UdpSocket,
     transport: Rc<Transport>,
     clock: Clock,
-    own: String,
-    changed: Notify,
-    /// Called with how many front doors the fleet seems to have.
-    on_size: Box<dyn Fn(u32)>,
+    local_name: String,
+    /// Notified when a timer may be due earlier than before.
+    rescheduled: Notify,
+    /// Called with the number of front doors that are present or failed of late.
+    on_fleet_size: Box<dyn Fn(u32)>,
 }
 
 impl MembershipService {
-    /// Begins to look for the others.
+    /// The service of a process that has just started. Nothing is sent before [`MembershipService::run`].
     pub(super) fn new(
         section: &FleetSection,
         socket: UdpSocket,
         transport: Rc<Transport>,
         clock: Clock,
-        start: Start,
-        on_size: Box<dyn Fn(u32)>,
+        start: ProcessStart,
+        on_fleet_size: Box<dyn Fn(u32)>,
     ) -> Rc<MembershipService> {
-        let Start {
-            configured_size,
-            life,
-            seed,
-        } = start;
-        let own = Member {
-            // Later than any before under this name, if the clock is right; if not, the others tell.
+        let local = Member {
+            // If the clock is right, this is higher than that of any earlier process under this name; if not, the others
+            // report the earlier one's.
             generation: clock.now().max(1.0) as u64,
-            instance_id: life,
+            instance_id: start.instance_id,
             zone: section.zone.clone(),
             version: super::frame::VERSION,
-            ..Member::at_address(&section.own, section.advertise)
+            ..Member::at_address(&section.local_name, section.advertise)
         };
         let peers = section
             .peers
             .iter()
-            .map(|(name, dial)| Member::at_address(name, *dial))
+            .map(|(name, address)| Member::at_address(name, *address))
             .collect();
-        let size = configured_size.max(section.peers.len() as u32 + 1);
-        let membership =
-            Membership::new(clock.now(), own, peers, Timing::for_size(size), size, seed);
+        let size = start.configured_size.max(section.peers.len() as u32 + 1);
+        let timing = Timing::for_size(size);
+        let membership = Membership::new(clock.now(), local, peers, timing, size, start.seed);
         Rc::new(MembershipService {
             membership: RefCell::new(membership),
             socket,
             transport,
             clock,
-            own: section.own.clone(),
-            changed: Notify::new(),
-            on_size,
+            local_name: section.local_name.clone(),
+            rescheduled: Notify::new(),
+            on_fleet_size,
         })
     }
 
     /// Reads datagrams and fires timers for as long as the front door runs.
     pub(super) async fn run(self: Rc<Self>) {
-        let mut buffer = vec![0; LONGEST_DATAGRAM];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            let next = self.membership.borrow().next_deadline();
-            let due = async {
-                match next {
-                    Some(at) => tokio::time::sleep_until(self.clock.instant(at)).await,
-                    None => std::future::pending().await,
-                }
-            };
             tokio::select! {
                 biased;
-                // An error is the echo of a datagram that found nobody.
+                // An error is the echo of a datagram that reached nobody.
                 _ = self.socket.readable() => {}
-                () = due => {}
-                () = self.changed.notified() => {}
-            }
-            // What came while the process was kept from running is heard before timers judge anybody.
-            for _ in 0..MAX_BATCH {
-                match self.socket.try_recv_from(&mut buffer) {
-                    Ok((length, _)) => self.receive_datagram(&buffer[..length]),
-                    Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => break,
-                    Err(_) => {}
-                }
+                () = self.next_deadline() => {}
+                () = self.rescheduled.notified() => {}
             }
+            // What arrived while the process was kept from running is handled before timers judge other members.
+            self.receive_batch(&mut buffer);
             let effects = self.membership.borrow_mut().tick(self.clock.now());
             self.apply(effects);
         }
     }
 
+    /// Handles a peer's message of a comparison, and replies if that is asked for.
+    pub(super) fn receive_comparison(&self, from: &str, bytes: &[u8]) {
+        let now = self.clock.now();
+        let outcome = self.membership.borrow_mut().handle_comparison(now, bytes);
+        self.apply(outcome.effects);
+        self.rescheduled.notify_one();
+        let Some(reply) = outcome.reply else {
+            return;
+        };
+        let address = self
+            .membership
+            .borrow()
+            .view()
+            .present
+            .get(from)
+            .map(|member| member.address);
+        // The peer asked on a connection, which carries the reply. A full lane is counted by the transport.
+        let _ = self
+            .transport
+            .send(from, address, Lane::BestEffort, FrameKind::Compare, &reply);
+    }
+
+    /// Reports to the others how busy this front door is, in thousandths of its capacity.
+    pub(super) fn report_load(&self, load: u16) {
+        let now = self.clock.now();
+        self.membership.borrow_mut().report_load(now, load);
+    }
+
+    /// Notifies the others that this front door leaves.
+    pub(super) fn leave(&self) {
+        let effects = self.membership.borrow_mut().leave(self.clock.now());
+        self.apply(effects);
+    }
+
+    /// The view and the counters for the log. Its keys are read by tools.
+    pub(super) fn status(&self) -> Value {
+        let membership = self.membership.borrow();
+        let view = membership.view();
+        let names = || view.present.keys().map(|name| &**name);
+        let loads: BTreeMap<&str, u16> = names()
+            .filter_map(|name| Some((name, membership.load_of(name)?)))
+            .collect();
+        let failed: Vec<&str> = view.failed.keys().map(|name| &**name).collect();
+        json!({
+            "present": names().collect::<Vec<_>>(),
+            "loads": loads,
+            "failed": failed,
+            "revision": view.revision,
+            "reachable": view.reachable_fraction(),
+            "doubt": membership.health_score(),
+            "gone": membership.is_defunct(),
+            "number": membership.local_member().generation,
+            "counts": membership.counters(),
+        })
+    }
+
+    /// Waits until a timer is due, or for ever if there is none.
+    async fn next_deadline(&self) {
+        let deadline = self.membership.borrow().next_deadline();
+        match deadline {
+            Some(at) => tokio::time::sleep_until(self.clock.instant(at)).await,
+            None => std::future::pending().await,
+        }
+    }
+
+    /// Handles the datagrams that have arrived, up to [`MAX_BATCH`].
+    fn receive_batch(&self, buffer: &mut [u8]) {
+        for _ in 0..MAX_BATCH {
+            match self.socket.try_recv_from(buffer) {
+                Ok((length, _)) => self.receive_datagram(&buffer[..length]),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
+                Err(_) => {}
+            }
+        }
+    }
+
     fn receive_datagram(&self, bytes: &[u8]) {
         match self.transport.codec.decode_datagram(bytes) {
             Ok(frame) if frame.kind == Some(FrameKind::Gossip) => {
+                let now = self.clock.now();
                 let effects = self
                     .membership
                     .borrow_mut()
-                    .handle_datagram(self.clock.now(), frame.body());
+                    .handle_datagram(now, frame.body());
                 self.apply(effects);
             }
-            Ok(_) => self.transport.counters.borrow_mut().unknown += 1,
-            Err(why) => self.transport.counters.borrow_mut().record_rejected(why),
-        }
-    }
-
-    /// Takes in a peer's part of a comparison.
-    pub(super) fn receive_comparison(&self, from: &str, bytes: &[u8]) {
-        let outcome = self
-            .membership
-            .borrow_mut()
-            .handle_comparison(self.clock.now(), bytes);
-        self.apply(outcome.effects);
-        self.changed.notify_one();
-        if let Some(reply) = outcome.reply {
-            let at = self
-                .membership
-                .borrow()
-                .view()
-                .present
-                .get(from)
-                .map(|member| member.address);
-            // It asked over a link, which carries the answer. A full lane is counted by the transport.
-            let _ = self
-                .transport
-                .send(from, at, Lane::BestEffort, FrameKind::Compare, &reply);
+            Ok(_) => self.transport.counters.borrow_mut().unknown_kind += 1,
+            Err(error) => self.record_rejected(error),
         }
     }
 
     fn apply(&self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::SendDatagram { to, bytes } => {
-                    let at = self
-                        .transport
-                        .address(&to.name, Some(to.address))
-                        .unwrap_or(to.address);
-                    match self.transport.codec.encode(FrameKind::Gossip, &bytes) {
-                        // A datagram that the system cannot take is lost, as others are.
-                        Some(frame) => drop(self.socket.try_send_to(&frame, at)),
-                        None => self
-                            .transport
-                            .counters
-                            .borrow_mut()
-                            .record_rejected(FrameError::Size(bytes.len() as u32)),
-                    }
-                }
-                Effect::SendComparison { to, bytes } => {
-                    // A full lane is counted by the transport, and the next comparison comes anyhow.
-                    let _ = self.transport.send(
-                        &to.name,
-                        Some(to.address),
-                        Lane::BestEffort,
-                        FrameKind::Compare,
-                        &bytes,
-                    );
-                }
-                Effect::Changed(change) => {
-                    self.log_change(&change);
-                    let membership = self.membership.borrow();
-                    let view = membership.view();
-                    // Whoever failed of late may live on the other side of a cut, and do all that this one does.
-                    (self.on_size)((view.present.len() + view.failed.len()) as u32);
-                }
+                Effect::SendDatagram { to, bytes } => self.send_datagram(&to, &bytes),
+                Effect::SendComparison { to, bytes } => self.send_comparison(&to, &bytes),
+                Effect::Changed(change) => self.report_change(&change),
             }
         }
     }
 
+    fn send_datagram(&self, to: &Member, bytes: &[u8]) {
+        let address = self
+            .transport
+            .address_of(&to.name, Some(to.address))
+            .unwrap_or(to.address);
+        match self.transport.codec.encode(FrameKind::Gossip, bytes) {
+            // A datagram that the system does not accept is lost, as others are on the network.
+            Some(frame) => drop(self.socket.try_send_to(&frame, address)),
+            None => self.record_rejected(FrameError::TooLong(bytes.len() as u32)),
+        }
+    }
+
+    fn send_comparison(&self, to: &Member, bytes: &[u8]) {
+        // A full lane is counted by the transport, and the next comparison makes up for this one.
+        let _ = self.transport.send(
+            &to.name,
+            Some(to.address),
+            Lane::BestEffort,
+            FrameKind::Compare,
+            bytes,
+        );
+    }
+
+    /// Logs a change, and reports the size of the fleet after it.
+    fn report_change(&self, change: &Change) {
+        self.log_change(change);
+        let membership = self.membership.borrow();
+        let view = membership.view();
+        // A member that failed of late may run on the other side of a partition, and do all that this one does.
+        (self.on_fleet_size)((view.present.len() + view.failed.len()) as u32);
+    }
+
+    /// Writes a change to the log. The fields are read by tools.
     fn log_change(&self, change: &Change) {
-        let (what, member) = match change {
+        let (event, member) = match change {
             Change::Joined(member) => ("up", member),
             Change::Left(member) => ("left", member),
             Change::Failed(member) => ("failed", member),
             Change::NameConflict(member) => ("twin", member),
             Change::NameLost(member) => ("displaced", member),
         };
-        let Member {
-            name,
-            generation: number,
-            zone,
-            ..
-        } = member;
-        let (own, member, zone) = (self.own.as_str(), &**name, &**zone);
         tracing::info!(
             what = "member",
-            name = own,
-            change = what,
-            member,
-            number,
-            zone
+            name = self.local_name.as_str(),
+            change = event,
+            member = &*member.name,
+            number = member.generation,
+            zone = member.zone.as_str()
         );
     }
 
-    /// Lets the others know how busy this one is.
-    pub(super) fn report_load(&self, load: u16) {
-        self.membership
-            .borrow_mut()
-            .report_load(self.clock.now(), load);
-    }
-
-    /// Tells the others that this one goes.
-    pub(super) fn leave(&self) {
-        let effects = self.membership.borrow_mut().leave(self.clock.now());
-        self.apply(effects);
-    }
-
-    /// The view and the counters, for the log.
-    pub(super) fn status(&self) -> serde_json::Value {
-        let membership = self.membership.borrow();
-        let view = membership.view();
-        json!({
-            "present": view.present.keys().map(|name| &**name).collect::<Vec<_>>(),
-            "loads": view.present.keys().filter_map(|name| Some((name.to_string(), membership.load_of(name)?)))
-                .collect::<BTreeMap<_, _>>(),
-            "failed": view.failed.keys().map(|name| &**name).collect::<Vec<_>>(),
-            "revision": view.revision, "reachable": view.reachable_fraction(), "doubt": membership.health_score(),
-            "gone": membership.is_defunct(), "number": membership.local_member().generation, "counts": membership.counters(),
-        })
+    fn record_rejected(&self, error: FrameError) {
+        self.transport.counters.borrow_mut().record_rejected(error);
     }
 }
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -1,5 +1,7 @@
-//! Front doors that act together. Off unless the configuration has a `fleet` section: then nothing here exists, no socket, no
-//! task, no call. `docs/FLEET.md` has the layers and what each promises.
+//! Front doors that act together.
+//!
+//! Off unless the configuration has a `fleet` section: then none of this exists, neither a socket nor a task nor a call.
+//! `docs/FLEET.md` describes the layers and what each guarantees.
 
 mod frame;
 mod membership;
@@ -9,26 +11,40 @@
 use crate::net::control::fleet_section::FleetSection;
 use crate::net::runtime::clock::Clock;
 use frame::FrameKind;
-use membership::{MembershipService, Start};
+use membership::{MembershipService, ProcessStart};
 use serde_json::{json, Value};
+use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::{TcpListener, UdpSocket};
 use transport::Transport;
 
-/// Has the events of the parts that act together written to standard error, each as a line of JSON: the rig and operators'
-/// tools read them.
-fn start_log() {
-    let lines = tracing_subscriber::fmt()
+/// Why the fleet layer did not start.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum FleetError {
+    /// A listener could not be bound.
+    #[error("fleet.listen: {address}: {source}")]
+    Bind {
+        /// The configured address.
+        address: SocketAddr,
+        /// The system's error.
+        source: io::Error,
+    },
+}
+
+/// Writes the events of the fleet layer to standard error, one JSON object a line, where operators' tools and the fault
+/// injection read them.
+fn init_log() {
+    let subscriber = tracing_subscriber::fmt()
         .json()
         .flatten_event(true)
         .with_target(false)
         .with_writer(std::io::stderr);
-    // Whoever embeds this may have set another one: then that is written to.
-    let _ = lines.try_init();
+    // A program that embeds this one may have set another subscriber; the events go there then.
+    let _ = subscriber.try_init();
 }
 
-/// The fleet as its front door knows it.
+/// The fleet layer, as its front door uses it.
 pub(super) struct Fleet {
     section: FleetSection,
     transport: Rc<Transport>,
@@ -37,81 +53,100 @@
 }
 
 impl Fleet {
-    /// Listens for the others and begins to look for them. `configured_size` is the fleet's size by the settings; `seed` is
-    /// new with each start; `load` returns how busy it is, in parts of a thousand; `on_size` is called with how many front
-    /// doors there seem to be.
+    /// Listens for the other front doors and starts to contact them.
+    ///
+    /// `configured_size` is the fleet's size by the settings; `seed` is new with each start; `load` returns how busy this front
+    /// door is, in thousandths of its capacity; `on_fleet_size` is called with the number of front doors that are present or
+    /// failed of late whenever that changes.
+    ///
+    /// # Errors
+    ///
+    /// [`FleetError::Bind`] if a listener cannot be bound.
     pub(super) async fn start(
         section: FleetSection,
         clock: Clock,
         configured_size: u32,
         seed: u64,
         load: Box<dyn Fn() -> u16>,
-        on_size: Box<dyn Fn(u32)>,
-    ) -> Result<Rc<Fleet>, String> {
-        start_log();
-        let no_listener = |error| format!("fleet.listen: {}: {error}", section.listen);
-        let listener = TcpListener::bind(section.listen)
-            .await
-            .map_err(no_listener)?;
-        let socket = UdpSocket::bind(section.listen).await.map_err(no_listener)?;
-        // A start draws its life from its seed and from when it was: no two starts share both.
-        let life = seed.rotate_left(32) ^ clock.now().to_bits();
-        let start = Start {
+        on_fleet_size: Box<dyn Fn(u32)>,
+    ) -> Result<Rc<Fleet>, FleetError> {
+        init_log();
+        let address = section.listen;
+        let bind_error = |source| FleetError::Bind { address, source };
+        let listener = TcpListener::bind(address).await.map_err(bind_error)?;
+        let socket = UdpSocket::bind(address).await.map_err(bind_error)?;
+        let start = ProcessStart {
             configured_size,
-            life,
+            instance_id: instance_id(seed, &clock),
             seed,
         };
-        let transport = Transport::new(section.clone(), life);
-        let membership = section.membership.then(|| {
-            MembershipService::new(&section, socket, transport.clone(), clock, start, on_size)
+        let transport = Transport::new(section.clone(), start.instance_id);
+        let membership = section.membership_enabled.then(|| {
+            let transport = transport.clone();
+            MembershipService::new(&section, socket, transport, clock, start, on_fleet_size)
         });
         let fleet = Rc::new(Fleet {
             section,
-            transport: transport.clone(),
+            transport,
             membership,
             load,
         });
-        let receiver = fleet.clone();
-        transport.set_handler(Rc::new(move |from, frame| {
-            if let (Some(membership), Some(FrameKind::Compare)) = (&receiver.membership, frame.kind)
-            {
+        fleet.spawn_tasks(listener);
+        Ok(fleet)
+    }
+
+    /// Notifies the others that this front door leaves: a graceful shutdown begins.
+    pub(super) fn leave(&self) {
+        if let Some(membership) = &self.membership {
+            membership.leave();
+        }
+    }
+
+    fn spawn_tasks(self: &Rc<Self>, listener: TcpListener) {
+        let fleet = self.clone();
+        self.transport.set_handler(Rc::new(move |from, frame| {
+            if let (Some(membership), Some(FrameKind::Compare)) = (&fleet.membership, frame.kind) {
                 membership.receive_comparison(from, frame.body());
             }
         }));
-        tokio::task::spawn_local(transport.accept(listener));
-        if let Some(membership) = &fleet.membership {
+        tokio::task::spawn_local(self.transport.clone().accept(listener));
+        if let Some(membership) = &self.membership {
             tokio::task::spawn_local(membership.clone().run());
         }
-        tokio::task::spawn_local(fleet.clone().report());
-        Ok(fleet)
+        tokio::task::spawn_local(self.clone().report_status());
     }
 
-    /// Logs its counters from time to time, for as long as the front door runs.
-    async fn report(self: Rc<Self>) {
+    /// Reports the load to the others and the status to the log at intervals, for as long as the front door runs.
+    async fn report_status(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(Duration::from_millis(self.section.tell_ms)).await;
+            tokio::time::sleep(self.section.report_interval).await;
             if let Some(membership) = &self.membership {
                 membership.report_load((self.load)());
             }
-            tracing::info!(what = "fleet", name = self.section.own.as_str(), status = %self.status());
+            let name = self.section.local_name.as_str();
+            tracing::info!(what = "fleet", name, status = %self.status());
         }
     }
 
+    /// The status for the log. Its keys are read by tools.
     fn status(&self) -> Value {
-        let (dialled, accepted) = self.transport.link_counts();
+        let connections = self.transport.connection_counts();
         let members = self
             .membership
             .as_ref()
             .map(|membership| membership.status());
-        json!({"dialled": dialled, "accepted": accepted, "way": *self.transport.counters.borrow(), "members": members})
+        json!({
+            "dialled": connections.outbound,
+            "accepted": connections.inbound,
+            "way": *self.transport.counters.borrow(),
+            "members": members,
+        })
     }
+}
 
-    /// Tells the others that this one goes: a planned stop begins.
-    pub(super) fn leave(&self) {
-        if let Some(membership) = &self.membership {
-            membership.leave();
-        }
-    }
+/// Tells this process from all others under its name: no two starts share both their seed and their time.
+fn instance_id(seed: u64, clock: &Clock) -> u64 {
+    seed.rotate_left(32) ^ clock.now().to_bits()
 }
 
 #[cfg(test)]
--- a/src/net/fleet/outbox.rs
+++ b/src/net/fleet/outbox.rs
@@ -1,30 +1,53 @@
-//! What waits to go out to one peer: three lanes, each with a limit.
+//! Frames that wait to be sent to one peer: three lanes, each with a limit.
 
 use std::collections::VecDeque;
 use tokio_util::bytes::Bytes;
 
-/// How urgent a frame is: a lane goes out only while those before it are empty.
+const LANE_COUNT: usize = 3;
+
+/// The priority of a frame: frames of a lane are sent only while the lanes before it are empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Lane {
-    /// Messages of the record's consensus.
-    #[allow(dead_code, reason = "the record is its user")]
+    /// Messages of the replicated log's consensus.
+    #[allow(dead_code, reason = "the replicated log will use it")]
     Consensus,
-    /// Copies of the record.
-    #[allow(dead_code, reason = "the record is its user")]
+    /// Entries of the replicated log.
+    #[allow(dead_code, reason = "the replicated log will use it")]
     Replication,
-    /// Hints: of too many, the oldest are dropped.
+    /// Hints: where too many wait, the oldest are dropped.
     BestEffort,
 }
 
-/// There is no room in a lane.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Full;
+/// The lane has no space for the frame.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the lane has no space for the frame")]
+pub(super) struct OutboxFull;
+
+/// The frames of one lane, in the order in which they are sent.
+#[derive(Debug, Default)]
+struct LaneQueue {
+    frames: VecDeque<Bytes>,
+    /// Bytes of all the frames.
+    bytes: usize,
+}
+
+impl LaneQueue {
+    fn push(&mut self, frame: Bytes) {
+        self.bytes += frame.len();
+        self.frames.push_back(frame);
+    }
 
-/// Frames on their way to one peer.
+    fn pop(&mut self) -> Option<Bytes> {
+        let frame = self.frames.pop_front()?;
+        self.bytes -= frame.len();
+        Some(frame)
+    }
+}
+
+/// Frames that wait for one peer.
 #[derive(Debug)]
 pub(super) struct Outbox {
-    lanes: [VecDeque<Bytes>; 3],
-    bytes: [usize; 3],
+    lanes: [LaneQueue; LANE_COUNT],
     /// Bytes in each lane at most.
     limit: usize,
     /// Best-effort frames that were dropped for newer ones.
@@ -32,53 +55,48 @@
 }
 
 impl Outbox {
-    /// An empty one with room for `limit` bytes in each lane.
+    /// An empty outbox with space for `limit` bytes in each lane.
     pub(super) fn new(limit: usize) -> Outbox {
         Outbox {
             lanes: Default::default(),
-            bytes: [0; 3],
             limit,
             dropped: 0,
         }
     }
 
-    /// Puts a frame at the end of its lane.
-    pub(super) fn push(&mut self, lane: Lane, frame: Bytes) -> Result<(), Full> {
-        let (at, limit) = (lane as usize, self.limit);
-        if frame.len() > limit {
-            return Err(Full);
+    /// Puts a frame at the end of its lane. In the best-effort lane older frames are dropped for it; in others it is refused
+    /// with [`OutboxFull`], as is a frame that is longer than the limit.
+    pub(super) fn push(&mut self, lane: Lane, frame: Bytes) -> Result<(), OutboxFull> {
+        if frame.len() > self.limit {
+            return Err(OutboxFull);
         }
-        while self.bytes[at] + frame.len() > limit {
+        let queue = &mut self.lanes[lane as usize];
+        while queue.bytes + frame.len() > self.limit {
             if lane != Lane::BestEffort {
-                return Err(Full);
+                return Err(OutboxFull);
             }
-            let Some(oldest) = self.lanes[at].pop_front() else {
+            if queue.pop().is_none() {
                 break;
-            };
-            self.bytes[at] -= oldest.len();
+            }
             self.dropped += 1;
         }
-        self.bytes[at] += frame.len();
-        self.lanes[at].push_back(frame);
+        queue.push(frame);
         Ok(())
     }
 
-    /// Takes the frame that goes next.
+    /// Removes the frame that is to be sent next.
     pub(super) fn pop(&mut self) -> Option<Bytes> {
-        let at = self.lanes.iter().position(|lane| !lane.is_empty())?;
-        let frame = self.lanes[at].pop_front()?;
-        self.bytes[at] -= frame.len();
-        Some(frame)
+        self.lanes.iter_mut().find_map(LaneQueue::pop)
     }
 
-    /// Whether nothing waits.
+    /// Whether no frame waits.
     pub(super) fn is_empty(&self) -> bool {
-        self.lanes.iter().all(VecDeque::is_empty)
+        self.lanes.iter().all(|lane| lane.frames.is_empty())
     }
 
-    /// Forgets all that waits: what is told to nobody for too long is old.
+    /// Drops all frames: what a peer could not be sent for long is out of date.
     pub(super) fn clear(&mut self) {
-        (self.lanes, self.bytes) = Default::default();
+        self.lanes = Default::default();
     }
 }
 
--- a/src/net/fleet/outbox/tests.rs
+++ b/src/net/fleet/outbox/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// Guards the order and the limits: the urgent lane first, refusals where nothing may be dropped, the oldest hints gone,
-/// and one lane's flood no matter of another's.
+/// Guards the order and the limits: the lane of the highest priority first, a refusal where nothing may be dropped, the oldest
+/// best-effort frames dropped, and no lane filled by another.
 #[test]
-fn urgent_frames_go_first_and_no_lane_grows_past_its_limit() {
+fn lanes_are_sent_by_priority_and_stay_within_their_limits() {
     let frame = |byte: u8| Bytes::from(vec![byte; 40]);
     let mut outbox = Outbox::new(100);
     for byte in 0..10 {
@@ -15,14 +15,14 @@
     assert_eq!(outbox.push(Lane::Replication, frame(20)), Ok(()));
     assert_eq!(outbox.push(Lane::Consensus, frame(30)), Ok(()));
     assert_eq!(outbox.push(Lane::Consensus, frame(31)), Ok(()));
-    assert_eq!(outbox.push(Lane::Consensus, frame(32)), Err(Full));
+    assert_eq!(outbox.push(Lane::Consensus, frame(32)), Err(OutboxFull));
     assert_eq!(
         outbox.push(Lane::BestEffort, Bytes::from(vec![0; 101])),
-        Err(Full)
+        Err(OutboxFull)
     );
     let order: Vec<u8> = std::iter::from_fn(|| outbox.pop())
         .map(|frame| frame[0])
         .collect();
     assert_eq!(order, [30, 31, 20, 8, 9]);
-    assert!(outbox.is_empty() && outbox.bytes == [0; 3]);
+    assert!(outbox.is_empty() && outbox.lanes.iter().all(|lane| lane.bytes == 0));
 }
--- a/src/net/fleet/transport.rs
+++ b/src/net/fleet/transport.rs
@@ -1,7 +1,8 @@
-//! The transport between front doors: a listener, and one kept connection per peer that is needed.
+//! The transport between front doors: a listener, and one kept connection for each peer that is needed.
 //!
-//! A connection carries both ways, whoever dialled. It begins with a greeting each way, and ends when no whole frame came
-//! for four heartbeats: a peer that is silent, dribbles or does not read costs no more than its own connection and its outbox.
+//! A connection carries frames in both directions, whichever side dialed. It begins with a handshake, and ends when no whole
+//! frame arrived for four heartbeat intervals: a peer that is silent, slow or does not read costs no more than its own connection
+//! and its outbox.
 
 mod connection;
 pub(super) mod counters;
@@ -11,130 +12,175 @@
 mod peer;
 
 use super::frame::{Frame, FrameCodec, FrameKind};
-use super::outbox::{Full, Lane, Outbox};
+use super::outbox::{Lane, OutboxFull};
 use crate::net::control::fleet_section::FleetSection;
 use cometspool_membership::MAX_NAME_BYTES;
-use counters::Counters;
+use counters::TransportCounters;
 use peer::Peer;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use tokio::sync::Notify;
 use tokio::time::Instant;
 use tokio_util::bytes::Bytes;
 
-/// Peers of whom something is kept at most.
+/// Peers that are known at most.
 const MAX_PEERS: usize = 4096;
 
-/// Called with the sender and each frame that comes on a link.
+/// Called with the sender's name and each frame that arrives on a connection, heartbeats and handshakes aside.
 type FrameHandler = dyn Fn(&str, &Frame);
 
-/// Sends frames to peers, and hands on those that come from them.
+/// Why a frame is not sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum SendError {
+    /// The body is longer than a frame's may be.
+    #[error("the body is too long")]
+    BodyTooLong,
+    /// The receiver is this front door.
+    #[error("the receiver is this front door")]
+    ToSelf,
+    /// The receiver's name cannot be one, or too many peers are known.
+    #[error("the receiver's name is invalid, or too many peers are known")]
+    UnknownPeer,
+    /// There is no connection, and none can be dialed: no address is known, or too many connections are in use.
+    #[error("there is no connection, and none can be dialed")]
+    NotConnected,
+    /// The lane has no space for the frame.
+    #[error(transparent)]
+    OutboxFull(#[from] OutboxFull),
+}
+
+/// Connections that are open.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct ConnectionCounts {
+    /// Connections that this side dialed.
+    pub outbound: usize,
+    /// Connections that peers dialed.
+    pub inbound: usize,
+}
+
+/// Sends frames to peers, and passes on those that arrive from them.
 pub(super) struct Transport {
     section: FleetSection,
     /// Encodes and decodes the frames of this fleet.
     pub codec: FrameCodec,
-    life: u64,
+    instance_id: u64,
     peers: RefCell<HashMap<Rc<str>, Rc<Peer>>>,
     handler: RefCell<Option<Rc<FrameHandler>>>,
-    /// What passed and what was turned away.
-    pub counters: RefCell<Counters>,
-    links_begun: Cell<u64>,
-    accepted: Cell<usize>,
+    /// What was sent, received and rejected.
+    pub counters: RefCell<TransportCounters>,
+    /// Connections that were opened since the start, from which each takes its id.
+    connections_opened: Cell<u64>,
+    /// Accepted connections that are open, before their handshake too.
+    inbound: Cell<usize>,
 }
 
 impl Transport {
-    /// The transport of a front door whose process is told from others under its name by `life`.
-    pub(super) fn new(section: FleetSection, life: u64) -> Rc<Transport> {
-        let codec = FrameCodec::new(&section.fleet, section.generation, section.frame_bytes);
+    /// The transport of a front door whose process is told from others under its name by `instance_id`.
+    pub(super) fn new(section: FleetSection, instance_id: u64) -> Rc<Transport> {
+        let codec = FrameCodec::new(&section.fleet_name, section.epoch, section.max_body_bytes);
         Rc::new(Transport {
             section,
             codec,
-            life,
+            instance_id,
             peers: RefCell::default(),
             handler: RefCell::default(),
             counters: RefCell::default(),
-            links_begun: Cell::new(0),
-            accepted: Cell::new(0),
+            connections_opened: Cell::new(0),
+            inbound: Cell::new(0),
         })
     }
 
-    /// Sets what is called with each frame that comes and its sender.
+    /// Sets what is called with each frame that arrives and its sender.
     pub(super) fn set_handler(&self, handler: Rc<FrameHandler>) {
         *self.handler.borrow_mut() = Some(handler);
     }
 
-    /// Links that are up: those dialled here, and the others.
-    pub(super) fn link_counts(&self) -> (usize, usize) {
-        let peers = self.peers.borrow();
-        let dialled: Vec<bool> = peers
-            .values()
-            .filter_map(|peer| peer.link.borrow().as_ref().map(|link| link.dialled))
-            .collect();
-        let here = dialled.iter().filter(|dialled| **dialled).count();
-        (here, dialled.len() - here)
+    /// Connections that are open.
+    pub(super) fn connection_counts(&self) -> ConnectionCounts {
+        let mut counts = ConnectionCounts::default();
+        for peer in self.peers.borrow().values() {
+            if peer.is_connected_outbound() {
+                counts.outbound += 1;
+            } else if peer.is_connected() {
+                counts.inbound += 1;
+            }
+        }
+        counts
     }
 
-    /// Where to reach somebody: the configured address goes before the advertised one.
-    pub(super) fn address(&self, name: &str, advertised: Option<SocketAddr>) -> Option<SocketAddr> {
+    /// Where to reach a front door: the configured address takes precedence over the advertised one.
+    pub(super) fn address_of(
+        &self,
+        name: &str,
+        advertised: Option<SocketAddr>,
+    ) -> Option<SocketAddr> {
         self.section.peers.get(name).copied().or(advertised)
     }
 
-    /// Sends a frame to a peer: on the link that is there, or on one that is dialled for it, at the configured address or
-    /// else at `address`. Refused are frames beyond the limits, and those for a peer without an address.
+    /// Sends a frame to a peer: on the connection that is open, or on one that is dialed for it, at the configured address or
+    /// else at `advertised`. It waits in the outbox until it can be written; a frame that cannot be queued is counted.
+    ///
+    /// # Errors
+    ///
+    /// [`SendError`] says why the frame was not queued. A frame that was queued may still be lost with its connection.
     pub(super) fn send(
         self: &Rc<Self>,
         to: &str,
-        address: Option<SocketAddr>,
+        advertised: Option<SocketAddr>,
         lane: Lane,
         kind: FrameKind,
-        content: &[u8],
-    ) -> Result<(), Full> {
-        let frame = self.codec.encode(kind, content).ok_or(Full);
-        let sent = frame.and_then(|frame| self.queue(to, address, lane, frame));
+        body: &[u8],
+    ) -> Result<(), SendError> {
+        let frame = self.codec.encode(kind, body);
+        let sent = frame
+            .ok_or(SendError::BodyTooLong)
+            .and_then(|frame| self.enqueue(to, advertised, lane, frame));
         if sent.is_err() {
-            self.counters.borrow_mut().full += 1;
+            self.counters.borrow_mut().send_failed += 1;
         }
         sent
     }
 
-    fn queue(
+    fn enqueue(
         self: &Rc<Self>,
         to: &str,
-        address: Option<SocketAddr>,
+        advertised: Option<SocketAddr>,
         lane: Lane,
         frame: Bytes,
-    ) -> Result<(), Full> {
-        if to == self.section.own {
-            return Err(Full);
+    ) -> Result<(), SendError> {
+        if to == self.section.local_name {
+            return Err(SendError::ToSelf);
         }
-        let peer = self.peer(to).ok_or(Full)?;
-        let linked = peer.link.borrow().is_some() || peer.dialling.get();
-        let dial = self.address(to, address).filter(|_| !linked);
-        if !linked && (dial.is_none() || !self.reserve_dial()) {
-            self.forget(&peer);
-            return Err(Full);
+        let peer = self.peer(to).ok_or(SendError::UnknownPeer)?;
+        let connected = peer.is_connected() || peer.dialing.get();
+        let dial = self.address_of(to, advertised).filter(|_| !connected);
+        if !connected && (dial.is_none() || !self.make_room_to_dial()) {
+            self.remove_if_unused(&peer);
+            return Err(SendError::NotConnected);
         }
-        peer.used.set(Instant::now());
-        let dropped = {
-            let mut outbox = peer.outbox.borrow_mut();
-            let before = outbox.dropped;
-            outbox.push(lane, frame)?;
-            outbox.dropped - before
-        };
-        self.counters.borrow_mut().dropped += dropped;
+        peer.last_used.set(Instant::now());
+        self.push_to_outbox(&peer, lane, frame)?;
         match dial {
             Some(address) => {
-                peer.dialling.set(true);
+                peer.dialing.set(true);
                 tokio::task::spawn_local(self.clone().dial(peer, address));
             }
-            None => peer.wake.notify_one(),
+            None => peer.writable.notify_one(),
         }
         Ok(())
     }
 
-    /// The peer with this name, remembered from now on; `None` if too many are, or the name cannot be one.
+    /// Puts a frame into a peer's outbox, and counts those that were dropped for it.
+    fn push_to_outbox(&self, peer: &Peer, lane: Lane, frame: Bytes) -> Result<(), OutboxFull> {
+        let mut outbox = peer.outbox.borrow_mut();
+        let dropped_before = outbox.dropped;
+        outbox.push(lane, frame)?;
+        self.counters.borrow_mut().dropped += outbox.dropped - dropped_before;
+        Ok(())
+    }
+
+    /// The peer with this name, which is known from now on; `None` if too many are, or the name cannot be one.
     fn peer(&self, name: &str) -> Option<Rc<Peer>> {
         let mut peers = self.peers.borrow_mut();
         if let Some(peer) = peers.get(name) {
@@ -144,48 +190,47 @@
             return None;
         }
         let name: Rc<str> = name.into();
-        let peer = Rc::new(Peer {
-            name: name.clone(),
-            outbox: RefCell::new(Outbox::new(self.section.queue_bytes)),
-            wake: Notify::new(),
-            link: RefCell::default(),
-            dialling: Cell::new(false),
-            used: Cell::new(Instant::now()),
-        });
+        let peer = Rc::new(Peer::new(name.clone(), self.section.max_queue_bytes));
         peers.insert(name, peer.clone());
         Some(peer)
     }
 
-    /// Forgets a peer with whom nothing is going on.
-    fn forget(&self, peer: &Peer) {
-        let idle =
-            peer.link.borrow().is_none() && !peer.dialling.get() && peer.outbox.borrow().is_empty();
-        if idle {
+    /// Removes a peer for which there is neither a connection, nor a dial, nor a frame.
+    fn remove_if_unused(&self, peer: &Peer) {
+        if peer.is_unused() {
             self.peers.borrow_mut().remove(&peer.name);
         }
     }
 
-    /// Whether one more may be dialled; the one that was least lately needed, and has nothing to carry, leaves for it.
-    fn reserve_dial(&self) -> bool {
+    /// Whether one more peer may be dialed. If as many connections as may be are in use, the least recently used one with an
+    /// empty outbox is closed for it.
+    fn make_room_to_dial(&self) -> bool {
         let peers = self.peers.borrow();
-        let ours = |peer: &&Rc<Peer>| {
-            peer.dialling.get() || peer.link.borrow().as_ref().is_some_and(|link| link.dialled)
-        };
-        if peers.values().filter(ours).count() < self.section.links {
+        let in_use = peers
+            .values()
+            .filter(|peer| peer.dialing.get() || peer.is_connected_outbound())
+            .count();
+        if in_use < self.section.max_outbound {
             return true;
         }
-        let spare = peers.values().filter(|peer| {
-            peer.outbox.borrow().is_empty()
-                && peer.link.borrow().as_ref().is_some_and(|link| link.dialled)
-        });
-        let Some(spare) = spare.min_by_key(|peer| peer.used.get()) else {
+        let least_recently_used = peers
+            .values()
+            .filter(|peer| peer.outbox.borrow().is_empty() && peer.is_connected_outbound())
+            .min_by_key(|peer| peer.last_used.get());
+        let Some(peer) = least_recently_used else {
             return false;
         };
-        if let Some(link) = spare.link.borrow_mut().take() {
-            link.close.request();
+        if let Some(connection) = peer.connection.borrow_mut().take() {
+            connection.close.request();
         }
         true
     }
+
+    /// Whether this front door's name comes before the peer's. Of two front doors that dialed each other at the same time, the
+    /// connection stays that was dialed by the one whose name comes first.
+    fn has_first_name(&self, peer: &Peer) -> bool {
+        *self.section.local_name < *peer.name
+    }
 }
 
 #[cfg(test)]
--- a/src/net/fleet/transport/counters.rs
+++ b/src/net/fleet/transport/counters.rs
@@ -1,55 +1,78 @@
-//! Counters of the transport: what passed and what was turned away.
+//! Counters of the transport: what was sent and received, and what was rejected.
 
 use crate::net::fleet::frame::FrameError;
 use serde::Serialize;
 
-/// What went by and what was turned away.
+/// The counters since the start. Their serialized names stand in logs that tools read.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub(crate) struct Counters {
-    /// Dials that were begun.
+pub(crate) struct TransportCounters {
+    /// Dials that were started.
     pub dials: u64,
-    /// Dials that gave no link.
+    /// Dials that led to no connection.
     pub dials_failed: u64,
-    /// Links that came up, dialled by whomever.
-    pub up: u64,
-    /// Links that ended.
-    pub down: u64,
-    /// Of these, for want of a whole frame in time, in either direction.
-    pub silent: u64,
-    /// Frames and their bytes, sent and read on links.
+    /// Connections that were established, in either direction.
+    #[serde(rename = "up")]
+    pub connections_opened: u64,
+    /// Connections that ended.
+    #[serde(rename = "down")]
+    pub connections_closed: u64,
+    /// Of these, those on which no whole frame could be read or written in time; and handshakes that took too long.
+    #[serde(rename = "silent")]
+    pub timed_out: u64,
+    /// Frames sent on connections.
     pub sent: u64,
+    /// Bytes of the frames sent.
     pub sent_bytes: u64,
-    pub read: u64,
-    pub read_bytes: u64,
-    /// Frames that found no room.
-    pub full: u64,
-    /// Hints dropped for newer ones.
+    /// Frames received on connections.
+    #[serde(rename = "read")]
+    pub received: u64,
+    /// Bytes of the frames received.
+    #[serde(rename = "read_bytes")]
+    pub received_bytes: u64,
+    /// Frames that could not be sent: a full lane, a peer that cannot be dialed, or a body that is too long.
+    #[serde(rename = "full")]
+    pub send_failed: u64,
+    /// Best-effort frames that were dropped for newer ones.
     pub dropped: u64,
-    /// Frames and datagrams turned away: no frames, or of no sound checksum; another version; fleet; generation; too long.
-    pub mark: u64,
-    pub checksum: u64,
-    pub version: u64,
-    pub fleet: u64,
-    pub generation: u64,
-    pub size: u64,
-    /// Greetings for or from somebody else.
+    /// Rejected as they are not frames, or not the expected ones.
+    #[serde(rename = "mark")]
+    pub bad_magic: u64,
+    /// Rejected as their checksum does not match.
+    #[serde(rename = "checksum")]
+    pub bad_checksum: u64,
+    /// Rejected for their version.
+    #[serde(rename = "version")]
+    pub unsupported_version: u64,
+    /// Rejected as they belong to another fleet.
+    #[serde(rename = "fleet")]
+    pub foreign_fleet: u64,
+    /// Rejected as they belong to another epoch of the fleet.
+    #[serde(rename = "generation")]
+    pub foreign_epoch: u64,
+    /// Rejected for the length of their body.
+    #[serde(rename = "size")]
+    pub too_long: u64,
+    /// Handshakes that were meant for, or came from, another front door.
     pub wrong_name: u64,
-    /// Frames of a kind that is not known here.
-    pub unknown: u64,
-    /// Connections closed for too many others.
-    pub crowded: u64,
+    /// Frames of a kind that this version does not know.
+    #[serde(rename = "unknown")]
+    pub unknown_kind: u64,
+    /// Connections that were closed as too many others, or too many peers, are there.
+    #[serde(rename = "crowded")]
+    pub over_limit: u64,
 }
 
-impl Counters {
-    /// Notes why something was turned away.
-    pub(crate) fn record_rejected(&mut self, why: FrameError) {
-        *match why {
-            FrameError::Magic => &mut self.mark,
-            FrameError::Checksum => &mut self.checksum,
-            FrameError::Version(_) => &mut self.version,
-            FrameError::Fleet => &mut self.fleet,
-            FrameError::Generation(_) => &mut self.generation,
-            FrameError::Size(_) => &mut self.size,
-        } += 1;
+impl TransportCounters {
+    /// Records why a frame or datagram was rejected.
+    pub(crate) fn record_rejected(&mut self, error: FrameError) {
+        let counter = match error {
+            FrameError::Magic => &mut self.bad_magic,
+            FrameError::Checksum => &mut self.bad_checksum,
+            FrameError::Version(_) => &mut self.unsupported_version,
+            FrameError::Fleet => &mut self.foreign_fleet,
+            FrameError::Epoch(_) => &mut self.foreign_epoch,
+            FrameError::TooLong(_) => &mut self.too_long,
+        };
+        *counter += 1;
     }
 }
--- a/src/net/fleet/transport/dialer.rs
+++ b/src/net/fleet/transport/dialer.rs
@@ -1,102 +1,102 @@
-//! Dials to peers: the greeting of the side that dials, and the pauses before it dials again.
+//! Dials to peers: the handshake of the side that dials, and the backoff between dials.
 
-use super::handshake::{split, Reader};
-use super::peer::Peer;
+use super::handshake::{ConnectionHalves, EstablishedConnection, HandshakeError};
+use super::peer::{Direction, Peer};
 use super::Transport;
 use crate::net::fleet::frame::ConnectionError;
-use backon::{BackoffBuilder, ExponentialBuilder};
-use std::io;
+use backon::{BackoffBuilder, ExponentialBackoff, ExponentialBuilder};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::tcp::OwnedWriteHalf;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// First pause before a peer is dialled again; it doubles with each dial, and is drawn.
-const FIRST_REDIAL_DELAY: Duration = Duration::from_millis(100);
-/// Longest pause before a peer is dialled again.
-const LONGEST_REDIAL_DELAY: Duration = Duration::from_secs(5);
-/// Dials in a row without a link after which what waited is dropped: it is old by then.
+/// First backoff before a peer is dialed again; it doubles with each dial, with jitter.
+const MIN_REDIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest backoff before a peer is dialed again.
+const MAX_REDIAL_BACKOFF: Duration = Duration::from_secs(5);
+/// Dials in a row without a connection after which the frames that waited are dropped: they are out of date by then.
 const MAX_DIALS: usize = 6;
 
+fn redial_backoff() -> ExponentialBackoff {
+    ExponentialBuilder::default()
+        .with_min_delay(MIN_REDIAL_BACKOFF)
+        .with_max_delay(MAX_REDIAL_BACKOFF)
+        .with_max_times(MAX_DIALS - 1)
+        .with_jitter()
+        .build()
+}
+
 impl Transport {
-    /// Dials a peer until nothing waits for it any more, or nobody answers.
+    /// Dials a peer, and runs the connection, until no frame waits for the peer any more or it cannot be reached.
     pub(super) async fn dial(self: Rc<Self>, peer: Rc<Peer>, address: SocketAddr) {
-        let pauses = || {
-            let backoff = ExponentialBuilder::default()
-                .with_min_delay(FIRST_REDIAL_DELAY)
-                .with_max_delay(LONGEST_REDIAL_DELAY);
-            backoff.with_max_times(MAX_DIALS - 1).with_jitter().build()
-        };
-        let mut pause = pauses();
+        let mut backoff = redial_backoff();
         loop {
             self.counters.borrow_mut().dials += 1;
-            let hello = timeout(
-                Duration::from_millis(self.section.hello_ms),
-                self.connect(&peer, address),
-            )
-            .await;
-            match hello {
-                Ok(Ok((reader, writer, life))) => {
-                    pause = pauses();
-                    // Two that dialled each other keep the link of the one whose name comes first.
-                    let theirs = peer
-                        .link
-                        .borrow()
-                        .as_ref()
-                        .is_some_and(|link| link.life == life);
-                    if !theirs || *self.section.own < *peer.name {
-                        self.run_link(&peer, reader, writer, true, life).await;
-                    } else {
-                        tokio::task::spawn_local(self.clone().drain(peer.clone(), reader, writer));
-                    }
+            let connecting = self.connect(&peer, address);
+            match timeout(self.section.handshake_timeout, connecting).await {
+                Ok(Ok(connection)) => {
+                    backoff = redial_backoff();
+                    self.run_outbound(&peer, connection).await;
                 }
-                Ok(Err(why)) => self.record_failed_dial(why),
+                Ok(Err(error)) => self.record_failed_dial(&error),
                 Err(_elapsed) => self.counters.borrow_mut().dials_failed += 1,
             }
-            if peer.link.borrow().is_some() {
-                // The other side's dial came up meanwhile and carries what waits.
-                peer.wake.notify_one();
+            if peer.is_connected() {
+                // The peer's own dial succeeded meanwhile, and carries the frames that wait.
+                peer.writable.notify_one();
                 break;
             }
             if peer.outbox.borrow().is_empty() {
                 break;
             }
-            match pause.next() {
-                Some(pause) => sleep(pause).await,
-                None => {
-                    peer.outbox.borrow_mut().clear();
-                    break;
-                }
-            }
+            let Some(delay) = backoff.next() else {
+                peer.outbox.borrow_mut().clear();
+                break;
+            };
+            sleep(delay).await;
+        }
+        peer.dialing.set(false);
+        self.remove_if_unused(&peer);
+    }
+
+    /// Runs a connection that was dialed, unless one with the same process is open and is the one to keep.
+    async fn run_outbound(self: &Rc<Self>, peer: &Rc<Peer>, connection: EstablishedConnection) {
+        let same_process = peer
+            .connection
+            .borrow()
+            .as_ref()
+            .is_some_and(|open| open.instance_id == connection.instance_id);
+        if !same_process || self.has_first_name(peer) {
+            self.run_connection(peer, connection, Direction::Outbound)
+                .await;
+        } else {
+            tokio::task::spawn_local(self.clone().drain(peer.clone(), connection));
         }
-        peer.dialling.set(false);
-        self.forget(&peer);
     }
 
     async fn connect(
         &self,
         peer: &Peer,
         address: SocketAddr,
-    ) -> Result<(Reader, OwnedWriteHalf, u64), ConnectionError> {
+    ) -> Result<EstablishedConnection, HandshakeError> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let (mut reader, mut writer) = split(stream, self.codec);
-        self.send_hello(&mut writer, &peer.name).await?;
-        let hello = self.receive_hello(&mut reader).await?;
+        let mut halves = ConnectionHalves::new(stream, self.codec);
+        self.send_hello(&mut halves.writer, &peer.name).await?;
+        let hello = self.receive_hello(&mut halves.reader).await?;
         if hello.name != *peer.name {
             self.counters.borrow_mut().wrong_name += 1;
-            return Err(io::Error::from(io::ErrorKind::AddrNotAvailable).into());
+            return Err(HandshakeError::WrongName);
         }
-        Ok((reader, writer, hello.life))
+        Ok(halves.establish(hello.instance_id))
     }
 
-    fn record_failed_dial(&self, why: ConnectionError) {
+    fn record_failed_dial(&self, error: &HandshakeError) {
         let mut counters = self.counters.borrow_mut();
         counters.dials_failed += 1;
-        if let ConnectionError::Frame(why) = why {
-            counters.record_rejected(why);
+        if let HandshakeError::Connection(ConnectionError::Frame(error)) = error {
+            counters.record_rejected(*error);
         }
     }
 }
--- a/src/net/fleet/transport/listener.rs
+++ b/src/net/fleet/transport/listener.rs
@@ -1,11 +1,11 @@
-//! Connections that peers dialled: they are accepted, greeted and carried.
+//! Connections that peers dialed: accepted, and run after their handshake.
 
-use super::handshake::split;
+use super::handshake::{ConnectionHalves, EstablishedConnection, HandshakeError, Hello};
+use super::peer::{Direction, Peer};
 use super::Transport;
 use crate::net::fleet::frame::ConnectionError;
 use crate::net::runtime::capacity::NO_DESCRIPTOR;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
@@ -14,50 +14,64 @@
     pub(crate) async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) if self.accepted.get() < self.section.accepted => {
+                Ok((stream, _)) if self.inbound.get() < self.section.max_inbound => {
+                    self.inbound.set(self.inbound.get() + 1);
                     let transport = self.clone();
-                    self.accepted.set(self.accepted.get() + 1);
                     tokio::task::spawn_local(async move {
-                        transport.answer(stream).await;
-                        transport.accepted.set(transport.accepted.get() - 1);
+                        transport.serve(stream).await;
+                        transport.inbound.set(transport.inbound.get() - 1);
                     });
                 }
-                Ok(_) => self.counters.borrow_mut().crowded += 1,
+                Ok(_) => self.counters.borrow_mut().over_limit += 1,
                 Err(_) => sleep(NO_DESCRIPTOR).await,
             }
         }
     }
 
-    async fn answer(self: &Rc<Self>, stream: TcpStream) {
+    /// Shakes hands on an accepted connection and runs it until it ends.
+    async fn serve(self: &Rc<Self>, stream: TcpStream) {
         // Without it frames are late, not wrong.
         let _ = stream.set_nodelay(true);
-        let (mut reader, mut writer) = split(stream, self.codec);
-        let greeting = async {
-            let hello = self.receive_hello(&mut reader).await?;
-            self.send_hello(&mut writer, &hello.name).await?;
-            Ok::<_, ConnectionError>(hello)
-        };
-        let hello = match timeout(Duration::from_millis(self.section.hello_ms), greeting).await {
+        let mut halves = ConnectionHalves::new(stream, self.codec);
+        let handshake = timeout(
+            self.section.handshake_timeout,
+            self.answer_hello(&mut halves),
+        );
+        let hello = match handshake.await {
             Ok(Ok(hello)) => hello,
-            Ok(Err(ConnectionError::Frame(why))) => {
-                return self.counters.borrow_mut().record_rejected(why)
-            }
-            Ok(Err(ConnectionError::Io(_))) => return,
-            Err(_elapsed) => return self.counters.borrow_mut().silent += 1,
+            Ok(Err(error)) => return self.record_failed_handshake(&error),
+            Err(_elapsed) => return self.counters.borrow_mut().timed_out += 1,
         };
         let Some(peer) = self.peer(&hello.name) else {
-            return self.counters.borrow_mut().crowded += 1;
+            return self.counters.borrow_mut().over_limit += 1;
         };
-        let ours = peer
-            .link
-            .borrow()
-            .as_ref()
-            .is_some_and(|link| link.dialled && link.life == hello.life);
-        if ours && *self.section.own < *peer.name {
-            return self.clone().drain(peer, reader, writer).await;
+        let connection = halves.establish(hello.instance_id);
+        if self.keeps_outbound(&peer, &connection) {
+            return self.clone().drain(peer, connection).await;
         }
-        self.run_link(&peer, reader, writer, false, hello.life)
+        self.run_connection(&peer, connection, Direction::Inbound)
             .await;
-        self.forget(&peer);
+        self.remove_if_unused(&peer);
+    }
+
+    async fn answer_hello(&self, halves: &mut ConnectionHalves) -> Result<Hello, HandshakeError> {
+        let hello = self.receive_hello(&mut halves.reader).await?;
+        self.send_hello(&mut halves.writer, &hello.name).await?;
+        Ok(hello)
+    }
+
+    /// Whether a connection that this side dialed to the same process stays in place of one that the peer dialed.
+    fn keeps_outbound(&self, peer: &Peer, inbound: &EstablishedConnection) -> bool {
+        let dialed_same_process = peer.connection.borrow().as_ref().is_some_and(|connection| {
+            connection.direction == Direction::Outbound
+                && connection.instance_id == inbound.instance_id
+        });
+        dialed_same_process && self.has_first_name(peer)
+    }
+
+    fn record_failed_handshake(&self, error: &HandshakeError) {
+        if let HandshakeError::Connection(ConnectionError::Frame(error)) = error {
+            self.counters.borrow_mut().record_rejected(*error);
+        }
     }
 }
--- a/src/net/fleet/transport/tests.rs
+++ b/src/net/fleet/transport/tests.rs
@@ -1,4 +1,4 @@
-//! The transport against peers that a test plays by hand, on loopback.
+//! The transport against peers that a test scripts, on loopback.
 
 use super::handshake::Hello;
 use super::*;
@@ -11,37 +11,72 @@
 use tokio::time::{sleep, timeout};
 
 /// A wide limit for what has to come about.
-const PATIENCE: Duration = Duration::from_secs(30);
+const LIMIT: Duration = Duration::from_secs(30);
 
-/// A transport called `own` with quick heartbeats, small queues and few links, and what came on it.
-async fn transport(
-    own: &str,
-    peers: &[(&str, SocketAddr)],
-) -> (Rc<Transport>, SocketAddr, Rc<RefCell<Vec<(String, usize)>>>) {
+/// A frame that a transport received.
+#[derive(Debug)]
+struct ReceivedFrame {
+    from: String,
+    body_bytes: usize,
+}
+
+/// A transport, where it listens, and what it received.
+struct Fixture {
+    transport: Rc<Transport>,
+    address: SocketAddr,
+    received: Rc<RefCell<Vec<ReceivedFrame>>>,
+}
+
+impl Fixture {
+    fn outbound(&self) -> usize {
+        self.transport.connection_counts().outbound
+    }
+
+    fn inbound(&self) -> usize {
+        self.transport.connection_counts().inbound
+    }
+
+    fn send(&self, to: &str, at: Option<SocketAddr>, body: &[u8]) -> Result<(), SendError> {
+        self.transport
+            .send(to, at, Lane::BestEffort, FrameKind::Compare, body)
+    }
+
+    fn counters(&self) -> TransportCounters {
+        *self.transport.counters.borrow()
+    }
+}
+
+/// A transport called `name` with a short heartbeat interval, small outboxes and few connections.
+async fn transport(name: &str, peers: &[(&str, SocketAddr)]) -> Fixture {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let at = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("an address");
     let peers: Vec<_> = peers
         .iter()
         .map(|(name, dial)| json!({"name": name, "dial": dial.to_string()}))
         .collect();
     let raw = json!({
-        "name": "f", "listen": at.to_string(), "peers": peers, "links": 2, "accepted": 3, "beat_ms": 50,
+        "name": "f", "listen": address.to_string(), "peers": peers, "links": 2, "accepted": 3, "beat_ms": 50,
         "queue_bytes": 600_000, "hello_ms": 500,
     });
-    let section = FleetSection::parse(&raw, own).expect("a sound section");
-    let transport = Transport::new(section, u64::from(own.as_bytes()[0]));
-    let came: Rc<RefCell<Vec<(String, usize)>>> = Rc::default();
-    let taken = came.clone();
+    let section = FleetSection::parse(&raw, name).expect("a valid section");
+    let transport = Transport::new(section, u64::from(name.as_bytes()[0]));
+    let received: Rc<RefCell<Vec<ReceivedFrame>>> = Rc::default();
+    let frames = received.clone();
     transport.set_handler(Rc::new(move |from, frame| {
-        taken
-            .borrow_mut()
-            .push((from.to_owned(), frame.body().len()));
+        frames.borrow_mut().push(ReceivedFrame {
+            from: from.to_owned(),
+            body_bytes: frame.body().len(),
+        });
     }));
     tokio::task::spawn_local(transport.clone().accept(listener));
-    (transport, at, came)
+    Fixture {
+        transport,
+        address,
+        received,
+    }
 }
 
-fn played(test: impl Future<Output = ()>) {
+fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -49,21 +84,21 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-async fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+async fn wait_for(what: &str, holds: impl Fn() -> bool) {
+    let end = Instant::now() + LIMIT;
     while !holds() {
         assert!(Instant::now() < end, "{what} was due");
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// A peer played by hand that greets as it should.
-async fn greet(at: SocketAddr, codec: FrameCodec, name: &str, to: &str) -> TcpStream {
+/// A scripted peer that has sent its hello.
+async fn connect(at: SocketAddr, codec: FrameCodec, name: &str, to: &str) -> TcpStream {
     let mut stream = TcpStream::connect(at).await.expect("a listener");
     let hello = Hello {
         name: name.to_owned(),
         to: to.to_owned(),
-        life: 9,
+        instance_id: 9,
     };
     stream
         .write_all(
@@ -76,90 +111,97 @@
     stream
 }
 
-/// Guards the others' time and this one's memory: a peer that never reads fills its own outbox and no more, loses its link,
-/// and holds up nobody; one that dribbles and one that says nothing lose theirs.
+/// Guards the time of other peers and the memory of this front door: a peer that never reads fills its own outbox and no more,
+/// loses its connection, and delays nobody; one that sends a byte at a time and one that sends nothing lose theirs.
 #[test]
-fn a_peer_that_does_not_read_or_dribbles_costs_only_its_own_link() {
-    played(async {
-        let (other, other_at, came) = transport("b", &[]).await;
-        let (here, at, _) = transport("a", &[("b", other_at)]).await;
-        let _never_reads = greet(at, here.codec, "n", "a").await;
-        until("its link", || here.link_counts() == (0, 1)).await;
+fn a_peer_that_stalls_or_sends_slowly_loses_only_its_own_connection() {
+    run(async {
+        let other = transport("b", &[]).await;
+        let local = transport("a", &[("b", other.address)]).await;
+        let codec = local.transport.codec;
+        let _never_reads = connect(local.address, codec, "n", "a").await;
+        wait_for("its connection", || {
+            local.outbound() == 0 && local.inbound() == 1
+        })
+        .await;
         let big = vec![0; 100_000];
-        let mut refused = 0;
+        let mut rejected = 0;
         for _ in 0..100 {
-            refused += u32::from(
-                here.send("n", None, Lane::Replication, FrameKind::Compare, &big)
+            rejected += u32::from(
+                local
+                    .transport
+                    .send("n", None, Lane::Replication, FrameKind::Compare, &big)
                     .is_err(),
             );
             assert_eq!(
-                here.send("b", None, Lane::Replication, FrameKind::Compare, b"small"),
+                local
+                    .transport
+                    .send("b", None, Lane::Replication, FrameKind::Compare, b"small"),
                 Ok(())
             );
             tokio::task::yield_now().await;
         }
-        assert!(refused > 0, "no limit was met");
-        until("what the other was sent", || came.borrow().len() == 100).await;
-        until("the end of the link that does not move", || {
-            here.counters.borrow().silent >= 1
+        assert!(rejected > 0, "no limit was reached");
+        wait_for("all frames at the other peer", || {
+            other.received.borrow().len() == 100
+        })
+        .await;
+        wait_for("the end of the stalled connection", || {
+            local.counters().timed_out >= 1
         })
         .await;
 
-        let mut dribbles = greet(at, here.codec, "d", "a").await;
-        let frame = here
-            .codec
+        let mut slow = connect(local.address, codec, "d", "a").await;
+        let frame = codec
             .encode(FrameKind::Compare, &[0; 1000])
             .expect("it fits");
-        let before = here.counters.borrow().silent;
+        let before = local.counters().timed_out;
         for byte in &frame {
-            // It writes for as long as it may; what it writes is never a whole frame in time.
-            if dribbles.write_all(&[*byte]).await.is_err() {
+            // It writes until its connection ends, and never a whole frame in time.
+            if slow.write_all(&[*byte]).await.is_err() {
                 break;
             }
             sleep(Duration::from_millis(5)).await;
         }
-        until("the end of the one that dribbles", || {
-            here.counters.borrow().silent > before
+        wait_for("the end of the slow connection", || {
+            local.counters().timed_out > before
         })
         .await;
-        assert!(!came.borrow().iter().any(|(from, _)| from == "d"));
+        assert!(!other
+            .received
+            .borrow()
+            .iter()
+            .any(|frame| frame.from == "d"));
         assert_eq!(
-            other.link_counts().1,
+            other.inbound(),
             1,
-            "the one that reads keeps its link"
+            "the peer that reads keeps its connection"
         );
     });
 }
 
-/// Guards who is greeted, and versions side by side: a greeting for or from somebody else gives no link; one of the next
-/// version does, and its frames of an unknown kind are passed over.
+/// Guards the handshake, and versions side by side: a hello that is for, or from, another front door leads to no connection; one
+/// of the next version does, and its frames of an unknown kind are ignored.
 #[test]
-fn only_the_one_that_was_meant_is_linked_and_the_next_version_is() {
-    played(async {
-        let (other, other_at, _) = transport("b", &[]).await;
+fn a_handshake_with_the_wrong_name_fails_and_the_next_version_connects() {
+    run(async {
+        let other = transport("b", &[]).await;
         // The address of `x` is now that of `b`.
-        let (here, at, came) = transport("a", &[("x", other_at)]).await;
-        assert_eq!(
-            here.send(
-                "x",
-                Some(other_at),
-                Lane::BestEffort,
-                FrameKind::Compare,
-                b"for x"
-            ),
-            Ok(())
-        );
-        until("a greeting for somebody else", || {
-            other.counters.borrow().wrong_name >= 1
+        let local = transport("a", &[("x", other.address)]).await;
+        assert_eq!(local.send("x", Some(other.address), b"for x"), Ok(()));
+        wait_for("a hello for another front door", || {
+            other.counters().wrong_name >= 1
         })
         .await;
-        assert_eq!((here.link_counts(), other.link_counts()), ((0, 0), (0, 0)));
+        let none = ConnectionCounts::default();
+        assert_eq!(local.transport.connection_counts(), none);
+        assert_eq!(other.transport.connection_counts(), none);
 
-        let mut next = TcpStream::connect(at).await.expect("a listener");
+        let mut next = TcpStream::connect(local.address).await.expect("a listener");
         let mut hello = encode_body(&Hello {
             name: "n".to_owned(),
             to: "a".to_owned(),
-            life: 9,
+            instance_id: 9,
         });
         hello.extend(encode_body(&("a field that is new", 77u32)));
         for (kind, content) in [
@@ -167,76 +209,68 @@
             (999, b"?"),
             (FrameKind::Compare as u16, b"good"),
         ] {
-            let frame = here
+            let frame = local
+                .transport
                 .codec
                 .encode_as(VERSION + 1, kind, content)
                 .expect("it fits");
             next.write_all(&frame).await.expect("room");
         }
-        until("its frame", || {
-            came.borrow()
+        wait_for("its frame", || {
+            local
+                .received
+                .borrow()
                 .iter()
-                .any(|(from, length)| from == "n" && *length == 4)
+                .any(|frame| frame.from == "n" && frame.body_bytes == 4)
         })
         .await;
-        assert_eq!(here.counters.borrow().unknown, 1);
+        assert_eq!(local.counters().unknown_kind, 1);
     });
 }
 
-/// Guards the count of links: no more are dialled or accepted than the section allows, the one least lately needed leaves, and
-/// two that dial each other keep one.
+/// Guards the number of connections: no more are dialed or accepted than the section allows, the least recently used one is
+/// closed, and two front doors that dial each other keep one.
 #[test]
-fn links_stay_within_their_bounds_and_two_keep_one() {
-    played(async {
-        let (b, b_at, came_b) = transport("b", &[]).await;
-        let (_c, c_at, came_c) = transport("c", &[]).await;
-        let (_d, d_at, came_d) = transport("d", &[]).await;
-        let (here, at, came) = transport("a", &[]).await;
-        for (name, to, came) in [
-            ("b", b_at, &came_b),
-            ("c", c_at, &came_c),
-            ("d", d_at, &came_d),
-        ] {
-            assert_eq!(
-                here.send(
-                    name,
-                    Some(to),
-                    Lane::BestEffort,
-                    FrameKind::Compare,
-                    b"hello"
-                ),
-                Ok(())
-            );
-            until("a frame", || !came.borrow().is_empty()).await;
-            assert!(here.link_counts().0 <= 2);
+fn connections_stay_within_their_limits_and_simultaneous_dials_keep_one() {
+    run(async {
+        let b = transport("b", &[]).await;
+        let c = transport("c", &[]).await;
+        let d = transport("d", &[]).await;
+        let local = transport("a", &[]).await;
+        for (name, peer) in [("b", &b), ("c", &c), ("d", &d)] {
+            assert_eq!(local.send(name, Some(peer.address), b"hello"), Ok(()));
+            wait_for("a frame", || !peer.received.borrow().is_empty()).await;
+            assert!(local.outbound() <= 2);
         }
-        until("the oldest to leave", || b.link_counts() == (0, 0)).await;
-        // Both at once: whichever comes up first, one is left, and both ways carry.
-        assert_eq!(
-            here.send("b", Some(b_at), Lane::BestEffort, FrameKind::Compare, b"1"),
-            Ok(())
-        );
-        assert_eq!(
-            b.send("a", Some(at), Lane::BestEffort, FrameKind::Compare, b"2"),
-            Ok(())
-        );
-        until("both frames", || {
-            came.borrow().iter().any(|(from, _)| from == "b") && came_b.borrow().len() == 2
+        wait_for("the end of the least recently used one", || {
+            b.transport.connection_counts() == ConnectionCounts::default()
+        })
+        .await;
+        // Both dial at once: whichever connection is open first, one is left, and frames pass in both directions.
+        assert_eq!(local.send("b", Some(b.address), b"1"), Ok(()));
+        assert_eq!(b.send("a", Some(local.address), b"2"), Ok(()));
+        wait_for("both frames", || {
+            let from_b = local
+                .received
+                .borrow()
+                .iter()
+                .any(|frame| frame.from == "b");
+            from_b && b.received.borrow().len() == 2
         })
         .await;
-        until("one link", || b.link_counts().0 + b.link_counts().1 == 1).await;
+        wait_for("one connection", || b.outbound() + b.inbound() == 1).await;
 
         let mut strangers = Vec::new();
         for _ in 0..6 {
-            strangers.push(TcpStream::connect(at).await.expect("a listener"));
+            strangers.push(TcpStream::connect(local.address).await.expect("a listener"));
         }
-        until("those that are too many", || {
-            here.counters.borrow().crowded >= 3
+        wait_for("connections beyond the limit", || {
+            local.counters().over_limit >= 3
         })
         .await;
-        // Those that say nothing are told nothing and end.
+        // A connection without a hello is sent nothing, and ends.
         let mut rest = Vec::new();
-        let ended = timeout(PATIENCE, strangers[0].read_to_end(&mut rest))
+        let ended = timeout(LIMIT, strangers[0].read_to_end(&mut rest))
             .await
             .expect("an end");
         assert!(ended.is_err() || rest.is_empty());
@@ -247,20 +281,20 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Guards the bytes of a greeting: front doors of two versions greet each other.
+/// Guards the bytes of a hello: front doors of two versions shake hands.
 #[test]
-fn a_greeting_keeps_its_bytes_on_the_connection() {
+fn a_hello_keeps_its_bytes_on_the_connection() {
     let body = encode_body(&Hello {
         name: "n1".to_owned(),
         to: "n2".to_owned(),
-        life: 0x0123_4567_89ab_cdef,
+        instance_id: 0x0123_4567_89ab_cdef,
     });
     assert_eq!(hex(&body), "026e31026e32ef9bafcdf8acd19101");
-    played(async {
-        let (here, at, _) = transport("a", &[]).await;
-        let mut stream = greet(at, here.codec, "n", "a").await;
+    run(async {
+        let local = transport("a", &[]).await;
+        let mut stream = connect(local.address, local.transport.codec, "n", "a").await;
         let mut reply = [0; 29];
-        timeout(PATIENCE, stream.read_exact(&mut reply))
+        timeout(LIMIT, stream.read_exact(&mut reply))
             .await
             .expect("an answer")
             .expect("a whole one");
@@ -275,21 +309,23 @@
 #[test]
 fn a_frame_of_each_lane_keeps_its_bytes_on_the_connection() {
     for lane in [Lane::Consensus, Lane::Replication, Lane::BestEffort] {
-        played(async move {
-            let (here, at, _) = transport("a", &[]).await;
-            let mut stream = greet(at, here.codec, "n", "a").await;
+        run(async move {
+            let local = transport("a", &[]).await;
+            let mut stream = connect(local.address, local.transport.codec, "n", "a").await;
             let mut reply = [0; 29];
-            timeout(PATIENCE, stream.read_exact(&mut reply))
+            timeout(LIMIT, stream.read_exact(&mut reply))
                 .await
                 .expect("an answer")
                 .expect("a whole one");
-            let sent = here.send("n", None, lane, FrameKind::Compare, b"body");
+            let sent = local
+                .transport
+                .send("n", None, lane, FrameKind::Compare, b"body");
             assert_eq!(sent, Ok(()));
             let mut frame = [0; 28];
             // Heartbeats have no body and may come before.
             loop {
                 let head = &mut frame[..24];
-                timeout(PATIENCE, stream.read_exact(head))
+                timeout(LIMIT, stream.read_exact(head))
                     .await
                     .expect("a frame")
                     .expect("a whole one");
@@ -302,7 +338,7 @@
                 );
             }
             let body = &mut frame[24..];
-            timeout(PATIENCE, stream.read_exact(body))
+            timeout(LIMIT, stream.read_exact(body))
                 .await
                 .expect("a body")
                 .expect("a whole one");
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -100,7 +100,8 @@
                     Box::new(load),
                     Box::new(sized),
                 )
-                .await?,
+                .await
+                .map_err(|error| error.to_string())?,
             )
         }
         None => None,
