--- a/crates/membership/src/bin/cometspool-membership.rs
+++ b/crates/membership/src/bin/cometspool-membership.rs
@@ -1,4 +1,5 @@
-//! Measures simulated fleets for the figures of `docs/MEMBERSHIP.md`: `cometspool-membership [seeds] [sizes…]`.
+//! Measures simulated fleets for the figures of `docs/MEMBERSHIP.md`: `cometspool-membership
+//! [seeds] [sizes…]`.
 
 use cometspool_membership::simulation::{NetworkConditions, Simulation};
 use cometspool_membership::{Change, Millis, Timing};
@@ -164,7 +165,8 @@
     }
 }
 
-/// Members that ran and were declared failed by anybody, per member and hour at this loss. A member counts once.
+/// Members that ran and were declared failed by anybody, per member and hour at this loss. A member
+/// counts once.
 fn false_failures(simulation: &mut Simulation, loss: f64) -> f64 {
     simulation.network.loss = loss;
     let start = simulation.now;
--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -2,7 +2,8 @@
 
 use serde::Serialize;
 
-/// The counters of one process since its start. Their serialized names stand in logs that tools read.
+/// The counters of one process since its start. Their serialized names stand in logs that tools
+/// read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Counters {
     /// Datagrams sent.
@@ -15,7 +16,8 @@
     /// Bytes of the datagrams received.
     #[serde(rename = "heard_bytes")]
     pub received_bytes: u64,
-    /// Datagrams and comparison messages that were malformed or named too many members, and were dropped.
+    /// Datagrams and comparison messages that were malformed or named too many members, and were
+    /// dropped.
     pub malformed: u64,
     /// Comparisons whose digests differed.
     #[serde(rename = "differed")]
--- a/crates/membership/src/effect.rs
+++ b/crates/membership/src/effect.rs
@@ -28,7 +28,8 @@
         /// The datagram, at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES) long.
         bytes: Bytes,
     },
-    /// Send a message of a comparison to a member, on a connection: it may be longer than a datagram.
+    /// Send a message of a comparison to a member, on a connection: it may be longer than a
+    /// datagram.
     SendComparison {
         /// The receiver.
         to: Member,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,9 @@
 //! Membership of a fleet: which members seem present.
 //!
-//! [`Membership`] is SWIM with suspicion (the `foca` crate), Lifeguard's local health and anti-entropy, without sockets, clocks
-//! or threads: datagrams and the time go in; what is to be sent, and what has changed, come out. What it knows is a hint:
-//! nothing that must not happen twice, or that has to add up across members, may depend on it. `docs/MEMBERSHIP.md` states what
+//! [`Membership`] is SWIM with suspicion (the `foca` crate), Lifeguard's local health and
+//! anti-entropy, without sockets, clocks or threads: datagrams and the time go in; what is to be
+//! sent, and what has changed, come out. What it knows is a hint: nothing that must not happen
+//! twice, or that has to add up across members, may depend on it. `docs/MEMBERSHIP.md` states what
 //! it guarantees. [`simulation`] runs any number of members in one process.
 
 #![forbid(unsafe_code)]
--- a/crates/membership/src/load.rs
+++ b/crates/membership/src/load.rs
@@ -1,5 +1,5 @@
-//! Members' reports of how busy they are. A load changes too often to be part of a member's identity, so reports travel on
-//! their own, behind the updates of a datagram.
+//! Members' reports of how busy they are. A load changes too often to be part of a member's
+//! identity, so reports travel on their own, behind the updates of a datagram.
 
 use crate::member::{Member, MAX_MEMBERS, MAX_NAME_BYTES};
 use crate::name::Name;
@@ -10,12 +10,13 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Load reports that all members together send in a second: each costs every member some ten times its 25 bytes, as it is sent
-/// on.
+/// Load reports that all members together send in a second: each costs every member some ten times
+/// its 25 bytes, as it is sent on.
 const LOAD_REPORTS_PER_SECOND: f64 = 5.0;
 /// A load is reported at once if it has changed by this, in thousandths of the member's capacity.
 const LOAD_CHANGE: u16 = 100;
-/// Intervals between reports after which a load that has not changed is repeated, for members that joined since.
+/// Intervals between reports after which a load that has not changed is repeated, for members that
+/// joined since.
 const REPEAT_INTERVALS: f64 = 20.0;
 
 /// A member's report of its load. The order of the fields is the order on the wire.
@@ -46,7 +47,8 @@
     }
 }
 
-/// The last report of each member. The protocol library owns one handle, and [`Membership`](crate::Membership) reads another.
+/// The last report of each member. The protocol library owns one handle, and
+/// [`Membership`](crate::Membership) reads another.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadTable(Rc<RefCell<BTreeMap<Name, LoadReport>>>);
 
@@ -96,8 +98,8 @@
 }
 
 impl LoadReporter {
-    /// The report to send now, if one is due. Every report goes to all members, so the time between two grows with their
-    /// number: all together send no more than [`LOAD_REPORTS_PER_SECOND`].
+    /// The report to send now, if one is due. Every report goes to all members, so the time between
+    /// two grows with their number: all together send no more than [`LOAD_REPORTS_PER_SECOND`].
     pub(crate) fn report(
         &mut self,
         now: Millis,
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,10 +1,11 @@
 //! Lifeguard's local health: how far this process trusts its own judgement of others.
 
-/// Highest score: timeouts are stretched to this many and one times their length (Lifeguard's bound).
+/// Highest score: timeouts are stretched to this many and one times their length (Lifeguard's
+/// bound).
 const MAX_SCORE: u32 = 8;
 
-/// The score of this process. A process that is slow, or hears nobody, is more likely at fault itself than all the others are,
-/// so it probes less often and gives suspected members more time.
+/// The score of this process. A process that is slow, or receives nothing, is more likely at fault
+/// itself than all the others are, so it probes less often and gives suspected members more time.
 #[derive(Debug, Default)]
 pub(crate) struct LocalHealth {
     score: u32,
@@ -30,8 +31,8 @@
         self.score = (self.score + by).min(MAX_SCORE);
     }
 
-    /// Records that the next probe goes out. If nothing at all was received since the last one, that one counts against this
-    /// process.
+    /// Records that the next probe goes out. If nothing at all was received since the last one,
+    /// that one counts against this process.
     pub(crate) fn record_probe(&mut self) {
         if self.probe_pending && !self.any_received {
             self.penalize(1);
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -5,23 +5,25 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Members that are known at most, failed and departed ones included. Messages that name more are dropped.
+/// Members that are known at most, failed and departed ones included. Messages that name more are
+/// dropped.
 pub(crate) const MAX_MEMBERS: usize = 4096;
 /// Longest name of a member, bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 /// Longest name of a zone, bytes.
 pub const MAX_ZONE_BYTES: usize = 32;
 
-/// A member as it describes itself. Two are equal if their names and generations are. The order of the fields is the order on
-/// the wire.
+/// A member as it describes itself. Two are equal if their names and generations are. The order of
+/// the fields is the order on the wire.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Member {
     /// Its name, the same after a restart.
     pub name: Name,
-    /// Orders the processes that had this name: it grows with each start, and each time that a process rejoins after it was
-    /// declared failed. The highest one holds the name.
+    /// Orders the processes that had this name: it grows with each start, and each time that a
+    /// process rejoins after it was declared failed. The highest one holds the name.
     pub generation: u64,
-    /// Drawn at random at each start: tells a process that rejoined from another one under the same name.
+    /// Drawn at random at each start: distinguishes a process that rejoined from another one under
+    /// the same name.
     pub instance_id: u64,
     /// The address that it advertises.
     pub address: SocketAddr,
@@ -65,8 +67,8 @@
 }
 
 impl Identity for Member {
-    // Two names with the same hash would count as one member. Among 4,096 names the chance of that is one in 10^12, which a
-    // hint can bear.
+    // Two names with the same hash would count as one member. Among 4,096 names the chance of that
+    // is one in 10^12, which a hint can bear.
     type Addr = u64;
 
     fn renew(&self) -> Option<Self> {
@@ -85,7 +87,8 @@
     }
 }
 
-/// The state of a member as the protocol spreads it. The order of the variants is their number on the wire.
+/// The state of a member as the protocol spreads it. The order of the variants is their number on
+/// the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
     /// It is present.
@@ -116,7 +119,8 @@
     }
 }
 
-/// A member with its state, as members tell each other. The order of the fields is the order on the wire.
+/// A member with its state, as members exchange it. The order of the fields is the order on the
+/// wire.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberUpdate {
     /// The member.
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: now and then two members compare all that they know, which mends what gossip has missed, and members that are
-//! missing from the view are contacted anew.
+//! Anti-entropy: now and then two members compare all that they know, which mends what gossip has
+//! missed, and members that are missing from the view are contacted anew.
 
 use super::{Membership, TimerEvent};
 use crate::effect::Effect;
@@ -41,8 +41,8 @@
 }
 
 impl Membership {
-    /// Handles a message of a comparison that came at `now`. A malformed one, and one that names more members than can be
-    /// known, is counted and dropped.
+    /// Handles a message of a comparison that came at `now`. A malformed one, and one that names
+    /// more members than can be known, is counted and dropped.
     pub fn handle_comparison(&mut self, now: Millis, bytes: &[u8]) -> ComparisonOutcome {
         self.advance(now);
         if self.defunct {
@@ -104,8 +104,8 @@
             .schedule(after, TimerEvent::AntiEntropy { round });
     }
 
-    /// Schedules a comparison for when the update of a change has had time to reach all members: this process may have missed
-    /// others of the same cause.
+    /// Schedules a comparison for when the update of a change has had time to reach all members:
+    /// this process may have missed others of the same cause.
     pub(super) fn hasten_comparison(&mut self) {
         let soon = self.timing.dissemination_time();
         if self.anti_entropy_interval > soon {
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Contacts a member that should be present and is not: one that is configured, or failed of late. A process that is alone
-    /// contacts more of them, and more often.
+    /// Contacts a member that should be present and is not: one that is configured, or failed of
+    /// late. A process that is alone contacts more of them, and more often.
     pub(super) fn reconnect(&mut self, effects: &mut Vec<Effect>) {
         let now = self.timers.now();
         let retention = self.timing.failed_retention;
@@ -185,8 +185,8 @@
         others.chain((!self.defunct).then_some(local)).collect()
     }
 
-    /// A hash of the members that are present. Suspicions come and go, and members that are down are forgotten at different
-    /// times: neither counts.
+    /// A hash of the members that are present. Suspicions come and go, and members that are down
+    /// are forgotten at different times: neither counts.
     fn digest(&self) -> u64 {
         let mut known: Vec<(&str, u64)> = self
             .foca
--- a/crates/membership/src/membership/datagram.rs
+++ b/crates/membership/src/membership/datagram.rs
@@ -9,8 +9,8 @@
 use std::collections::HashSet;
 
 impl Membership {
-    /// Handles a datagram that came at `now`. A malformed one, and one that names more members than can be known, is counted
-    /// and dropped.
+    /// Handles a datagram that came at `now`. A malformed one, and one that names more members than
+    /// can be known, is counted and dropped.
     pub fn handle_datagram(&mut self, now: Millis, bytes: &[u8]) -> Vec<Effect> {
         self.advance(now);
         let mut effects = Vec::new();
@@ -47,7 +47,7 @@
         self.health.record_datagram();
         match datagram.header.message {
             Message::Ack(_) | Message::ForwardedAck { .. } => self.health.record_ack(),
-            // The reply to an announcement, by which suspected members are asked.
+            // The reply to an announcement, by which suspected members are probed.
             Message::Feed => self.record_answer(&datagram.header.src.name),
             _ => {}
         }
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -1,4 +1,5 @@
-//! The core: datagrams, comparison messages and the time go in; what is to be sent, and what changed, come out.
+//! The core: datagrams, comparison messages and the time go in; what is to be sent, and what
+//! changed, come out.
 
 mod anti_entropy;
 mod datagram;
@@ -34,14 +35,15 @@
     Reconnect,
     /// Compare with a random member, unless a comparison was scheduled since this one.
     AntiEntropy { round: u64 },
-    /// Ask a member that is suspected in this incarnation once more.
+    /// Probe a member that is suspected in this incarnation once more.
     ProbeSuspect { member: Member, incarnation: u16 },
 }
 
 /// Membership as one process of the fleet sees it.
 ///
-/// It reads no clock and owns no socket: the caller passes the time into each call, carries out the [`Effect`]s that a call
-/// returns, and calls [`Membership::tick`] when [`Membership::next_deadline`] has come.
+/// It reads no clock and owns no socket: the caller passes the time into each call, carries out the
+/// [`Effect`]s that a call returns, and calls [`Membership::tick`] when
+/// [`Membership::next_deadline`] has come.
 pub struct Membership {
     foca: Foca<Member, PostcardCodec, StdRng, LoadTable>,
     loads: LoadTable,
@@ -65,8 +67,8 @@
 }
 
 impl Membership {
-    /// A process that starts at `now` in a fleet of about `size` members, as `local`, and is configured with where others may
-    /// be. `seed` is its only source of randomness.
+    /// A process that starts at `now` in a fleet of about `size` members, as `local`, and is
+    /// configured with where others may be. `seed` is its only source of randomness.
     pub fn new(
         now: Millis,
         local: Member,
@@ -103,7 +105,8 @@
             defunct: false,
             anti_entropy_round: 0,
         };
-        // The first attempt is made at once; of many processes that start together each draws whom it contacts.
+        // The first attempt is made at once; of many processes that start together each draws whom
+        // it contacts.
         membership.timers.schedule(0.0, TimerEvent::Reconnect);
         membership.schedule_anti_entropy();
         membership
@@ -124,8 +127,8 @@
         self.counters
     }
 
-    /// Lifeguard's local health score, from 0 (healthy) to 8: probe intervals and suspicion timeouts are this many and one
-    /// times their length.
+    /// Lifeguard's local health score, from 0 (healthy) to 8: probe intervals and suspicion
+    /// timeouts are this many and one times their length.
     pub fn health_score(&self) -> u32 {
         self.health.score()
     }
@@ -166,8 +169,8 @@
         effects
     }
 
-    /// Reports how busy this process is, in thousandths of its capacity, if a report is due. It goes out with the datagrams that
-    /// follow. A load that does not change is repeated seldom.
+    /// Reports how busy this process is, in thousandths of its capacity, if a report is due. It
+    /// goes out with the datagrams that follow. A load that does not change is repeated seldom.
     pub fn report_load(&mut self, now: Millis, load: u16) {
         let members = self.view.present.len();
         let local = self.foca.identity();
@@ -201,7 +204,8 @@
         effects
     }
 
-    /// Moves the time on. A stall counts against this process, not against those that it could not hear.
+    /// Moves the time on. A stall counts against this process, not against those that it could not
+    /// hear.
     fn advance(&mut self, now: Millis) {
         let progress = self.timers.advance(now, self.timing.timer_tolerance);
         if progress == Progress::Stalled {
@@ -210,7 +214,8 @@
         }
     }
 
-    /// Draws a span between a half and one and a half of `span`, so that processes which start together do not stay in step.
+    /// Draws a span between a half and one and a half of `span`, so that processes which start
+    /// together do not stay in step.
     fn jitter(&mut self, span: Millis) -> Millis {
         span * self.rng.random_range(0.5..1.5)
     }
--- a/crates/membership/src/membership/protocol.rs
+++ b/crates/membership/src/membership/protocol.rs
@@ -1,4 +1,5 @@
-//! The protocol library's side: its calls, and what it asks for turned into effects, timers and changes of the view.
+//! The protocol library's side: its calls, and what it asks for turned into effects, timers and
+//! changes of the view.
 
 use super::{Membership, TimerEvent};
 use crate::effect::{Change, Effect};
@@ -121,7 +122,8 @@
         }
     }
 
-    /// Sets a timer of the protocol. The worse the local health, the later probes and the ends of suspicions are.
+    /// Sets a timer of the protocol. The worse the local health, the later probes and the ends of
+    /// suspicions are.
     fn schedule_protocol_timer(&mut self, requested: RequestedTimer) {
         let multiplier = match requested.timer {
             Timer::ProbeRandomMember(_)
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -1,4 +1,5 @@
-//! Suspicions: a member that did not answer a probe may refute the suspicion for a time, and is asked meanwhile.
+//! Suspicions: a member that did not answer a probe may refute the suspicion for a time, and is
+//! probed meanwhile.
 
 use super::anti_entropy::ComparisonMessage;
 use super::{Membership, TimerEvent};
@@ -35,8 +36,8 @@
 }
 
 impl Membership {
-    /// Starts the time in which a member may refute a suspicion, and asks it until it answers. A member that is suspected once
-    /// more in the same incarnation has its time already.
+    /// Starts the time in which a member may refute a suspicion, and probes it until it answers. A
+    /// member that is suspected once more in the same incarnation has its time already.
     pub(super) fn start_suspicion(&mut self, timer: Timer<Member>, timeout: Millis) {
         let Timer::ChangeSuspectToDown {
             member_id,
@@ -61,7 +62,7 @@
         self.timers.schedule(timeout, TimerEvent::Protocol(timer));
     }
 
-    /// Asks a suspected member once more, unless it has answered or refuted the suspicion.
+    /// Probes a suspected member once more, unless it has answered or refuted the suspicion.
     pub(super) fn probe_suspect(
         &mut self,
         member: Member,
@@ -84,9 +85,10 @@
         self.timers.schedule(self.timing.probe_timeout, next);
     }
 
-    /// Whether a timer is the end of a suspicion that must not lead to a failure. A member that answered meanwhile is present
-    /// and its refutation has yet to come: it gets the suspicion timeout once more and is notified of the suspicion, as that
-    /// message may have been lost. Only an answer counts: a member that is heard but hears nothing is of no use.
+    /// Whether a timer is the end of a suspicion that must not lead to a failure. A member that
+    /// answered meanwhile is present and its refutation has yet to come: it gets the suspicion
+    /// timeout once more and is notified of the suspicion, as that message may have been lost. Only
+    /// an answer counts: a member that sends but receives nothing is of no use.
     pub(super) fn extend_suspicion(
         &mut self,
         timer: &Timer<Member>,
@@ -104,9 +106,9 @@
             .suspicions
             .remove(&SuspicionKey::new(member_id, *incarnation));
         if !self.suspects(member_id, *incarnation) {
-            // It has refuted the suspicion. The protocol library would find the timer stale and notify the member of its
-            // failure all the same, as it asks only whether the member is known: the member would rejoin under a new
-            // generation for nothing.
+            // It has refuted the suspicion. The protocol library would find the timer stale and
+            // notify the member of its failure all the same, as it asks only whether the member is
+            // known: the member would rejoin under a new generation for nothing.
             return true;
         }
         let answered = removed.is_some_and(|suspicion| suspicion.answered);
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -1,8 +1,10 @@
-//! Any number of members in one process, on a simulated network: what the tests and the figures run.
+//! Any number of members in one process, on a simulated network: what the tests and the figures
+//! run.
 //!
-//! Time is simulated and nothing waits. All randomness comes from one seed, so a seed replays the same run. Between two members a
-//! datagram can be delayed, lost, duplicated, corrupted or replayed, and a link can be blocked; a member can be killed, paused,
-//! restarted, or started under another's name.
+//! Time is simulated and nothing waits. All randomness comes from one seed, so a seed replays the
+//! same run. Between two members a datagram can be delayed, lost, duplicated, corrupted or
+//! replayed, and a link can be blocked; a member can be killed, paused, restarted, or started under
+//! another's name.
 
 mod network;
 mod node;
@@ -22,7 +24,7 @@
 
 /// Simulated time between two checks of the condition of [`Simulation::run_while`].
 const CHECK_INTERVAL: Millis = 250.0;
-/// Generation of a member that starts when the simulated clock is at nought.
+/// Generation of a member that starts when the simulated clock is at zero.
 const FIRST_GENERATION: f64 = 1_000_000.0;
 /// Members below this index may hold replicas.
 const REPLICA_HOLDERS: usize = 3;
@@ -66,7 +68,8 @@
     event: Event,
 }
 
-/// A fleet in simulated time. Its nodes are numbered from 0; each has a name and an address, and runs at most one member.
+/// A fleet in simulated time. Its nodes are numbered from 0; each has a name and an address, and
+/// runs at most one member.
 pub struct Simulation {
     /// The simulated time.
     pub now: Millis,
@@ -80,7 +83,8 @@
     pub comparison_bytes: u64,
     /// Datagrams that were dropped as their checksum did not match.
     pub corrupted_datagrams: u64,
-    /// What a wall clock shows beyond the simulated time when a member is started: negative if it was set back.
+    /// What a wall clock shows beyond the simulated time when a member is started: negative if it
+    /// was set back.
     pub wall_clock_offset: Millis,
     nodes: Vec<Node>,
     /// The node that receives what is sent to an address.
@@ -91,8 +95,8 @@
 }
 
 impl Simulation {
-    /// A fleet of `count` nodes, none of which is started. Each is configured with `peers_each` others drawn at random, or with
-    /// all of them if that is as many.
+    /// A fleet of `count` nodes, none of which is started. Each is configured with `peers_each`
+    /// others drawn at random, or with all of them if that is as many.
     pub fn new(
         count: usize,
         peers_each: usize,
@@ -124,7 +128,8 @@
         }
     }
 
-    /// Changes the name under which a node starts its next member, for two processes under one name.
+    /// Changes the name under which a node starts its next member, for two processes under one
+    /// name.
     pub fn set_name(&mut self, node: usize, name: &str) {
         name.clone_into(&mut self.nodes[node].name);
     }
@@ -252,8 +257,8 @@
         self.run_while(end, |_| true);
     }
 
-    /// Runs until the simulated time is `end`, or until `condition` no longer holds, which is checked every 250 ms of simulated
-    /// time. Returns whether it no longer holds.
+    /// Runs until the simulated time is `end`, or until `condition` no longer holds, which is
+    /// checked every 250 ms of simulated time. Returns whether it no longer holds.
     pub fn run_while(&mut self, end: Millis, condition: impl Fn(&Simulation) -> bool) -> bool {
         let mut next_check = self.now;
         while let Some(at) = self.events.first_time().filter(|at| *at <= end) {
--- a/crates/membership/src/simulation/network.rs
+++ b/crates/membership/src/simulation/network.rs
@@ -65,8 +65,8 @@
 }
 
 impl Simulation {
-    /// Sends a message of a comparison. It goes over a connection: it arrives whole or not at all, and only if both directions
-    /// carry.
+    /// Sends a message of a comparison. It goes over a connection: it arrives whole or not at all,
+    /// and only if both directions carry.
     pub(super) fn send_comparison(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         let there = Link { from, to };
         let back = Link { from: to, to: from };
@@ -85,7 +85,8 @@
             return;
         }
         if fate.corrupted {
-            // Frames carry a checksum: a corrupted one is counted and dropped before a member sees it.
+            // Frames carry a checksum: a corrupted one is counted and dropped before a member sees
+            // it.
             self.corrupted_datagrams += 1;
             return;
         }
--- a/crates/membership/src/simulation/node.rs
+++ b/crates/membership/src/simulation/node.rs
@@ -7,7 +7,8 @@
 use crate::timing::Millis;
 use std::net::SocketAddr;
 
-/// Messages that wait for a paused process at most, as in the receive buffer of a socket; more are dropped.
+/// Messages that wait for a paused process at most, as in the receive buffer of a socket; more are
+/// dropped.
 const MAX_BACKLOG: usize = 256;
 /// Addresses of one subnet that are used.
 const ADDRESSES_PER_SUBNET: usize = 250;
--- a/crates/membership/src/tests.rs
+++ b/crates/membership/src/tests.rs
@@ -1,5 +1,5 @@
-//! The exact bytes of everything that a member sends. Members of different versions run side by side, so a change of these
-//! bytes is a change of the protocol and never a side effect.
+//! The exact bytes of everything that a member sends. Members of different versions run side by
+//! side, so a change of these bytes is a change of the protocol and never a side effect.
 
 use crate::load::LoadReport;
 use crate::wire::PostcardCodec;
@@ -51,7 +51,8 @@
 /// `member("n3", 1)`.
 const MEMBER_N3: &str = "026e3301ef9bafcdf8acd19101000a0000048c470668616c6c2d61010100";
 
-/// Guards the header of a datagram: the sender, its incarnation, the receiver's name and generation, the message.
+/// Guards the header of a datagram: the sender, its incarnation, the receiver's name and
+/// generation, the message.
 #[test]
 fn a_datagram_header_keeps_its_bytes_for_every_message() {
     let n3 = member("n3", 1);
@@ -111,7 +112,8 @@
     }
 }
 
-/// Guards the update on a member: its identity, its incarnation, and its state, for every state, flag and kind of address.
+/// Guards the update on a member: its identity, its incarnation, and its state, for every state,
+/// flag and kind of address.
 #[test]
 fn a_member_update_keeps_its_bytes_in_every_state() {
     let cases = [
@@ -197,9 +199,10 @@
     assert_eq!(outcome.reply, None);
 }
 
-/// Guards a whole datagram as a peer of another version reads it: header, number of updates, updates, load report.
+/// Guards a complete datagram as a peer of another version reads it: header, number of updates,
+/// updates, load report.
 #[test]
-fn a_whole_datagram_keeps_its_bytes() {
+fn a_complete_datagram_keeps_its_bytes() {
     let mut bytes = Vec::new();
     PostcardCodec
         .encode_header(&header(Message::Announce), &mut bytes)
--- a/crates/membership/src/time_queue.rs
+++ b/crates/membership/src/time_queue.rs
@@ -3,14 +3,16 @@
 use crate::timing::Millis;
 use std::collections::BTreeMap;
 
-/// The bits of a time, which are ordered as the time is because no time is negative, and then the order of insertion.
+/// The bits of a time, which are ordered as the time is because no time is negative, and then the
+/// order of insertion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Key {
     time_bits: u64,
     sequence: u64,
 }
 
-/// Entries in the order of their times; those of the same time in the order in which they were inserted.
+/// Entries in the order of their times; those of the same time in the order in which they were
+/// inserted.
 #[derive(Debug)]
 pub(crate) struct TimeQueue<E> {
     entries: BTreeMap<Key, E>,
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -3,7 +3,8 @@
 use crate::time_queue::TimeQueue;
 use crate::timing::Millis;
 
-/// By how much two sums of the same spans may differ through rounding: a timer that is due within it is due.
+/// By how much two sums of the same spans may differ through rounding: a timer that is due within
+/// it is due.
 const TIME_RESOLUTION: Millis = 1e-3;
 
 /// Whether the process was kept from running.
@@ -15,8 +16,8 @@
     Stalled,
 }
 
-/// Timers that run on active time: the time since the start, without the time in which the process was kept from running. So
-/// whatever was under way when it stalled still gets its full time.
+/// Timers that run on active time: the time since the start, without the time in which the process
+/// was kept from running. So whatever was under way when it stalled still gets its full time.
 #[derive(Debug)]
 pub(crate) struct Timers<E> {
     queue: TimeQueue<E>,
@@ -51,8 +52,8 @@
         Some(self.now + (first - self.active).max(0.0))
     }
 
-    /// Moves the time on to `now`. If that is later than the first timer by more than `tolerance`, the process was stalled, and
-    /// the time after that timer's deadline does not count as active.
+    /// Moves the time on to `now`. If that is later than the first timer by more than `tolerance`,
+    /// the process was stalled, and the time after that timer's deadline does not count as active.
     pub(crate) fn advance(&mut self, now: Millis, tolerance: Millis) -> Progress {
         let deadline = self.next_deadline().unwrap_or(now).max(self.now);
         let stalled = now - deadline > tolerance;
--- a/crates/membership/src/timing.rs
+++ b/crates/membership/src/timing.rs
@@ -5,14 +5,16 @@
 
 /// Milliseconds: a point on the caller's steady clock, or a span between two such points.
 ///
-/// The core reads no clock, so a point has no meaning beyond its order and distance to others from the same caller. Points and
-/// spans are finite and never negative.
+/// The core reads no clock, so a point has no meaning beyond its order and distance to others from
+/// the same caller. Points and spans are finite and never negative.
 pub type Millis = f64;
 
-/// Largest datagram, bytes: with the headers around it, it fits an Ethernet frame and is never fragmented.
+/// Largest datagram, bytes: with the headers around it, it fits an Ethernet frame and is never
+/// fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1300;
 
-/// Gossip rounds after which an update has most likely reached every member, as each round trebles those who have it.
+/// Gossip rounds after which an update has most likely reached every member, as each round trebles
+/// those who have it.
 const DISSEMINATION_ROUNDS: f64 = 10.0;
 
 /// Intervals and timeouts of the protocol.
@@ -20,7 +22,8 @@
 pub struct Timing {
     /// Between two probes; each goes to the next member of a shuffled list.
     pub probe_interval: Millis,
-    /// The target of a probe has to answer within this time; after it, other members are asked to probe it.
+    /// The target of a probe has to answer within this time; after it, other members are asked to
+    /// probe it.
     pub probe_timeout: Millis,
     /// How long a suspected member may refute the suspicion before it is declared failed.
     pub suspicion_timeout: Millis,
@@ -30,7 +33,8 @@
     pub gossip_fanout: usize,
     /// Members that are asked to probe a target which did not answer.
     pub indirect_probes: usize,
-    /// Between two attempts to reach a member that is configured or failed of late, and is missing from the view.
+    /// Between two attempts to reach a member that is configured or failed of late, and is missing
+    /// from the view.
     pub reconnect_interval: Millis,
     /// Longest time between two anti-entropy comparisons with a random member.
     pub anti_entropy_interval: Millis,
@@ -43,8 +47,8 @@
 }
 
 impl Timing {
-    /// The timing for a fleet of about `size` members. Suspicion lasts as long as an update needs to reach all of them, so it
-    /// grows with the logarithm of the size (SWIM, section 4.2).
+    /// The timing for a fleet of about `size` members. Suspicion lasts as long as an update needs
+    /// to reach all of them, so it grows with the logarithm of the size (SWIM, section 4.2).
     pub fn for_size(size: u32) -> Timing {
         let scale = f64::from(size.max(2)).log10().max(1.0);
         Timing {
@@ -67,7 +71,8 @@
         DISSEMINATION_ROUNDS * self.gossip_interval
     }
 
-    /// The same as the protocol library takes it. Its own announcements are off, as anti-entropy does their job.
+    /// The same as the protocol library takes it. Its own announcements are off, as anti-entropy
+    /// does their job.
     pub(crate) fn foca_config(&self, size: u32) -> foca::Config {
         let mut config = foca::Config::new_lan(NonZeroU32::new(size).unwrap_or(NonZeroU32::MIN));
         config.probe_period = to_duration(self.probe_interval);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -26,7 +26,8 @@
 }
 
 impl View {
-    /// The fraction of the fleet that is reachable, from 0 to 1: members present, of those present or failed of late.
+    /// The fraction of the fleet that is reachable, from 0 to 1: members present, of those present
+    /// or failed of late.
     pub fn reachable_fraction(&self) -> f64 {
         self.present.len() as f64 / (self.present.len() + self.failed.len()).max(1) as f64
     }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,5 +1,5 @@
-//! The encoding of datagrams: a header, the number of updates, the updates, and load reports behind them. Values are written
-//! with postcard.
+//! The encoding of datagrams: a header, the number of updates, the updates, and load reports behind
+//! them. Values are written with postcard.
 
 use crate::member::{Member, MemberUpdate};
 use crate::name::Name;
@@ -134,8 +134,8 @@
     }
 }
 
-/// A header as it is read. The order of the fields is the order on the wire. Of the receiver only the name and the generation
-/// are written: it knows the rest.
+/// A header as it is read. The order of the fields is the order on the wire. Of the receiver only
+/// the name and the generation are written: it knows the rest.
 #[derive(Deserialize)]
 struct WireHeader {
     source: Member,
@@ -216,7 +216,8 @@
 }
 
 impl Datagram {
-    /// Reads the header and the updates of a datagram; `None` if they are malformed. Load reports are left to the protocol.
+    /// Reads the header and the updates of a datagram; `None` if they are malformed. Load reports
+    /// are left to the protocol.
     pub(crate) fn decode(mut bytes: &[u8]) -> Option<Datagram> {
         let mut codec = PostcardCodec;
         let header = codec.decode_header(&mut bytes).ok()?;
--- a/crates/membership/tests/replay.rs
+++ b/crates/membership/tests/replay.rs
@@ -1,5 +1,5 @@
-//! A seed replays the same run: the order of the random draws and of the events is part of what the figures and a failing
-//! seed rely on.
+//! A seed replays the same run: the order of the random draws and of the events is part of what the
+//! figures and a failing seed rely on.
 
 use cometspool_membership::simulation::{DelayRange, NetworkConditions, Simulation};
 use cometspool_membership::{Change, Timing};
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Membership under faults, in simulation. What must come about has a limit in simulated time, so the machine's speed does not
-//! matter.
+//! Membership under faults, in simulation. What must come about has a limit in simulated time, so
+//! the machine's speed does not matter.
 
 use cometspool_membership::simulation::{DelayRange, Link, NetworkConditions, Simulation};
 use cometspool_membership::{Change, Member, Membership, Millis, Timing};
@@ -26,7 +26,8 @@
     sim
 }
 
-/// Runs until the members on these nodes know each other and nobody else, which has to come about within a time.
+/// Runs until the members on these nodes know each other and nobody else, which has to come about
+/// within a time.
 fn await_convergence(sim: &mut Simulation, nodes: &[usize], within: Millis, when: &str) {
     let converged = sim.run_while(sim.now + within, |sim| !sim.has_converged(nodes));
     let known: Vec<usize> = nodes
@@ -50,7 +51,8 @@
         .count()
 }
 
-/// Guards the start of a whole fleet at once, the failure of most of it, and a rolling restart of a tenth at a time.
+/// Guards the start of a whole fleet at once, the failure of most of it, and a rolling restart of a
+/// tenth at a time.
 #[test]
 fn a_fleet_of_300_converges_after_start_mass_failure_and_rolling_restart() {
     let mut sim = converged(300, 5, NetworkConditions::default(), 1);
@@ -80,7 +82,8 @@
     }
 }
 
-/// Guards failure detection on bad links: no member that runs is declared failed, and one that was killed is.
+/// Guards failure detection on bad links: no member that runs is declared failed, and one that was
+/// killed is.
 #[test]
 fn loss_duplication_corruption_and_replay_cause_no_false_failure() {
     let network = NetworkConditions {
@@ -111,7 +114,8 @@
     );
 }
 
-/// Guards partial partitions: a member that receives nothing but is received, and two that reach each other only through others.
+/// Guards partial partitions: a member that receives nothing but is received, and two that reach
+/// each other only through others.
 #[test]
 fn members_rejoin_after_one_way_loss_and_a_blocked_pair_stays_connected() {
     let mut sim = converged(12, 11, NetworkConditions::default(), 3);
@@ -133,7 +137,8 @@
     await_convergence(&mut sim, &all, 3.0 * MINUTE, "after it receives again");
 }
 
-/// Guards a process that was paused: it wakes with all its timers due and must not declare the others failed.
+/// Guards a process that was paused: it wakes with all its timers due and must not declare the
+/// others failed.
 #[test]
 fn a_paused_member_declares_no_other_member_failed() {
     let mut sim = converged(10, 9, NetworkConditions::default(), 4);
@@ -156,7 +161,8 @@
     );
 }
 
-/// Guards recovery from a partition: thirds that declared each other failed find each other again without help.
+/// Guards recovery from a partition: thirds that declared each other failed find each other again
+/// without help.
 #[test]
 fn a_partition_into_thirds_heals() {
     let mut sim = converged(30, 5, NetworkConditions::default(), 5);
@@ -179,8 +185,8 @@
     );
 }
 
-/// Guards names: two processes under one name settle it in the same way everywhere, a restarted one takes its own name back even
-/// with a clock that is set back an hour, and `left` is not `failed`.
+/// Guards names: two processes under one name settle it in the same way everywhere, a restarted one
+/// takes its own name back even with a clock that is set back an hour, and `left` is not `failed`.
 #[test]
 fn a_name_has_one_holder_and_a_leave_is_not_a_failure() {
     let mut sim = converged(8, 7, NetworkConditions::default(), 6);
@@ -226,7 +232,8 @@
         .observed_changes
         .iter()
         .any(|observed| observed.observer == 3 && matches!(observed.change, Change::NameLost(_))));
-    // Killed and restarted at once, with its clock an hour back: its generation has to go above its predecessor's.
+    // Killed and restarted at once, with its clock an hour back: its generation has to go above its
+    // predecessor's.
     sim.wall_clock_offset = -3_600_000.0;
     sim.kill(1);
     sim.start(1);
@@ -245,8 +252,9 @@
     }
 }
 
-/// Guards addresses: a member that took over another's address does not count as that one. A list of peers that names only the
-/// process itself, or nobody, makes a fleet of one, which others still find.
+/// Guards addresses: a member that took over another's address does not count as that one. A list
+/// of peers that names only the process itself, or nobody, makes a fleet of one, which others still
+/// find.
 #[test]
 fn a_reused_address_does_not_stand_for_its_previous_member() {
     let mut sim = converged(6, 5, NetworkConditions::default(), 7);
@@ -278,8 +286,8 @@
     );
 }
 
-/// Guards load reports: repeated as a front door does, they reach all members, and the latest one counts even where an earlier
-/// one arrives after it.
+/// Guards load reports: repeated as a front door does, they reach all members, and the latest one
+/// counts even where an earlier one arrives after it.
 #[test]
 fn load_reports_reach_all_members_and_the_latest_wins() {
     let mut sim = converged(
@@ -310,7 +318,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against arbitrary bytes: none end the process, and those that are not a message change nothing.
+    /// Guards against arbitrary bytes: none end the process, and those that are not a message
+    /// change nothing.
     #[test]
     fn arbitrary_bytes_are_dropped_and_counted(
         datagrams in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 1..40),
--- a/src/net/control/fleet_section.rs
+++ b/src/net/control/fleet_section.rs
@@ -1,4 +1,5 @@
-//! The `fleet` section of the configuration: as it is written, and as it is once checked. Without it the fleet layer is off.
+//! The `fleet` section of the configuration: as it is written, and as it is once checked. Without
+//! it the fleet layer is off.
 
 use cometspool_membership::{MAX_NAME_BYTES, MAX_ZONE_BYTES};
 use serde::Deserialize;
@@ -8,7 +9,8 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Descriptors that the fleet layer holds besides its connections: both listeners, and one dial in passing.
+/// Descriptors that the fleet layer holds besides its connections: both listeners, and one dial in
+/// passing.
 const OTHER_DESCRIPTORS: usize = 3;
 
 const CONNECTION_RANGE: RangeInclusive<u64> = 1..=4096;
@@ -55,7 +57,8 @@
     }
 }
 
-/// Another front door, as it is written. Operators read the type's name where the parser finds something else, so it stays.
+/// Another front door, as it is written. Operators read the type's name where the parser finds
+/// something else, so it stays.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Peer {
@@ -76,7 +79,8 @@
     pub trials: bool,
 }
 
-/// The section as it is written. Operators read the type's name where the parser finds something else, so it stays.
+/// The section as it is written. Operators read the type's name where the parser finds something
+/// else, so it stays.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Raw {
@@ -154,7 +158,7 @@
     pub local_name: String,
     /// The fleet's name: frames of another fleet are rejected.
     pub fleet_name: String,
-    /// Tells fleets that had the same name apart: frames of another epoch are rejected.
+    /// Distinguishes fleets of the same name: frames of another epoch are rejected.
     pub epoch: u32,
     /// Where this front door listens for others, on TCP and UDP.
     pub listen: SocketAddr,
@@ -178,7 +182,8 @@
     pub max_queue_bytes: usize,
     /// For a dial and its handshake.
     pub handshake_timeout: Duration,
-    /// Between two heartbeats on a connection without other frames; after four without a whole frame it ends.
+    /// Between two heartbeats on a connection without other frames; after four without a complete
+    /// frame it ends.
     pub heartbeat_interval: Duration,
     /// How long a dialed connection without traffic is kept.
     pub idle_timeout: Duration,
@@ -193,7 +198,8 @@
         raw.check(local_name)
     }
 
-    /// Descriptors that the fleet layer holds at most: its connections, both listeners, and one dial in passing.
+    /// Descriptors that the fleet layer holds at most: its connections, both listeners, and one
+    /// dial in passing.
     pub(crate) fn max_descriptors(&self) -> usize {
         self.max_outbound + self.max_inbound + OTHER_DESCRIPTORS
     }
@@ -262,8 +268,8 @@
     }
 }
 
-/// The addresses of the other front doors by name. One list may serve all of them, so the entry of this one is skipped; a
-/// repeated entry adds nothing.
+/// The addresses of the other front doors by name. One list may serve all of them, so the entry of
+/// this one is skipped; a repeated entry adds nothing.
 fn check_peers(
     peers: Vec<Peer>,
     local_name: &str,
--- a/src/net/fleet/frame.rs
+++ b/src/net/fleet/frame.rs
@@ -1,7 +1,7 @@
 //! Frames: the unit in which front doors send each other messages, on connections and in datagrams.
 //!
-//! A frame is a header of 24 bytes and a body in postcard. Numbers of the header are in network byte order. The header is checked
-//! before a byte of the body is read:
+//! A frame is a header of 24 bytes and a body in postcard. Numbers of the header are in network
+//! byte order. The header is checked before a byte of the body is read:
 //!
 //! | bytes | content |
 //! | --- | --- |
@@ -14,10 +14,10 @@
 //! | 16..20 | the body's length |
 //! | 20..24 | CRC-32C of the header before it, and of the body |
 //!
-//! Versions: a front door reads its own, the next, and the one before. Bodies only ever grow at their end. Fields that a newer
-//! sender appends are ignored; those that an older sender does not know read as zero, empty or none, which is what postcard makes
-//! of zero bytes, so that value of a new field must mean the same as its absence. A frame of an unknown kind is counted and
-//! ignored.
+//! Versions: a front door reads its own, the next, and the one before. Bodies only ever grow at
+//! their end. Fields that a newer sender appends are ignored; those that an older sender does not
+//! know read as zero, empty or none, which is what postcard makes of zero bytes, so that value of a
+//! new field must mean the same as its absence. A frame of an unknown kind is counted and ignored.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/src/net/fleet/frame/tests.rs
+++ b/src/net/fleet/frame/tests.rs
@@ -150,7 +150,8 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Guards the bytes of a frame: front doors of two versions run side by side. The body begins after the checksum.
+/// Guards the bytes of a frame: front doors of two versions run side by side. The body begins after
+/// the checksum.
 #[test]
 fn a_frame_keeps_its_bytes_for_every_kind() {
     let cases: [(FrameKind, &[u8], &str); 4] = [
@@ -193,7 +194,8 @@
     );
 }
 
-/// Guards the bodies of all lanes: a body is the value in postcard and nothing more, or the sender's bytes as they are.
+/// Guards the bodies of all lanes: a body is the value in postcard and nothing more, or the
+/// sender's bytes as they are.
 #[test]
 fn a_body_keeps_its_bytes() {
     let body = encode_body(&("n1", 300u64, Some(-2i32), vec![1u8, 2]));
--- a/src/net/fleet/membership.rs
+++ b/src/net/fleet/membership.rs
@@ -1,4 +1,5 @@
-//! Drives [`Membership`] with sockets and timers: datagrams over UDP, comparisons over the transport.
+//! Drives [`Membership`] with sockets and timers: datagrams over UDP, comparisons over the
+//! transport.
 
 use super::frame::{FrameError, FrameKind};
 use super::outbox::Lane;
@@ -24,7 +25,7 @@
 pub(super) struct ProcessStart {
     /// Front doors of the fleet by the settings.
     pub configured_size: u32,
-    /// Drawn at random: tells this process from all others under its name.
+    /// Drawn at random: distinguishes this process from all others under its name.
     pub instance_id: u64,
     /// The seed of membership's random draws.
     pub seed: u64,
@@ -44,7 +45,8 @@
 }
 
 impl MembershipService {
-    /// The service of a process that has just started. Nothing is sent before [`MembershipService::run`].
+    /// The service of a process that has just started. Nothing is sent before
+    /// [`MembershipService::run`].
     pub(super) fn new(
         section: &FleetSection,
         socket: UdpSocket,
@@ -54,8 +56,8 @@
         on_fleet_size: Box<dyn Fn(u32)>,
     ) -> Rc<MembershipService> {
         let local = Member {
-            // If the clock is right, this is higher than that of any earlier process under this name; if not, the others
-            // report the earlier one's.
+            // If the clock is right, this is higher than that of any earlier process under this
+            // name; if not, the others report the earlier one's.
             generation: clock.now().max(1.0) as u64,
             instance_id: start.instance_id,
             zone: section.zone.clone(),
@@ -92,7 +94,8 @@
                 () = self.next_deadline() => {}
                 () = self.rescheduled.notified() => {}
             }
-            // What arrived while the process was kept from running is handled before timers judge other members.
+            // What arrived while the process was kept from running is handled before timers judge
+            // other members.
             self.receive_batch(&mut buffer);
             let effects = self.membership.borrow_mut().tick(self.clock.now());
             self.apply(effects);
@@ -115,7 +118,8 @@
             .present
             .get(from)
             .map(|member| member.address);
-        // The peer asked on a connection, which carries the reply. A full lane is counted by the transport.
+        // The peer's message came on a connection, which carries the reply. A full lane is counted
+        // by the transport.
         let _ = self
             .transport
             .send(from, address, Lane::BestEffort, FrameKind::Compare, &reply);
@@ -228,7 +232,8 @@
         self.log_change(change);
         let membership = self.membership.borrow();
         let view = membership.view();
-        // A member that failed of late may run on the other side of a partition, and do all that this one does.
+        // A member that failed of late may run on the other side of a partition, and do all that
+        // this one does.
         (self.on_fleet_size)((view.present.len() + view.failed.len()) as u32);
     }
 
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! Front doors that act together.
 //!
-//! Off unless the configuration has a `fleet` section: then none of this exists, neither a socket nor a task nor a call.
-//! `docs/FLEET.md` describes the layers and what each guarantees.
+//! Off unless the configuration has a `fleet` section: then none of this exists, neither a socket
+//! nor a task nor a call. `docs/FLEET.md` describes the layers and what each guarantees.
 
 mod frame;
 mod membership;
@@ -32,8 +32,8 @@
     },
 }
 
-/// Writes the events of the fleet layer to standard error, one JSON object a line, where operators' tools and the fault
-/// injection read them.
+/// Writes the events of the fleet layer to standard error, one JSON object a line, where operators'
+/// tools and the fault injection read them.
 fn init_log() {
     let subscriber = tracing_subscriber::fmt()
         .json()
@@ -55,9 +55,10 @@
 impl Fleet {
     /// Listens for the other front doors and starts to contact them.
     ///
-    /// `configured_size` is the fleet's size by the settings; `seed` is new with each start; `load` returns how busy this front
-    /// door is, in thousandths of its capacity; `on_fleet_size` is called with the number of front doors that are present or
-    /// failed of late whenever that changes.
+    /// `configured_size` is the fleet's size by the settings; `seed` is new with each start; `load`
+    /// returns how busy this front door is, in thousandths of its capacity; `on_fleet_size` is
+    /// called with the number of front doors that are present or failed of late whenever that
+    /// changes.
     ///
     /// # Errors
     ///
@@ -116,7 +117,8 @@
         tokio::task::spawn_local(self.clone().report_status());
     }
 
-    /// Reports the load to the others and the status to the log at intervals, for as long as the front door runs.
+    /// Reports the load to the others and the status to the log at intervals, for as long as the
+    /// front door runs.
     async fn report_status(self: Rc<Self>) {
         loop {
             tokio::time::sleep(self.section.report_interval).await;
@@ -144,7 +146,8 @@
     }
 }
 
-/// Tells this process from all others under its name: no two starts share both their seed and their time.
+/// Distinguishes this process from all others under its name: no two starts share both their seed
+/// and their time.
 fn instance_id(seed: u64, clock: &Clock) -> u64 {
     seed.rotate_left(32) ^ clock.now().to_bits()
 }
--- a/src/net/fleet/outbox.rs
+++ b/src/net/fleet/outbox.rs
@@ -64,8 +64,9 @@
         }
     }
 
-    /// Puts a frame at the end of its lane. In the best-effort lane older frames are dropped for it; in others it is refused
-    /// with [`OutboxFull`], as is a frame that is longer than the limit.
+    /// Puts a frame at the end of its lane. In the best-effort lane older frames are dropped for
+    /// it; in others it is refused with [`OutboxFull`], as is a frame that is longer than the
+    /// limit.
     pub(super) fn push(&mut self, lane: Lane, frame: Bytes) -> Result<(), OutboxFull> {
         if frame.len() > self.limit {
             return Err(OutboxFull);
--- a/src/net/fleet/outbox/tests.rs
+++ b/src/net/fleet/outbox/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// Guards the order and the limits: the lane of the highest priority first, a refusal where nothing may be dropped, the oldest
-/// best-effort frames dropped, and no lane filled by another.
+/// Guards the order and the limits: the lane of the highest priority first, a refusal where nothing
+/// may be dropped, the oldest best-effort frames dropped, and no lane filled by another.
 #[test]
 fn lanes_are_sent_by_priority_and_stay_within_their_limits() {
     let frame = |byte: u8| Bytes::from(vec![byte; 40]);
--- a/src/net/fleet/transport.rs
+++ b/src/net/fleet/transport.rs
@@ -1,8 +1,9 @@
-//! The transport between front doors: a listener, and one kept connection for each peer that is needed.
+//! The transport between front doors: a listener, and one kept connection for each peer that is
+//! needed.
 //!
-//! A connection carries frames in both directions, whichever side dialed. It begins with a handshake, and ends when no whole
-//! frame arrived for four heartbeat intervals: a peer that is silent, slow or does not read costs no more than its own connection
-//! and its outbox.
+//! A connection carries frames in both directions, whichever side dialed. It begins with a
+//! handshake, and ends when no complete frame arrived for four heartbeat intervals: a peer that is
+//! silent, slow or does not read costs no more than its own connection and its outbox.
 
 mod connection;
 pub(super) mod counters;
@@ -27,7 +28,8 @@
 /// Peers that are known at most.
 const MAX_PEERS: usize = 4096;
 
-/// Called with the sender's name and each frame that arrives on a connection, heartbeats and handshakes aside.
+/// Called with the sender's name and each frame that arrives on a connection, heartbeats and
+/// handshakes aside.
 type FrameHandler = dyn Fn(&str, &Frame);
 
 /// Why a frame is not sent.
@@ -42,7 +44,8 @@
     /// The receiver's name cannot be one, or too many peers are known.
     #[error("the receiver's name is invalid, or too many peers are known")]
     UnknownPeer,
-    /// There is no connection, and none can be dialed: no address is known, or too many connections are in use.
+    /// There is no connection, and none can be dialed: no address is known, or too many connections
+    /// are in use.
     #[error("there is no connection, and none can be dialed")]
     NotConnected,
     /// The lane has no space for the frame.
@@ -76,7 +79,7 @@
 }
 
 impl Transport {
-    /// The transport of a front door whose process is told from others under its name by `instance_id`.
+    /// The transport of a front door whose process has this `instance_id`.
     pub(super) fn new(section: FleetSection, instance_id: u64) -> Rc<Transport> {
         let codec = FrameCodec::new(&section.fleet_name, section.epoch, section.max_body_bytes);
         Rc::new(Transport {
@@ -109,7 +112,8 @@
         counts
     }
 
-    /// Where to reach a front door: the configured address takes precedence over the advertised one.
+    /// Where to reach a front door: the configured address takes precedence over the advertised
+    /// one.
     pub(super) fn address_of(
         &self,
         name: &str,
@@ -118,12 +122,14 @@
         self.section.peers.get(name).copied().or(advertised)
     }
 
-    /// Sends a frame to a peer: on the connection that is open, or on one that is dialed for it, at the configured address or
-    /// else at `advertised`. It waits in the outbox until it can be written; a frame that cannot be queued is counted.
+    /// Sends a frame to a peer: on the connection that is open, or on one that is dialed for it, at
+    /// the configured address or else at `advertised`. It waits in the outbox until it can be
+    /// written; a frame that cannot be queued is counted.
     ///
     /// # Errors
     ///
-    /// [`SendError`] says why the frame was not queued. A frame that was queued may still be lost with its connection.
+    /// [`SendError`] says why the frame was not queued. A frame that was queued may still be lost
+    /// with its connection.
     pub(super) fn send(
         self: &Rc<Self>,
         to: &str,
@@ -155,7 +161,7 @@
         let peer = self.peer(to).ok_or(SendError::UnknownPeer)?;
         let connected = peer.is_connected() || peer.dialing.get();
         let dial = self.address_of(to, advertised).filter(|_| !connected);
-        if !connected && (dial.is_none() || !self.make_room_to_dial()) {
+        if !connected && (dial.is_none() || !self.reserve_outbound_slot()) {
             self.remove_if_unused(&peer);
             return Err(SendError::NotConnected);
         }
@@ -180,7 +186,8 @@
         Ok(())
     }
 
-    /// The peer with this name, which is known from now on; `None` if too many are, or the name cannot be one.
+    /// The peer with this name, which is known from now on; `None` if too many are, or the name
+    /// cannot be one.
     fn peer(&self, name: &str) -> Option<Rc<Peer>> {
         let mut peers = self.peers.borrow_mut();
         if let Some(peer) = peers.get(name) {
@@ -202,9 +209,9 @@
         }
     }
 
-    /// Whether one more peer may be dialed. If as many connections as may be are in use, the least recently used one with an
-    /// empty outbox is closed for it.
-    fn make_room_to_dial(&self) -> bool {
+    /// Whether one more peer may be dialed. If as many connections as may be are in use, the least
+    /// recently used one with an empty outbox is closed for it.
+    fn reserve_outbound_slot(&self) -> bool {
         let peers = self.peers.borrow();
         let in_use = peers
             .values()
@@ -226,8 +233,9 @@
         true
     }
 
-    /// Whether this front door's name comes before the peer's. Of two front doors that dialed each other at the same time, the
-    /// connection stays that was dialed by the one whose name comes first.
+    /// Whether this front door's name comes before the peer's. Of two front doors that dialed each
+    /// other at the same time, the connection stays that was dialed by the one whose name comes
+    /// first.
     fn has_first_name(&self, peer: &Peer) -> bool {
         *self.section.local_name < *peer.name
     }
--- a/src/net/fleet/transport/connection.rs
+++ b/src/net/fleet/transport/connection.rs
@@ -12,14 +12,14 @@
 use tokio_stream::StreamExt;
 use tokio_util::bytes::Bytes;
 
-/// Heartbeat intervals without a whole frame after which a connection ends.
+/// Heartbeat intervals without a complete frame after which a connection ends.
 const MISSED_HEARTBEATS: u32 = 4;
 
 /// Why a connection ended.
 enum CloseReason {
     /// The peer closed it, or this side was asked to.
     Closed,
-    /// No whole frame could be read or written in time.
+    /// No complete frame could be read or written in time.
     TimedOut,
     /// It carried nothing for long.
     Idle,
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Ends a connection in favour of another: nothing is written on it, and what the peer has written is read until it ends.
+    /// Ends a connection in favour of another: nothing is written on it, and what the peer has
+    /// written is read until it ends.
     pub(super) async fn drain(self: Rc<Self>, peer: Rc<Peer>, connection: EstablishedConnection) {
         let EstablishedConnection {
             mut reader,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// How long a whole frame may take to be read or written.
+    /// How long a complete frame may take to be read or written.
     fn frame_timeout(&self) -> Duration {
         self.section.heartbeat_interval * MISSED_HEARTBEATS
     }
@@ -141,7 +142,8 @@
         }
     }
 
-    /// Writes frames until the connection ends. If it is asked to close, the peer's last frames are given time to be read.
+    /// Writes frames until the connection ends. If it is asked to close, the peer's last frames are
+    /// given time to be read.
     async fn write_until_drained(
         &self,
         peer: &Peer,
@@ -186,8 +188,8 @@
         }
     }
 
-    /// Waits for the next frame: one from the outbox, or a heartbeat after an interval without one. Only the side that dialed
-    /// closes an idle connection.
+    /// Waits for the next frame: one from the outbox, or a heartbeat after an interval without one.
+    /// Only the side that dialed closes an idle connection.
     async fn next_frame(
         &self,
         peer: &Peer,
--- a/src/net/fleet/transport/counters.rs
+++ b/src/net/fleet/transport/counters.rs
@@ -16,7 +16,8 @@
     /// Connections that ended.
     #[serde(rename = "down")]
     pub connections_closed: u64,
-    /// Of these, those on which no whole frame could be read or written in time; and handshakes that took too long.
+    /// Of these, those on which no complete frame could be read or written in time; and handshakes
+    /// that took too long.
     #[serde(rename = "silent")]
     pub timed_out: u64,
     /// Frames sent on connections.
@@ -29,7 +30,8 @@
     /// Bytes of the frames received.
     #[serde(rename = "read_bytes")]
     pub received_bytes: u64,
-    /// Frames that could not be sent: a full lane, a peer that cannot be dialed, or a body that is too long.
+    /// Frames that could not be sent: a full lane, a peer that cannot be dialed, or a body that is
+    /// too long.
     #[serde(rename = "full")]
     pub send_failed: u64,
     /// Best-effort frames that were dropped for newer ones.
--- a/src/net/fleet/transport/dialer.rs
+++ b/src/net/fleet/transport/dialer.rs
@@ -15,7 +15,8 @@
 const MIN_REDIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// Longest backoff before a peer is dialed again.
 const MAX_REDIAL_BACKOFF: Duration = Duration::from_secs(5);
-/// Dials in a row without a connection after which the frames that waited are dropped: they are out of date by then.
+/// Dials in a row without a connection after which the frames that waited are dropped: they are out
+/// of date by then.
 const MAX_DIALS: usize = 6;
 
 fn redial_backoff() -> ExponentialBackoff {
@@ -28,7 +29,8 @@
 }
 
 impl Transport {
-    /// Dials a peer, and runs the connection, until no frame waits for the peer any more or it cannot be reached.
+    /// Dials a peer, and runs the connection, until no frame waits for the peer any more or it
+    /// cannot be reached.
     pub(super) async fn dial(self: Rc<Self>, peer: Rc<Peer>, address: SocketAddr) {
         let mut backoff = redial_backoff();
         loop {
@@ -60,7 +62,8 @@
         self.remove_if_unused(&peer);
     }
 
-    /// Runs a connection that was dialed, unless one with the same process is open and is the one to keep.
+    /// Runs a connection that was dialed, unless one with the same process is open and is the one
+    /// to keep.
     async fn run_outbound(self: &Rc<Self>, peer: &Rc<Peer>, connection: EstablishedConnection) {
         let same_process = peer
             .connection
--- a/src/net/fleet/transport/handshake.rs
+++ b/src/net/fleet/transport/handshake.rs
@@ -1,4 +1,5 @@
-//! The handshake: the first frame in each direction, which names the sender and the receiver that it means.
+//! The handshake: the first frame in each direction, which names the sender and the receiver that
+//! it means.
 
 use super::Transport;
 use crate::net::fleet::frame::{encode_body, ConnectionError, FrameCodec, FrameError, FrameKind};
--- a/src/net/fleet/transport/listener.rs
+++ b/src/net/fleet/transport/listener.rs
@@ -60,7 +60,8 @@
         Ok(hello)
     }
 
-    /// Whether a connection that this side dialed to the same process stays in place of one that the peer dialed.
+    /// Whether a connection that this side dialed to the same process stays in place of one that
+    /// the peer dialed.
     fn keeps_outbound(&self, peer: &Peer, inbound: &EstablishedConnection) -> bool {
         let dialed_same_process = peer.connection.borrow().as_ref().is_some_and(|connection| {
             connection.direction == Direction::Outbound
--- a/src/net/fleet/transport/peer.rs
+++ b/src/net/fleet/transport/peer.rs
@@ -1,4 +1,5 @@
-//! A peer as the transport knows it: the frames that wait for it, and its connection if one is open.
+//! A peer as the transport knows it: the frames that wait for it, and its connection if one is
+//! open.
 
 use crate::net::fleet::outbox::Outbox;
 use std::cell::{Cell, RefCell};
@@ -65,7 +66,7 @@
 
 /// An open connection.
 pub(super) struct ConnectionHandle {
-    /// Tells it from other connections of this transport.
+    /// Distinguishes it from other connections of this transport.
     pub(super) id: u64,
     /// Which side dialed it.
     pub(super) direction: Direction,
@@ -75,7 +76,8 @@
     pub(super) close: Rc<CloseSignal>,
 }
 
-/// Asks a connection to close. Its writing ends between two frames; what the peer has written is still read.
+/// Asks a connection to close. Its writing ends between two frames; what the peer has written is
+/// still read.
 #[derive(Default)]
 pub(super) struct CloseSignal {
     requested: Cell<bool>,
--- a/src/net/fleet/transport/tests.rs
+++ b/src/net/fleet/transport/tests.rs
@@ -111,8 +111,9 @@
     stream
 }
 
-/// Guards the time of other peers and the memory of this front door: a peer that never reads fills its own outbox and no more,
-/// loses its connection, and delays nobody; one that sends a byte at a time and one that sends nothing lose theirs.
+/// Guards the time of other peers and the memory of this front door: a peer that never reads fills
+/// its own outbox and no more, loses its connection, and delays nobody; one that sends a byte at a
+/// time and one that sends nothing lose theirs.
 #[test]
 fn a_peer_that_stalls_or_sends_slowly_loses_only_its_own_connection() {
     run(async {
@@ -157,7 +158,7 @@
             .expect("it fits");
         let before = local.counters().timed_out;
         for byte in &frame {
-            // It writes until its connection ends, and never a whole frame in time.
+            // It writes until its connection ends, and never a complete frame in time.
             if slow.write_all(&[*byte]).await.is_err() {
                 break;
             }
@@ -180,8 +181,9 @@
     });
 }
 
-/// Guards the handshake, and versions side by side: a hello that is for, or from, another front door leads to no connection; one
-/// of the next version does, and its frames of an unknown kind are ignored.
+/// Guards the handshake, and versions side by side: a hello that is for, or from, another front
+/// door leads to no connection; one of the next version does, and its frames of an unknown kind are
+/// ignored.
 #[test]
 fn a_handshake_with_the_wrong_name_fails_and_the_next_version_connects() {
     run(async {
@@ -228,8 +230,8 @@
     });
 }
 
-/// Guards the number of connections: no more are dialed or accepted than the section allows, the least recently used one is
-/// closed, and two front doors that dial each other keep one.
+/// Guards the number of connections: no more are dialed or accepted than the section allows, the
+/// least recently used one is closed, and two front doors that dial each other keep one.
 #[test]
 fn connections_stay_within_their_limits_and_simultaneous_dials_keep_one() {
     run(async {
@@ -246,7 +248,8 @@
             b.transport.connection_counts() == ConnectionCounts::default()
         })
         .await;
-        // Both dial at once: whichever connection is open first, one is left, and frames pass in both directions.
+        // Both dial at once: whichever connection is open first, one is left, and frames pass in
+        // both directions.
         assert_eq!(local.send("b", Some(b.address), b"1"), Ok(()));
         assert_eq!(b.send("a", Some(local.address), b"2"), Ok(()));
         wait_for("both frames", || {
@@ -297,7 +300,7 @@
         timeout(LIMIT, stream.read_exact(&mut reply))
             .await
             .expect("an answer")
-            .expect("a whole one");
+            .expect("a complete one");
         assert_eq!(
             hex(&reply),
             "4353000100010000151a27db0000000000000005e2637adc0161016e61"
@@ -305,7 +308,8 @@
     });
 }
 
-/// Guards the bytes of each lane on a connection: the lane decides when a frame goes, and leaves no mark on it.
+/// Guards the bytes of each lane on a connection: the lane decides when a frame goes, and leaves no
+/// mark on it.
 #[test]
 fn a_frame_of_each_lane_keeps_its_bytes_on_the_connection() {
     for lane in [Lane::Consensus, Lane::Replication, Lane::BestEffort] {
@@ -316,7 +320,7 @@
             timeout(LIMIT, stream.read_exact(&mut reply))
                 .await
                 .expect("an answer")
-                .expect("a whole one");
+                .expect("a complete one");
             let sent = local
                 .transport
                 .send("n", None, lane, FrameKind::Compare, b"body");
@@ -328,7 +332,7 @@
                 timeout(LIMIT, stream.read_exact(head))
                     .await
                     .expect("a frame")
-                    .expect("a whole one");
+                    .expect("a complete one");
                 if head[5] != 2 {
                     break;
                 }
@@ -341,7 +345,7 @@
             timeout(LIMIT, stream.read_exact(body))
                 .await
                 .expect("a body")
-                .expect("a whole one");
+                .expect("a complete one");
             assert_eq!(
                 hex(&frame),
                 "4353000100110000151a27db0000000000000004641051da626f6479",
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,13 +1,14 @@
-//! Several processes of the program under faults, on the rig.
+//! Several processes of the built program under injected faults.
 
 use cometspool_fault_injection::load::Pace;
 use cometspool_fault_injection::{check, Plan, Rig};
 use nix::sys::signal::Signal;
 
-/// Guards the rig's own ground on the program as it was before front doors spoke to each other: under load, a process
-/// that is killed, one that stands still and one that is stopped break no rule, and those that went on lose nothing.
+/// Guards the fault injection itself, on front doors that do not know each other: under load, a
+/// process that is killed, one that is paused and one that shuts down violate no invariant, and
+/// those that run on lose nothing.
 #[test]
-fn processes_that_share_nothing_keep_the_rules_under_kills_and_pauses() {
+fn front_doors_without_a_fleet_serve_through_kills_pauses_and_shutdowns() {
     let mut rig = Rig::start(&Plan {
         processes: 4,
         fleet: None,
@@ -46,11 +47,11 @@
     );
 }
 
-/// Guards what a front door keeps for its successor against a disk that is full for a while, and a running front door against a
-/// clock that is set: it says what it cannot hand over, goes on serving, writes anew once the disk takes it, and what its
-/// predecessor left is still refused to run again.
+/// Guards the hand-over file against a disk that is full for a while, and a running front door
+/// against a clock step: it reports what it cannot hand over, goes on serving, writes the file
+/// again once there is space, and what its predecessor has run is not run again.
 #[test]
-fn a_full_disk_and_a_clock_that_is_set_stop_nobody() {
+fn a_full_disk_and_a_clock_step_do_not_interrupt_service() {
     let plan = Plan {
         processes: 2,
         fleet: None,
@@ -98,18 +99,18 @@
     assert_eq!(check::all(&rig.history.events()), []);
 }
 
-/// A counter of the way that a process tells.
-fn way(rig: &Rig, i: usize, name: &str) -> u64 {
+/// A counter of the transport that a process reported.
+fn transport_counter(rig: &Rig, i: usize, name: &str) -> u64 {
     rig.told(i)
         .and_then(|event| event.more["way"][name].as_u64())
         .unwrap_or_default()
 }
 
-/// Guards membership on real processes: a start, a death, a pause past all limits, a planned stop, and a split that heals,
-/// under load; the ordinary path keeps its rules throughout.
+/// Guards membership on real processes: a start, a kill, a pause beyond all timeouts, a partition
+/// that heals, and a graceful shutdown, under load; requests are served by the rules throughout.
 #[test]
-fn processes_find_lose_and_find_each_other() {
-    // With all that the live size paces switched on.
+fn membership_converges_after_kill_pause_partition_and_leave() {
+    // With everything enabled that is paced by the number of front doors present.
     let pace = serde_json::json!({"pace": {"discovery": true, "dials": true, "trials": true}});
     let plan = Plan {
         processes: 6,
@@ -177,10 +178,10 @@
     );
 }
 
-/// Guards the way against what comes from outside, and against peers that are cut off in the middle: each is counted, ends
-/// its connection, and membership goes on.
+/// Guards the transport against foreign bytes, and against peers whose frames are corrupted or cut
+/// off: each is counted, ends its connection, and membership goes on.
 #[test]
-fn foreign_damaged_and_halved_frames_are_counted_and_end_their_connection() {
+fn foreign_corrupted_and_truncated_frames_are_counted_and_close_their_connection() {
     use std::io::{Read, Write};
     let mut rig = Rig::start(&Plan {
         processes: 2,
@@ -195,43 +196,48 @@
         .unwrap();
     let mut head = b"CS\0\x01\0\x01\0\0".to_vec();
     head.extend([0; 16]);
-    let strangers: [(&str, Vec<u8>); 3] = [
+    let foreign: [(&str, Vec<u8>); 3] = [
         ("mark", b"GET / HTTP/1.1\r\nHost: somebody\r\n\r\n".to_vec()),
         ("fleet", head),
         ("silent", b"CS".to_vec()),
     ];
-    for (counter, bytes) in strangers {
+    for (counter, bytes) in foreign {
         let mut stream = std::net::TcpStream::connect(at).expect("a listener");
         stream.write_all(&bytes).expect("room");
         let mut rest = Vec::new();
-        // It is closed, or reset for what it has not read.
+        // The connection is closed, or reset for bytes that were not read.
         let _ = stream.read_to_end(&mut rest);
-        assert_eq!(rest, b"", "{counter}: a stranger is told nothing");
-        rig.wait(counter, |rig| (way(rig, 0, counter) >= 1).then_some(()));
+        assert_eq!(rest, b"", "{counter}: a foreign connection is sent nothing");
+        rig.wait(counter, |rig| {
+            (transport_counter(rig, 0, counter) >= 1).then_some(())
+        });
     }
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    let before = way(&rig, 0, "mark");
+    let before = transport_counter(&rig, 0, "mark");
     socket.send_to(b"no frame", at).expect("sent");
     rig.wait("a counted datagram", |rig| {
-        (way(rig, 0, "mark") > before).then_some(())
+        (transport_counter(rig, 0, "mark") > before).then_some(())
     });
-    // From now on one byte of each datagram is changed: checksums find all of them, and each takes the other for gone.
+    // From now on one byte of each datagram is changed: checksums detect all of them, and each
+    // declares the other failed.
     let damaged = cometspool_fault_injection::link::Quality {
         damage: 1.0,
         ..Default::default()
     };
     rig.between(&[0], &[1], &damaged);
     rig.wait("damage found", |rig| {
-        (way(rig, 0, "checksum") + way(rig, 1, "checksum") >= 5).then_some(())
+        (transport_counter(rig, 0, "checksum") + transport_counter(rig, 1, "checksum") >= 5)
+            .then_some(())
     });
     rig.agree(&[0], "one alone");
     rig.heal();
     rig.agree(&[0, 1], "two again");
 }
 
-/// Guards a running fleet against a bad section at SIGHUP: it is told with its key, and the old one goes on.
+/// Guards a running fleet against an invalid section at SIGHUP: it is reported with its key, and
+/// the old one stays in force.
 #[test]
-fn a_bad_section_at_sighup_changes_nothing() {
+fn an_invalid_section_at_sighup_keeps_the_old_configuration() {
     let mut rig = Rig::start(&Plan {
         processes: 2,
         ..Plan::default()
@@ -241,7 +247,7 @@
     rig.processes[0]
         .reload(|config| config["fleet"]["links"] = 0.into())
         .expect("a file");
-    rig.wait("a word on the bad key", |rig| {
+    rig.wait("a line on the invalid key", |rig| {
         let told = |text: &str| {
             text.contains("the old configuration goes on") && text.contains("fleet.links")
         };
@@ -252,7 +258,7 @@
                 .then_some(())
         })
     });
-    // It still finds the other when that comes back.
+    // It still finds the other after that is restarted.
     rig.processes[1].kill();
     rig.agree(&[0], "one alone");
     rig.start_one(1).expect("a start");
@@ -260,10 +266,10 @@
     assert_eq!(check::no_crash(&rig.history.events()), []);
 }
 
-/// Guards the start: what is wrong in the section is told with its key, on one line, with exit code 2. A clock that is off is a
-/// test's alone.
+/// Guards the start: a fault in the section is reported with its key, on one line, with exit code
+/// 2. A simulated clock error is rejected outside a test.
 #[test]
-fn a_bad_fleet_section_names_its_key() {
+fn an_invalid_fleet_section_at_start_names_its_key() {
     use cometspool_fault_injection::hand::{settings, spawn};
     use serde_json::json;
     let good = json!({"name": "f", "listen": "127.0.0.1:9", "peers": []});
@@ -318,11 +324,13 @@
     );
 }
 
-/// Guards the rules under the fixed schedules, each of which has to act: what it says it does must show in its history.
+/// Guards the invariants under the fixed fault schedules, each of which has to act: the faults that
+/// it names must show in its history.
 #[test]
-fn fixed_schedules_break_no_rule_and_their_faults_act() {
+fn fixed_fault_schedules_inject_their_faults_and_violate_no_invariant() {
     use cometspool_fault_injection::schedule::{play, Schedule};
-    // What is to be found of each: in the counters of the links, or among the events.
+    // The faults that must show of each schedule: in the counters of the links, or among the
+    // events.
     let schedules: [(&str, &str, &[&str]); 3] = [
         (
             "thirds",
