--- a/src/net/control/config.rs
+++ b/src/net/control/config.rs
@@ -68,7 +68,7 @@
     /// Descriptors that clients and backends may use: what the fleet layer leaves of the limit.
     pub(crate) fn descriptor_budget(&self) -> usize {
         let fleet_descriptors = match &self.fleet {
-            Some(section) => section.descriptors(),
+            Some(section) => section.max_descriptors(),
             None => 0,
         };
         self.limits.sockets.saturating_sub(fleet_descriptors)
--- a/src/net/control/config/file.rs
+++ b/src/net/control/config/file.rs
@@ -3,7 +3,7 @@
 use super::error::ConfigError;
 use super::flatten::to_lines;
 use crate::net::control::endpoint_list::EndpointList;
-use crate::net::control::fleet_section::{FleetSection, SectionError};
+use crate::net::control::fleet_section::FleetSection;
 use crate::net::runtime::clock::Skew;
 use cometspool::settings::{self, ParsedSettings};
 use serde::Deserialize;
@@ -91,15 +91,7 @@
             return Ok(None);
         };
         let section = FleetSection::parse(value, own)?;
-        let sockets = self.limits.sockets;
-        if sockets < section.descriptors() + MIN_SOCKETS {
-            let error = SectionError::Descriptors {
-                accepted: section.accepted,
-                links: section.links,
-                sockets,
-            };
-            return Err(error.into());
-        }
+        section.check_descriptors(self.limits.sockets, MIN_SOCKETS)?;
         Ok(Some(section))
     }
 
--- a/src/net/control/config/file/tests.rs
+++ b/src/net/control/config/file/tests.rs
@@ -46,7 +46,7 @@
         .fleet_section("n0")
         .expect("usable")
         .expect("a section");
-    assert_eq!(fleet.descriptors(), 5 + 6 + 3);
+    assert_eq!(fleet.max_descriptors(), 5 + 6 + 3);
     let skewed = crate::net::runtime::clock::Clock::skewed(file.clock.expect("a clock"));
     let right = crate::net::runtime::clock::Clock::new();
     let ahead = skewed.now() - right.now();
