--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -19,8 +19,13 @@
 pub(super) enum ComparisonMessage {
     /// The digest of what the sender knows. A receiver with the same one does not reply.
     Digest(u64),
-    /// Updates on members, and whether the receiver's own are wanted back.
-    Updates(Vec<MemberUpdate>, bool),
+    /// What the sender knows of members. The order of the fields is the order on the wire.
+    Updates {
+        /// The updates.
+        updates: Vec<MemberUpdate>,
+        /// Whether the receiver is to send its own updates back.
+        reply_wanted: bool,
+    },
 }
 
 impl ComparisonMessage {
@@ -50,9 +55,10 @@
         }
         match postcard::from_bytes(bytes) {
             Ok(ComparisonMessage::Digest(digest)) => self.handle_digest(digest),
-            Ok(ComparisonMessage::Updates(updates, reply_wanted))
-                if updates.len() <= MAX_MEMBERS && self.has_capacity(&updates) =>
-            {
+            Ok(ComparisonMessage::Updates {
+                updates,
+                reply_wanted,
+            }) if updates.len() <= MAX_MEMBERS && self.has_capacity(&updates) => {
                 self.handle_updates(updates, reply_wanted)
             }
             _ => {
@@ -69,7 +75,7 @@
         self.counters.digest_mismatches += 1;
         ComparisonOutcome {
             effects: Vec::new(),
-            reply: Some(ComparisonMessage::Updates(self.updates(), true).encode()),
+            reply: Some(self.encode_updates(true)),
         }
     }
 
@@ -90,8 +96,7 @@
         self.run_protocol(&mut effects, |foca, output| {
             foca.apply_many(members, true, output)
         });
-        let reply =
-            reply_wanted.then(|| ComparisonMessage::Updates(self.updates(), false).encode());
+        let reply = reply_wanted.then(|| self.encode_updates(false));
         ComparisonOutcome { effects, reply }
     }
 
@@ -175,6 +180,15 @@
         }
     }
 
+    /// The message with all that is known.
+    fn encode_updates(&self, reply_wanted: bool) -> Vec<u8> {
+        let message = ComparisonMessage::Updates {
+            updates: self.updates(),
+            reply_wanted,
+        };
+        message.encode()
+    }
+
     /// All that is known: every member with its state, and this process.
     fn updates(&self) -> Vec<MemberUpdate> {
         let local = MemberUpdate::alive(self.local_member().clone());
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -119,9 +119,13 @@
                 incarnation: *incarnation,
                 state: MemberState::Suspect,
             };
+            let message = ComparisonMessage::Updates {
+                updates: vec![update],
+                reply_wanted: false,
+            };
             effects.push(Effect::SendComparison {
                 to: member_id.clone(),
-                bytes: ComparisonMessage::Updates(vec![update], false).encode(),
+                bytes: message.encode(),
             });
         }
         answered
