--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -2,7 +2,7 @@
 
 use super::guards::{CeilingPart, OpenCap};
 use super::{Refused, Terms};
-use crate::measure::{deviations, zipf_part, Cewma};
+use crate::measure::{normal_quantile, zipf_share, Cewma};
 use crate::policy_api::*;
 use std::collections::BTreeMap;
 use std::f64::consts::LN_2;
@@ -317,8 +317,9 @@
         }
         let quota = plan.rate / 1000.0 / part.lambda * (1.0 - (-part.lambda * seen.age).exp());
         let doubt = plan.doubt(1.0 - seen.opening);
-        let sure =
-            |asked: f64, held: f64| (asked + deviations(doubt) * (asked * usual).sqrt()) / held;
+        let sure = |asked: f64, held: f64| {
+            (asked + normal_quantile(doubt) * (asked * usual).sqrt()) / held
+        };
         let burst = if self.metered.used > self.metered.held {
             0.0
         } else {
@@ -338,7 +339,7 @@
     fn sudden(&self, now: Millis, plan: &Plan, part: &Part, of: &Request, opening: f64) -> f64 {
         let quick = HALFLIFE_BURSTS * part.lambda;
         let (holds, told) = (plan.rate / 1000.0 / quick + plan.burst, &self.metered);
-        let likely = zipf_part(part.spread, plan.doubt(1.0 - opening));
+        let likely = zipf_share(part.spread, plan.doubt(1.0 - opening));
         let least = if now - part.told < 1.0 / part.lambda {
             likely
         } else {
--- a/src/policy/backends.rs
+++ b/src/policy/backends.rs
@@ -2,7 +2,7 @@
 
 use super::guards::Due;
 use super::Terms;
-use crate::measure::{uniform, Fading, Ratio};
+use crate::measure::{uniform, DecayingRatio, DecayingScore};
 use crate::policy_api::*;
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
@@ -51,10 +51,10 @@
 pub(super) struct Backend {
     pub entry: BackendEntry,
     pub out: BTreeMap<RequestId, Flight>,
-    pace: Ratio, // time over load at the send, over recent answers
+    pace: DecayingRatio, // time over load at the send, over recent answers
     last_answer: Millis,
     answered: BTreeMap<ClassId, Millis>, // when it last answered each that it was sent
-    faults: BTreeMap<Fault, Fading>, // how far it is at fault, from nought to one, and as of when
+    faults: BTreeMap<Fault, DecayingScore>, // how far it is at fault, from nought to one, and as of when
     set_aside: bool,
     ejected_until: Millis, // beyond that time it is half-open
     pub ejections: u32,    // in a row
@@ -66,7 +66,7 @@
         Backend {
             entry,
             out: BTreeMap::new(),
-            pace: Ratio::default(),
+            pace: DecayingRatio::default(),
             last_answer: now,
             answered: BTreeMap::new(),
             faults: BTreeMap::new(),
@@ -112,7 +112,7 @@
     pub all: Vec<Backend>, // in the order of their ids
     pub ready: Vec<usize>, // places of those that may be sent to
     pub doors: f64,        // front doors that seem present: never fewer than the settings tell
-    pace: Ratio,           // as of each backend, over all
+    pace: DecayingRatio,   // as of each backend, over all
 }
 
 impl Fleet {
@@ -122,7 +122,7 @@
             terms,
             all: Vec::new(),
             ready: Vec::new(),
-            pace: Ratio::default(),
+            pace: DecayingRatio::default(),
         }
     }
 
@@ -138,17 +138,17 @@
 
     /// Time per unit of load at all backends.
     pub(super) fn common_pace(&self) -> f64 {
-        self.pace.get().unwrap_or(self.terms.aim / 10.0)
+        self.pace.value().unwrap_or(self.terms.aim / 10.0)
     }
 
     /// Time per unit of load at a backend; with few answers, nearer to that of all.
     pub(super) fn pace(&self, backend: &Backend) -> f64 {
-        let prior = if self.pace.below > 0.0 {
-            self.pace.below / PACE_MEMORY
+        let prior = if self.pace.denominator > 0.0 {
+            self.pace.denominator / PACE_MEMORY
         } else {
             1.0
         };
-        (backend.pace.above + prior * self.common_pace()) / (backend.pace.below + prior)
+        (backend.pace.numerator + prior * self.common_pace()) / (backend.pace.denominator + prior)
     }
 
     /// The least time until a request sent now would be begun at any, as far as own attempts tell.
@@ -208,7 +208,7 @@
         backend
             .faults
             .get(&fault)
-            .map_or(0.0, |score| score.left(now, self.halflife(fault)))
+            .map_or(0.0, |score| score.decayed(now, self.halflife(fault)))
     }
 
     fn halflife(&self, fault: Fault) -> Millis {
@@ -280,9 +280,9 @@
             let others = self.all.len().saturating_sub(1).max(1) as f64;
             self.all[at]
                 .pace
-                .feed(PACE_MEMORY, settled.elapsed.max(0.0), flight.load);
+                .record(PACE_MEMORY, settled.elapsed.max(0.0), flight.load);
             self.pace
-                .feed(PACE_MEMORY * others, settled.elapsed.max(0.0), flight.load);
+                .record(PACE_MEMORY * others, settled.elapsed.max(0.0), flight.load);
         }
         self.all[at].answered.entry(class).or_insert(now);
         self.all[at].last_answer = now;
@@ -348,7 +348,7 @@
             .faults
             .entry(fault)
             .or_default()
-            .move_to(now, halflife, toward, step);
+            .move_toward(now, halflife, toward, step);
     }
 
     /// Takes up the list, the whole of it or what has changed.
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,7 +1,7 @@
 //! Attempts: how long one is waited for, when and where a request is sent again, and when it is given up.
 
 use super::Terms;
-use crate::measure::Quantile;
+use crate::measure::QuantileEstimator;
 use crate::policy_api::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -76,7 +76,7 @@
     pub live: BTreeMap<RequestId, Live>,
     pub retries: f64,
     pub broke_at: Millis, // when a connection to a backend broke last
-    quick: BTreeMap<ClassId, Quantile>, // the time that few good answers came within, after the first
+    quick: BTreeMap<ClassId, QuantileEstimator>, // the time that few good answers came within, after the first
 }
 
 impl Attempts {
@@ -119,7 +119,7 @@
         let quick = self
             .quick
             .get(&live.request.class)
-            .map_or(0.0, Quantile::get);
+            .map_or(0.0, QuantileEstimator::estimate);
         self.cut(live) - now > quick.max(self.terms.set.tick)
     }
 
@@ -128,8 +128,8 @@
         let quick = self
             .quick
             .entry(class)
-            .or_insert(Quantile::new(elapsed / 2.0));
-        quick.feed(elapsed, QUICKEST, QUICK_STEP);
+            .or_insert(QuantileEstimator::new(elapsed / 2.0));
+        quick.observe(elapsed, QUICKEST, QUICK_STEP);
     }
 
     pub(super) fn earn_retries(&mut self) {
