--- a/src/measure.rs
+++ b/src/measure.rs
@@ -68,7 +68,8 @@
 }
 
 impl DecayingScore {
-    /// The score at `now`: `value · 2^(−(now − updated_at) / halflife)`. With an infinite halflife it does not decay.
+    /// The score at `now`: `value · 2^(−(now − updated_at) / halflife)`; it does not decay where the halflife is
+    /// infinite.
     pub(crate) fn decayed(&self, now: Millis, halflife: Millis) -> f64 {
         if self.value == 0.0 {
             return 0.0;
--- a/src/policy/backends.rs
+++ b/src/policy/backends.rs
@@ -1,396 +1,396 @@
-//! What a gateway holds of each backend: its line of the list, attempts out, pace, what it is shunned for.
+//! What a gateway keeps of each backend: its entry of the endpoint list, attempts in flight, and time per unit.
 
-use super::guards::Due;
-use super::Terms;
-use crate::measure::{uniform, DecayingRatio, DecayingScore};
+use super::outlier_detection::{self, FaultHistory};
+use super::slow_start::SlowStartBudget;
+use super::PolicyContext;
+use crate::measure::{uniform, DecayingRatio};
 use crate::policy_api::*;
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-// Backends, in whole warm ones, that a gateway of many keeps to at least: few enough that its connections are
-// used again and that it hears from each often, enough that losing some leaves room.
-pub(super) const CIRCLE_LEAST: f64 = 12.0;
-const PACE_MEMORY: f64 = 16.0; // answers over which a backend's time per unit of load is averaged
-const SILENCE: f64 = 3.0; // times what its oldest attempt should have taken after which a backend is overdue
-const FAULT_AIMS: f64 = 4.0; // shortest aims in which a fault halves without news
-const HANGING_AIMS: f64 = 8.0; // one of hanging in this many: trying it out costs a request all of its time
-pub(super) const FORGOTTEN: f64 = 0.1; // a fault that is no hindrance: it lets one request try
-const FAULT_STEP: f64 = 0.4; // how far one failure moves a fault toward one
-const BREAK_STEP: f64 = 0.1; // how far a broken connection does: one that is refused or silent tells far more
-const TRUST_STEP: f64 = 0.2; // how far one good answer moves it toward nought
-const SET_ASIDE: f64 = 0.5; // a fault that is reported as set aside, and half of which takes it back
+/// Least subset of one of many gateways, in warm backends: few enough that its connections are reused and that it
+/// hears from each often, enough that losing some leaves capacity.
+pub(super) const MIN_SUBSET: f64 = 12.0;
+/// Responses over which a backend's time per unit of load is averaged.
+const UNIT_TIME_MEMORY: f64 = 16.0;
+/// Units of load in a shortest latency objective, assumed before the first response.
+const INITIAL_UNITS_PER_OBJECTIVE: f64 = 10.0;
+/// Multiple of its oldest attempt's expected time after which a backend is overdue.
+const OVERDUE_FACTOR: f64 = 3.0;
+/// Range of the weights that are accepted from the endpoint list.
+const MIN_WEIGHT: f64 = 0.01;
+/// See [`MIN_WEIGHT`].
+const MAX_WEIGHT: f64 = 1e6;
 
-// A backend that answers with errors is ejected for this many shortest aims at least, and for one for each
-// gateway that meets it: together they try it once an aim. Each failed trial doubles it, so many times.
-const EJECT_AIMS: f64 = 4.0;
-const EJECT_DOUBLINGS: u32 = 4;
-const PANIC_PART: f64 = 0.5; // of the backends, above which ejection is ignored: it is no fault of theirs
-
-/// What a backend is at fault in: whatever fails, to all alike; that its answers are errors; that it turns
-/// one plan away with room for others (one that is full for all is found out by each); that it lets a class
-/// hang and answers others, or hangs for all. The last hurts, by a detour, where one answer alone was lost.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Fault {
-    Failing,
-    Errors,
-    Full(PlanId),
-    Hanging(ClassId),
-}
-
-/// An attempt that is out.
+/// An attempt in flight at a backend.
 #[derive(Clone, Copy)]
-pub(super) struct Flight {
-    pub at: Millis,
+pub(super) struct InFlight {
+    /// When it was sent, ms.
+    pub sent_at: Millis,
     pub class: ClassId,
+    /// Units in flight there from this gateway at that time, its own included.
     pub load: f64,
+    /// Its own units.
     pub units: f64,
 }
 
-/// What a gateway holds of one backend.
+/// What the end of an attempt shows of its backend.
+pub(super) struct AttemptEvidence {
+    /// Whether it ended by its timeout, or was cancelled: the last attempt of a request is cancelled at the final
+    /// deadline, before its own timeout.
+    pub timed_out: bool,
+    /// Whether it was overdue without news of its class.
+    pub was_hanging: bool,
+    /// Whether nothing has come from the backend since the attempt was sent.
+    pub was_silent: bool,
+}
+
+/// What a gateway keeps of one backend.
 pub(super) struct Backend {
     pub entry: BackendEntry,
-    pub out: BTreeMap<RequestId, Flight>,
-    pace: DecayingRatio, // time over load at the send, over recent answers
-    last_answer: Millis,
-    answered: BTreeMap<ClassId, Millis>, // when it last answered each that it was sent
-    faults: BTreeMap<Fault, DecayingScore>, // how far it is at fault, from nought to one, and as of when
-    set_aside: bool,
-    ejected_until: Millis, // beyond that time it is half-open
-    pub ejections: u32,    // in a row
-    pub due: Due,
+    pub in_flight: BTreeMap<RequestId, InFlight>,
+    /// Time over load at the send, over recent responses.
+    unit_time: DecayingRatio,
+    /// When an attempt there last ended, ms.
+    last_news_at: Millis,
+    /// When it last answered each class that it was sent, ms.
+    answered_at: BTreeMap<ClassId, Millis>,
+    pub faults: FaultHistory,
+    pub budget: SlowStartBudget,
 }
 
 impl Backend {
-    fn new(entry: BackendEntry, now: Millis, debt: f64) -> Self {
+    fn new(entry: BackendEntry, now: Millis, debt: f64) -> Backend {
         Backend {
             entry,
-            out: BTreeMap::new(),
-            pace: DecayingRatio::default(),
-            last_answer: now,
-            answered: BTreeMap::new(),
-            faults: BTreeMap::new(),
-            set_aside: false,
-            ejected_until: f64::NEG_INFINITY,
-            ejections: 0,
-            due: Due {
-                units: -debt,
-                at: now,
-            },
+            in_flight: BTreeMap::new(),
+            unit_time: DecayingRatio::default(),
+            last_news_at: now,
+            answered_at: BTreeMap::new(),
+            faults: FaultHistory::new(),
+            budget: SlowStartBudget::with_debt(now, debt),
         }
     }
 
-    /// Units that this gateway has out there. Reports are not counted: they come late and every gateway reads
-    /// the same ones; what others send shows in the time per unit.
-    pub(super) fn load_out(&self) -> f64 {
-        self.out.values().map(|f| f.units).sum()
+    /// Units that this gateway has in flight there. Load reports are not counted: they are late and every gateway
+    /// reads the same ones; what others send shows in the time per unit.
+    pub(super) fn load(&self) -> f64 {
+        self.in_flight.values().map(|attempt| attempt.units).sum()
     }
 
-    pub(super) fn sent(
+    /// Counts an attempt that is sent there.
+    pub(super) fn attempt_sent(
         &mut self,
         now: Millis,
         id: RequestId,
-        flight: Flight,
+        attempt: InFlight,
         even_rate: f64,
-        set: &Settings,
+        settings: &Settings,
     ) {
-        let units = self.due.now(now, set, &self.entry, even_rate) - flight.units;
-        self.due = Due { units, at: now };
-        self.out.insert(id, flight);
-    }
-
-    /// Whether it gets nothing of this request: it is ejected, or half-open, when only one request at a time
-    /// tries it, which may be repeated at no harm.
-    pub(super) fn barred(&self, now: Millis, safe: bool) -> bool {
-        self.ejections > 0 && (now < self.ejected_until || !safe || !self.out.is_empty())
+        let available = self.budget.available(now, settings, &self.entry, even_rate);
+        self.budget.set(now, available - attempt.units);
+        self.in_flight.insert(id, attempt);
     }
 }
 
 /// The backends that a gateway knows.
-pub(super) struct Fleet {
-    terms: Arc<Terms>,
-    pub all: Vec<Backend>, // in the order of their ids
-    pub ready: Vec<usize>, // places of those that may be sent to
-    pub doors: f64,        // front doors that seem present: never fewer than the settings tell
-    pace: DecayingRatio,   // as of each backend, over all
+pub(super) struct BackendSet {
+    context: Arc<PolicyContext>,
+    /// All backends, sorted by id.
+    pub all: Vec<Backend>,
+    /// Indices in `all` of those that accept requests.
+    pub ready: Vec<usize>,
+    /// Gateways that seem alive: never fewer than the settings have.
+    live_gateways: f64,
+    /// Time over load at the send, over recent responses of all backends.
+    unit_time: DecayingRatio,
 }
 
-impl Fleet {
-    pub(super) fn new(terms: Arc<Terms>) -> Fleet {
-        Fleet {
-            doors: terms.gateways,
-            terms,
+impl BackendSet {
+    pub(super) fn new(context: Arc<PolicyContext>) -> BackendSet {
+        BackendSet {
+            live_gateways: context.gateways,
+            context,
             all: Vec::new(),
             ready: Vec::new(),
-            pace: DecayingRatio::default(),
+            unit_time: DecayingRatio::default(),
         }
     }
 
+    /// Index of a backend in `all`.
     pub(super) fn find(&self, id: BackendId) -> Option<usize> {
         self.all
             .binary_search_by_key(&id, |backend| backend.entry.id)
             .ok()
     }
 
-    fn get(&self, id: BackendId) -> Option<&Backend> {
-        self.find(id).map(|at| &self.all[at])
+    /// Takes an estimate of how many gateways are alive.
+    pub(super) fn set_live_gateways(&mut self, gateways: u32) {
+        self.live_gateways = self.context.gateways.max(gateways.into());
     }
 
-    /// Time per unit of load at all backends.
-    pub(super) fn common_pace(&self) -> f64 {
-        self.pace.value().unwrap_or(self.terms.aim / 10.0)
+    /// Time per unit of load over all backends, ms.
+    pub(super) fn mean_unit_time(&self) -> Millis {
+        self.unit_time
+            .value()
+            .unwrap_or(self.context.latency_objective / INITIAL_UNITS_PER_OBJECTIVE)
     }
 
-    /// Time per unit of load at a backend; with few answers, nearer to that of all.
-    pub(super) fn pace(&self, backend: &Backend) -> f64 {
-        let prior = if self.pace.denominator > 0.0 {
-            self.pace.denominator / PACE_MEMORY
+    /// Time per unit of load at a backend, ms; the fewer its responses, the nearer to the mean.
+    pub(super) fn unit_time(&self, backend: &Backend) -> Millis {
+        let prior = if self.unit_time.denominator > 0.0 {
+            self.unit_time.denominator / UNIT_TIME_MEMORY
         } else {
             1.0
         };
-        (backend.pace.numerator + prior * self.common_pace()) / (backend.pace.denominator + prior)
+        (backend.unit_time.numerator + prior * self.mean_unit_time())
+            / (backend.unit_time.denominator + prior)
     }
 
-    /// The least time until a request sent now would be begun at any, as far as own attempts tell.
-    pub(super) fn least_wait(&self) -> Millis {
-        if self.ready.iter().any(|at| self.all[*at].out.is_empty()) {
+    /// The least time until a request sent now would be begun at any backend, as far as own attempts show, ms.
+    pub(super) fn least_queue_delay(&self) -> Millis {
+        let ready = || self.ready.iter().map(|index| &self.all[*index]);
+        if ready().any(|backend| backend.in_flight.is_empty()) {
             return 0.0;
         }
-        let wait = |at: &usize| self.pace(&self.all[*at]) * self.all[*at].load_out();
-        self.ready.iter().map(wait).reduce(f64::min).unwrap_or(0.0)
+        ready()
+            .map(|backend| self.unit_time(backend) * backend.load())
+            .reduce(f64::min)
+            .unwrap_or(0.0)
     }
 
-    /// Guards against a backend that has gone silent: how long its oldest attempt is overdue without news. It
-    /// turns the choice elsewhere but refuses nothing: answers may be lost where there is no queue. A class
-    /// that is known to hang there speaks only for itself.
+    /// How long the oldest attempt at a backend is overdue without news, ms. It turns the selection elsewhere but
+    /// rejects nothing: responses may be lost where there is no queue. An attempt of a class that is known to hang
+    /// there counts only for its own class.
     pub(super) fn overdue(&self, now: Millis, backend: &Backend, class: ClassId) -> Millis {
-        let hangs = |class| self.fault(now, backend, Fault::Hanging(class)) > FORGOTTEN;
-        let speaks = |flight: &&Flight| flight.class == class || !hangs(flight.class);
-        let silent = |flight: &Flight| {
-            let answered = if flight.class == class {
-                None
+        let objective = self.context.latency_objective;
+        let mut longest = 0.0;
+        for attempt in backend.in_flight.values() {
+            let overdue = if attempt.class == class {
+                self.overdue_within_class(now, backend, attempt)
+            } else if backend.faults.is_hanging(now, attempt.class, objective) {
+                continue;
             } else {
-                Some(backend.last_answer)
+                self.overdue_since(now, backend, attempt, backend.last_news_at)
             };
-            self.silent(now, backend, flight, answered)
-        };
-        backend
-            .out
-            .values()
-            .filter(speaks)
-            .map(silent)
-            .fold(0.0, f64::max)
+            longest = f64::max(longest, overdue);
+        }
+        longest
+    }
+
+    /// How long an attempt is overdue without news of its class from its backend, ms.
+    fn overdue_within_class(&self, now: Millis, backend: &Backend, attempt: &InFlight) -> Millis {
+        let answered_at = backend.answered_at.get(&attempt.class).copied();
+        self.overdue_since(
+            now,
+            backend,
+            attempt,
+            answered_at.unwrap_or(attempt.sent_at),
+        )
     }
 
-    /// How long an attempt is overdue without news of its class from its backend.
-    fn silent(
+    fn overdue_since(
         &self,
         now: Millis,
         backend: &Backend,
-        flight: &Flight,
-        news: Option<Millis>,
+        attempt: &InFlight,
+        news_at: Millis,
     ) -> Millis {
-        let answered = news
-            .or(backend.answered.get(&flight.class).copied())
-            .unwrap_or(flight.at);
-        now - flight.at.max(answered) - SILENCE * self.pace(backend) * flight.load
-    }
-
-    /// Whether an attempt of a request hangs there.
-    pub(super) fn hung(&self, now: Millis, at: BackendId, id: RequestId) -> bool {
-        let backend = self.get(at);
-        let attempt = backend.and_then(|backend| Some((backend, backend.out.get(&id)?)));
-        attempt.is_some_and(|(backend, flight)| self.silent(now, backend, flight, None) > 0.0)
-    }
-
-    /// How far a backend is at fault in something, by now.
-    fn fault(&self, now: Millis, backend: &Backend, fault: Fault) -> f64 {
-        backend
-            .faults
-            .get(&fault)
-            .map_or(0.0, |score| score.decayed(now, self.halflife(fault)))
+        let expected = OVERDUE_FACTOR * self.unit_time(backend) * attempt.load;
+        now - attempt.sent_at.max(news_at) - expected
     }
 
-    fn halflife(&self, fault: Fault) -> Millis {
-        let aims = match fault {
-            // One that is seldom asked would be tried for ever.
-            Fault::Errors => f64::INFINITY,
-            Fault::Hanging(_) => HANGING_AIMS,
-            Fault::Failing | Fault::Full(_) => FAULT_AIMS,
+    /// Whether an attempt of a request hangs at a backend.
+    pub(super) fn is_hanging(&self, now: Millis, backend: BackendId, request: RequestId) -> bool {
+        let Some(index) = self.find(backend) else {
+            return false;
         };
-        aims * self.terms.aim
-    }
-
-    /// How far a backend is shunned by all requests.
-    pub(super) fn shunned(&self, now: Millis, backend: &Backend) -> f64 {
-        self.fault(now, backend, Fault::Failing)
-    }
-
-    /// How far it is for one.
-    pub(super) fn distrust(&self, now: Millis, backend: &Backend, request: &Request) -> f64 {
-        let known = [Fault::Full(request.plan), Fault::Hanging(request.class)];
-        known
-            .iter()
-            .map(|f| self.fault(now, backend, *f))
-            .fold(self.shunned(now, backend), f64::max)
+        let backend = &self.all[index];
+        backend
+            .in_flight
+            .get(&request)
+            .is_some_and(|attempt| self.overdue_within_class(now, backend, attempt) > 0.0)
     }
 
-    /// Whether so many are ejected that the rest would be overrun, or that it is no fault of theirs.
-    pub(super) fn panics(&self, now: Millis) -> bool {
-        let out = self
+    /// Whether so many backends are ejected that ejection is to be ignored.
+    pub(super) fn is_panic(&self, now: Millis) -> bool {
+        let ejected = self
             .ready
             .iter()
-            .filter(|at| now < self.all[**at].ejected_until)
+            .filter(|index| self.all[**index].faults.is_ejected(now))
             .count();
-        out as f64 > PANIC_PART * self.ready.len() as f64
+        outlier_detection::is_panic(ejected, self.ready.len())
     }
 
-    /// How long a backend is ejected, the `times`th time in a row: jittered, and longer the more meet it.
-    fn ejection(&self, times: u32, rng: &mut Pcg32) -> Millis {
+    /// Number of gateways that meet each backend, by the subset that each keeps to.
+    fn meeting_gateways(&self) -> f64 {
         let others = self.ready.len().saturating_sub(1).max(1) as f64;
-        let meeting = self.doors * (CIRCLE_LEAST / others).min(1.0);
-        let doubled = f64::from(1 << (times - 1).min(EJECT_DOUBLINGS));
-        meeting.max(EJECT_AIMS) * self.terms.aim * doubled * (0.5 + uniform(rng))
+        self.live_gateways * (MIN_SUBSET / others).min(1.0)
     }
 
-    /// What an outcome tells of its backend; it may be told to the operators, and close connections.
-    pub(super) fn learn(
+    /// Records the end of an attempt. It may be logged, and close connections.
+    pub(super) fn attempt_completed(
         &mut self,
         now: Millis,
-        asked: &Request,
-        settled: &AttemptCompleted,
+        request: &Request,
+        completed: &AttemptCompleted,
         rng: &mut Pcg32,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        let Some(at) = self.find(settled.backend) else {
+        let Some(index) = self.find(completed.backend) else {
             return actions;
         };
-        let (class, outcome) = (asked.class, settled.outcome);
-        let flight = self.all[at].out.remove(&asked.id);
-        // Nothing has come from there since this attempt went out: its other connections may be as dead.
-        let silent = flight.is_some_and(|flight| flight.at >= self.all[at].last_answer);
-        let hung =
-            flight.is_some_and(|flight| self.silent(now, &self.all[at], &flight, None) > 0.0);
-        // The last attempt of a request is called off at its cut, before its own time-out.
-        let slow = matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
-        if silent && (outcome == Outcome::Timeout || (outcome == Outcome::Cancelled && hung)) {
-            actions.push(Action::CloseIdleConnections(settled.backend));
+        let attempt = self.all[index].in_flight.remove(&request.id);
+        let evidence = self.evidence(now, index, attempt, completed.outcome);
+        if suggests_broken_connections(completed.outcome, &evidence) {
+            actions.push(Action::CloseIdleConnections(completed.backend));
         }
-        if let Some(flight) = flight.filter(|_| outcome == Outcome::Ok || (slow && !hung)) {
-            let others = self.all.len().saturating_sub(1).max(1) as f64;
-            self.all[at]
-                .pace
-                .record(PACE_MEMORY, settled.elapsed.max(0.0), flight.load);
-            self.pace
-                .record(PACE_MEMORY * others, settled.elapsed.max(0.0), flight.load);
+        if let Some(attempt) = attempt {
+            self.observe_unit_time(index, &attempt, completed, &evidence);
         }
-        self.all[at].answered.entry(class).or_insert(now);
-        self.all[at].last_answer = now;
-        // Guards against trouble on the way taken for sick backends: where connections break everywhere, each
-        // would be set aside in turn and the rest be crowded. It costs some requests at a backend that takes
-        // connections and breaks every one; a process that died refuses the next one, and that tells enough.
-        let broke = if settled.broken_connections > 0 {
-            Some(BREAK_STEP)
-        } else {
-            None
-        };
-        let (failing, hanging, none) = (
-            Fault::Failing,
-            Fault::Hanging(class),
-            (Fault::Failing, 0.0, 0.0),
-        );
-        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
-            self.all[at].answered.insert(class, now);
-            self.blame(now, at, (hanging, 0.0, 0.5));
-        } else if slow && hung {
-            self.blame(now, at, (hanging, 1.0, 1.0));
+        let objective = self.context.latency_objective;
+        let backend = &mut self.all[index];
+        backend.answered_at.entry(request.class).or_insert(now);
+        backend.last_news_at = now;
+        if matches!(
+            completed.outcome,
+            Outcome::Ok | Outcome::Error | Outcome::Rejected
+        ) {
+            backend.answered_at.insert(request.class, now);
         }
-        let (first, second) = match outcome {
-            Outcome::Ok => ((failing, 0.0, TRUST_STEP), (Fault::Errors, 0.0, TRUST_STEP)),
-            Outcome::Error => ((failing, 1.0, FAULT_STEP), (Fault::Errors, 1.0, FAULT_STEP)),
-            Outcome::ConnectFailed => ((failing, 1.0, broke.unwrap_or(1.0)), none),
-            Outcome::Reset => ((failing, 1.0, broke.unwrap_or(FAULT_STEP)), none),
-            Outcome::Timeout => ((failing, 1.0, FAULT_STEP), none),
-            Outcome::Rejected => ((Fault::Full(asked.plan), 1.0, FAULT_STEP), none),
-            Outcome::Cancelled | Outcome::NotSent => (none, none),
-        };
-        self.blame(now, at, first);
-        self.blame(now, at, second);
-        // Errors come sooner than work is done: unless it is left alone it would be tried most of all.
-        let backend = &self.all[at];
-        let (times, shunned) = (backend.ejections, self.shunned(now, backend));
-        let tried = flight.is_some_and(|flight| times > 0 && flight.at >= backend.ejected_until);
-        let wrong = times == 0 && self.fault(now, backend, Fault::Errors) > SET_ASIDE;
-        let ejected =
-            (outcome == Outcome::Error && (tried || wrong)).then(|| self.ejection(times + 1, rng));
-        let backend = &mut self.all[at];
-        if let Some(span) = ejected {
-            (backend.ejections, backend.ejected_until) = (times + 1, now + span);
-        } else if outcome == Outcome::Ok && tried {
-            backend.ejections -= 1;
+        backend
+            .faults
+            .record_outcome(now, request, completed, &evidence, objective);
+        self.update_ejection(now, index, attempt, completed.outcome, rng);
+        let changed = self.all[index].faults.update_set_aside(now, objective);
+        actions.extend(changed.map(|is_set_aside| set_aside_log(completed, is_set_aside)));
+        actions
+    }
+
+    /// What the end of an attempt shows, before its news are recorded.
+    fn evidence(
+        &self,
+        now: Millis,
+        index: usize,
+        attempt: Option<InFlight>,
+        outcome: Outcome,
+    ) -> AttemptEvidence {
+        let backend = &self.all[index];
+        AttemptEvidence {
+            timed_out: matches!(outcome, Outcome::Timeout | Outcome::Cancelled),
+            was_hanging: attempt
+                .is_some_and(|attempt| self.overdue_within_class(now, backend, &attempt) > 0.0),
+            was_silent: attempt.is_some_and(|attempt| attempt.sent_at >= backend.last_news_at),
         }
-        let aside = shunned > SET_ASIDE || (backend.set_aside && shunned >= SET_ASIDE / 2.0);
-        if aside != std::mem::replace(&mut backend.set_aside, aside) {
-            let what = if aside {
-                format!("set aside: {outcome:?}")
-            } else {
-                "taken back".to_owned()
-            };
-            actions.push(Action::Log(format!("backend {} {what}", settled.backend.0)));
+    }
+
+    /// Observes the time per unit of a response, or the time that an attempt was in flight at least.
+    fn observe_unit_time(
+        &mut self,
+        index: usize,
+        attempt: &InFlight,
+        completed: &AttemptCompleted,
+        evidence: &AttemptEvidence,
+    ) {
+        let is_queued = evidence.timed_out && !evidence.was_hanging;
+        if completed.outcome != Outcome::Ok && !is_queued {
+            return;
         }
-        actions
+        let elapsed = completed.elapsed.max(0.0);
+        let others = self.all.len().saturating_sub(1).max(1) as f64;
+        self.all[index]
+            .unit_time
+            .record(UNIT_TIME_MEMORY, elapsed, attempt.load);
+        self.unit_time
+            .record(UNIT_TIME_MEMORY * others, elapsed, attempt.load);
     }
 
-    /// Moves a fault of a backend toward a value, by this part of the way.
-    fn blame(&mut self, now: Millis, at: usize, (fault, toward, step): (Fault, f64, f64)) {
-        let halflife = self.halflife(fault);
-        self.all[at]
-            .faults
-            .entry(fault)
-            .or_default()
-            .move_toward(now, halflife, toward, step);
+    /// Ejects a backend whose responses are errors, or takes an ejection off after a successful trial.
+    fn update_ejection(
+        &mut self,
+        now: Millis,
+        index: usize,
+        attempt: Option<InFlight>,
+        outcome: Outcome,
+        rng: &mut Pcg32,
+    ) {
+        let objective = self.context.latency_objective;
+        let meeting_gateways = self.meeting_gateways();
+        let faults = &mut self.all[index].faults;
+        let is_trial = attempt.is_some_and(|attempt| faults.is_trial(attempt.sent_at));
+        match outcome {
+            Outcome::Error if is_trial || faults.is_outlier(now, objective) => {
+                let duration = faults.next_ejection_time(meeting_gateways, objective, rng);
+                faults.eject(now, duration);
+            }
+            Outcome::Ok if is_trial => faults.record_successful_trial(),
+            _ => {}
+        }
     }
 
-    /// Takes up the list, the whole of it or what has changed.
-    pub(super) fn listed(
+    /// Takes the endpoint list, the whole of it or its changes.
+    pub(super) fn update_list(
         &mut self,
         now: Millis,
-        whole: bool,
+        is_whole: bool,
         entries: &[BackendEntry],
         rng: &mut Pcg32,
     ) {
-        if whole {
-            self.all
-                .iter_mut()
-                .for_each(|backend| backend.entry.availability = Availability::Removed);
+        if is_whole {
+            for backend in &mut self.all {
+                backend.entry.availability = Availability::Removed;
+            }
         }
         for entry in entries {
-            let entry = BackendEntry {
-                weight: in_range(entry.weight, 0.01, 1e6, 1.0),
-                ..*entry
-            };
-            // Guards against all gateways' first requests in one instant: each has yet to earn a part.
-            let debt = self.terms.set.max_units.max(1.0) * uniform(rng);
-            let fresh = Backend::new(entry, now, debt);
-            match self
-                .all
-                .binary_search_by_key(&entry.id, |backend| backend.entry.id)
-            {
-                Ok(at) if self.all[at].entry.started_at == entry.started_at => {
-                    self.all[at].entry = entry;
-                }
-                Ok(at) => {
-                    self.all[at] = Backend {
-                        out: std::mem::take(&mut self.all[at].out),
-                        ..fresh
-                    }
-                }
-                Err(at) => self.all.insert(at, fresh),
+            self.update_entry(now, *entry, rng);
+        }
+        self.all.retain(|backend| {
+            backend.entry.availability != Availability::Removed || !backend.in_flight.is_empty()
+        });
+        self.ready = (0..self.all.len())
+            .filter(|index| self.all[*index].entry.availability == Availability::Ready)
+            .collect();
+    }
+
+    /// Takes one entry of the list. A backend that has restarted keeps only its attempts in flight.
+    fn update_entry(&mut self, now: Millis, entry: BackendEntry, rng: &mut Pcg32) {
+        let entry = BackendEntry {
+            weight: in_range(entry.weight, MIN_WEIGHT, MAX_WEIGHT, 1.0),
+            ..entry
+        };
+        // Each gateway has yet to earn its first request there, so that not all send theirs in one instant.
+        let debt = self.context.settings.max_units.max(1.0) * uniform(rng);
+        let fresh = Backend::new(entry, now, debt);
+        let position = self
+            .all
+            .binary_search_by_key(&entry.id, |backend| backend.entry.id);
+        match position {
+            Ok(index) if self.all[index].entry.started_at == entry.started_at => {
+                self.all[index].entry = entry;
+            }
+            Ok(index) => {
+                let in_flight = std::mem::take(&mut self.all[index].in_flight);
+                self.all[index] = Backend { in_flight, ..fresh };
             }
+            Err(index) => self.all.insert(index, fresh),
         }
-        self.all
-            .retain(|b| b.entry.availability != Availability::Removed || !b.out.is_empty());
-        let ready = |at: &usize| self.all[*at].entry.availability == Availability::Ready;
-        self.ready = (0..self.all.len()).filter(ready).collect();
     }
 }
+
+/// Whether the other connections to a backend may be as broken as that of an attempt.
+fn suggests_broken_connections(outcome: Outcome, evidence: &AttemptEvidence) -> bool {
+    let is_overdue =
+        outcome == Outcome::Timeout || (outcome == Outcome::Cancelled && evidence.was_hanging);
+    evidence.was_silent && is_overdue
+}
+
+fn set_aside_log(completed: &AttemptCompleted, is_set_aside: bool) -> Action {
+    let backend = completed.backend.0;
+    let outcome = completed.outcome;
+    Action::Log(if is_set_aside {
+        format!("backend {backend} set aside: {outcome:?}")
+    } else {
+        format!("backend {backend} taken back")
+    })
+}
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -1,213 +1,335 @@
-//! Choice of backend: the subset that a gateway keeps to, what a backend is expected to cost, and turns.
+//! Load balancing: the subset of the backends that a gateway keeps to, and the selection of one for a request.
 
-use super::backends::{Backend, Fleet, CIRCLE_LEAST, FORGOTTEN};
-use super::retry::{Live, Reach};
-use super::Terms;
+use super::backends::{Backend, BackendSet, MIN_SUBSET};
+use super::outlier_detection::NEGLIGIBLE_FAULT;
+use super::pending::PendingRequest;
+use super::retry::RetryScope;
+use super::PolicyContext;
 use crate::measure::{uniform, Cewma};
 use crate::policy_api::*;
 use rand_pcg::Pcg32;
 use std::f64::consts::LN_2;
 use std::sync::Arc;
 
-const CIRCLE_GATEWAYS: f64 = 4.0; // gateways that meet each backend at least: a few gateways meet them all
-const CIRCLE_SLACK: f64 = 0.25; // part of the subset by which a backend that is kept to may lie beside it
-const SPARSE_LOAD: f64 = 0.2; // own load at each up to which it tells nothing of how busy it is: turns decide
-const CROSSING_AIMS: f64 = 10.0; // waiting that a crossing between zones is worth, in its price of the aim
+/// Gateways that meet each backend at least; so a few gateways meet all backends.
+const GATEWAYS_PER_BACKEND: f64 = 4.0;
+/// Fraction of the subset by which a backend that is kept may lie beside it.
+const SUBSET_SLACK: f64 = 0.25;
+/// Halflives of the demand's average in the time in which a backend warms up. In one of them a connection that is
+/// opened ahead has to be used, and about one backend beside the subset is given up.
+const HALFLIVES_PER_WARM_UP: f64 = 4.0;
+/// Own load at each backend up to which it shows little of how busy the backend is: the units earned decide.
+const SPARSE_LOAD: f64 = 0.2;
+/// Power by which these stop deciding beyond it.
+const SPARSE_LOAD_POWER: i32 = 4;
+/// Queueing delay that a crossing between zones is worth, in shortest latency objectives for a cost of 1.
+const CROSS_ZONE_DELAY: f64 = 10.0;
+/// Random fraction added to each cost at most, so that gateways do not all choose alike.
+const COST_JITTER: f64 = 0.05;
+/// Factor on the distrust of a backend for a request that must not execute twice.
+const NON_IDEMPOTENT_DISTRUST: f64 = 2.0;
+/// Least capacity of a subset, in warm backends of weight 1: a divisor must not be zero.
+const MIN_CAPACITY: f64 = 0.01;
+/// Least demand that the time to the next request is reckoned with, units a second.
+const MIN_DEMAND: f64 = 1e-6;
 
-/// A backend that was chosen.
+/// A backend that was selected.
 #[derive(Clone, Copy)]
-pub(super) struct Choice {
+pub(super) struct Selection {
     pub backend: BackendId,
-    pub wait: Millis,   // expected there
-    pub pace: f64,      // time per unit of load there
-    pub even_rate: f64, // units a second that a warm backend of size one gets of this gateway
+    /// Expected queueing delay there, ms.
+    pub queue_delay: Millis,
+    /// Expected time per unit of load there, ms.
+    pub unit_time: Millis,
+    /// Units a second that a warm backend of weight 1 gets from this gateway.
+    pub even_rate: f64,
 }
 
-/// A request that a backend is chosen for.
-pub(super) struct Ask<'a> {
+/// A request that a backend is to be selected for.
+pub(super) struct SelectionRequest<'a> {
     pub now: Millis,
-    pub live: &'a Live,
-    pub reach: Reach,
-    pub fleet: &'a Fleet,
+    pub pending: &'a PendingRequest,
+    pub scope: RetryScope,
+    pub backends: &'a BackendSet,
 }
 
-/// The backends that a gateway keeps to.
-pub(super) struct Subset {
-    terms: Arc<Terms>,
-    demand: Cewma, // units within the quotas that ask to be sent on
-    kept: Vec<BackendId>,
-    kept_at: Millis,
-    pub warm: Vec<Action>, // those that are to get a connection
+/// This gateway's demand, in units a second.
+struct Demand {
+    total: f64,
+    /// What a warm backend of weight 1 gets of it.
+    even_rate: f64,
 }
 
-impl Subset {
-    pub(super) fn new(terms: Arc<Terms>) -> Subset {
-        Subset {
-            terms,
+/// A backend that may be selected.
+struct Candidate {
+    cost: Millis,
+    selection: Selection,
+}
+
+/// Keeps to a subset of the backends and selects among them.
+pub(super) struct LoadBalancer {
+    context: Arc<PolicyContext>,
+    /// Units within the quotas that are to be forwarded.
+    demand: Cewma,
+    /// The subset, as of `updated_at`.
+    subset: Vec<BackendId>,
+    updated_at: Millis,
+    /// Connections that are to be opened ahead of requests.
+    pub preconnects: Vec<Action>,
+}
+
+impl LoadBalancer {
+    pub(super) fn new(context: Arc<PolicyContext>) -> LoadBalancer {
+        LoadBalancer {
+            context,
             demand: Cewma::default(),
-            kept: Vec::new(),
-            kept_at: 0.0,
-            warm: Vec::new(),
+            subset: Vec::new(),
+            updated_at: 0.0,
+            preconnects: Vec::new(),
         }
     }
 
-    /// Units within the quotas ask to be sent on.
-    pub(super) fn asked(&mut self, now: Millis, units: f64) {
-        self.demand.record(now, units, self.lambda());
+    /// Records units within the quotas that are to be forwarded.
+    pub(super) fn record_demand(&mut self, now: Millis, units: f64) {
+        self.demand.record(now, units, self.demand_decay_rate());
     }
 
-    fn lambda(&self) -> f64 {
-        LN_2 / (self.terms.set.warm_up / 4.0).max(1.0)
+    /// Decay rate of the demand's average, 1/ms.
+    fn demand_decay_rate(&self) -> f64 {
+        LN_2 / (self.context.settings.warm_up / HALFLIVES_PER_WARM_UP).max(1.0)
     }
 
-    /// The backend with the least expected time.
-    pub(super) fn choose(&mut self, ask: &Ask, rng: &mut Pcg32) -> Option<Choice> {
-        let circle = self.keep_to(ask.now, ask.fleet, rng);
-        if ask.reach == Reach::Nowhere {
+    /// The backend with the least expected cost: one of the subset if any may be sent the request.
+    pub(super) fn select(
+        &mut self,
+        request: &SelectionRequest,
+        rng: &mut Pcg32,
+    ) -> Option<Selection> {
+        let backends = request.backends;
+        let subset = self.update_subset(request.now, backends, rng);
+        if request.scope == RetryScope::Nowhere {
             return None;
         }
-        let demand = self.demand.rate(ask.now, self.lambda());
-        let rates = (demand, demand / self.able(ask.now, ask.fleet, &circle));
-        let best = self.least_cost(ask, rates, &circle, rng);
-        best.or_else(|| self.least_cost(ask, rates, &ask.fleet.ready, rng))
+        let total = self.demand.rate(request.now, self.demand_decay_rate());
+        let even_rate = total / self.capacity(request.now, backends, &subset);
+        let demand = Demand { total, even_rate };
+        self.least_cost(request, &demand, &subset, rng)
+            .or_else(|| self.least_cost(request, &demand, &backends.ready, rng))
+    }
+
+    /// The subset of the backends, as indices, that a gateway with these `members` keeps to.
+    ///
+    /// If each of many gateways met every backend, it would have a connection to each, used once and closed as idle,
+    /// and too few responses from each to select by. So a gateway takes a part of the ring of backends in the order
+    /// of their ids, which is the same at all gateways, from a position by its own index: each backend is met by
+    /// about as many. A backend that is warming up or distrusted counts for less, and the subset extends beyond it.
+    /// Each change of the list moves all positions: present members come first as long as they lie near the subset,
+    /// since the gateway would otherwise open its connections anew.
+    fn subset(&self, now: Millis, members: &[BackendId], backends: &BackendSet) -> Vec<usize> {
+        let settings = &self.context.settings;
+        let count = backends.ready.len();
+        let gateways = self.context.gateways;
+        let wanted = (GATEWAYS_PER_BACKEND * count as f64 / gateways).max(MIN_SUBSET);
+        let slack = ((SUBSET_SLACK * wanted) as usize).min(count);
+        let own_position = f64::from(settings.gateway_index % settings.gateways.max(1)) / gateways;
+        let first = (own_position * count as f64) as usize + count - slack;
+        let at_position = |position: usize| backends.ready[(first + position) % count];
+
+        let mut is_member = vec![false; backends.all.len()];
+        for index in members.iter().filter_map(|id| backends.find(*id)) {
+            is_member[index] = true;
+        }
+        let near = (members.len().max(wanted as usize) + 2 * slack).min(count);
+        let is_kept = |position: &usize| *position < near && is_member[at_position(*position)];
+        let others = (slack..count)
+            .chain(0..slack)
+            .filter(|position| !is_kept(position));
+
+        let mut subset = Vec::new();
+        let mut capacity = 0.0;
+        for position in (0..near).filter(is_kept).chain(others) {
+            if capacity >= wanted {
+                break;
+            }
+            let index = at_position(position);
+            subset.push(index);
+            let backend = &backends.all[index];
+            if self.is_trusted(now, backend) {
+                capacity += settings.slow_start_fraction(now, &backend.entry);
+            }
+        }
+        subset
+    }
+
+    fn is_trusted(&self, now: Millis, backend: &Backend) -> bool {
+        let objective = self.context.latency_objective;
+        !backend.faults.has_ejections()
+            && backend.faults.general_distrust(now, objective) <= NEGLIGIBLE_FAULT
     }
 
-    /// Guards against every one of many gateways meeting every backend: a connection each, used once and
-    /// closed as idle, and so few answers from each that choice goes by luck. A gateway keeps to a
-    /// subset of the backends in the order of their ids, which is the same everywhere, beginning at its
-    /// own place; so each backend is met by about as many. What is cold or distrusted counts less, and
-    /// the subset goes on for it. Each change of the list moves all places after it: those that the gateway
-    /// has come first as long as they lie near the subset, or it would open connections all anew.
-    fn circle(&self, now: Millis, has: &[BackendId], fleet: &Fleet) -> Vec<usize> {
-        let (count, gateways) = (fleet.ready.len(), self.terms.gateways);
-        let wanted = (CIRCLE_GATEWAYS * count as f64 / gateways).max(CIRCLE_LEAST);
-        let own =
-            f64::from(self.terms.set.gateway_index % self.terms.set.gateways.max(1)) / gateways;
-        let slack = ((CIRCLE_SLACK * wanted) as usize).min(count);
-        let first = (own * count as f64) as usize + count - slack;
-        let subset = |step: usize| fleet.ready[(first + step) % count];
-        let mut kept = vec![false; fleet.all.len()];
-        has.iter()
-            .filter_map(|id| fleet.find(*id))
-            .for_each(|at| kept[at] = true);
-        let near = (has.len().max(wanted as usize) + 2 * slack).min(count);
-        let known = |step: &usize| *step < near && kept[subset(*step)];
-        let rest = (slack..count).chain(0..slack).filter(|step| !known(step));
-        let mut held = 0.0;
-        let circle = (0..near)
-            .filter(known)
-            .chain(rest)
-            .map(subset)
-            .take_while(|at| {
-                let (backend, more) = (&fleet.all[*at], held < wanted);
-                if backend.ejections == 0 && fleet.shunned(now, backend) <= FORGOTTEN {
-                    held += self.terms.set.slow_start_fraction(now, &backend.entry);
-                }
-                more
-            });
-        circle.collect()
+    /// Brings the subset up to now; its backends, as indices. A new member gets a connection ahead of the request
+    /// that is expected there, if one is soon. Now and then a member that lies beside the subset is given up: a new
+    /// backend among members that all gateways keep would else be met by none. That takes the time of a warm-up.
+    fn update_subset(&mut self, now: Millis, backends: &BackendSet, rng: &mut Pcg32) -> Vec<usize> {
+        let subset = self.subset(now, &self.subset, backends);
+        self.preconnect_new_members(now, &subset, backends);
+        self.subset = subset
+            .iter()
+            .map(|index| backends.all[*index].entry.id)
+            .collect();
+        let warm_up = self.context.settings.warm_up.max(1.0);
+        let give_up_probability = HALFLIVES_PER_WARM_UP * (now - self.updated_at) / warm_up;
+        self.updated_at = now;
+        if uniform(rng) < give_up_probability {
+            let own_subset = self.subset(now, &[], backends);
+            let beside = subset.iter().position(|index| !own_subset.contains(index));
+            if let Some(position) = beside {
+                self.subset.remove(position);
+            }
+        }
+        subset
     }
 
-    /// Takes up the subset of backends that the gateway keeps to. One that is new to it gets a connection
-    /// ahead of the request that is expected there, if one is soon. Now and then one that lies beside the
-    /// subset is let go, or a new backend among kept ones would be met by nobody: while it warms they come.
-    fn keep_to(&mut self, now: Millis, fleet: &Fleet, rng: &mut Pcg32) -> Vec<usize> {
-        let circle = self.circle(now, &self.kept, fleet);
-        let id = |at: &usize| fleet.all[*at].entry.id;
-        let rate = self.demand.rate(now, self.lambda()) / circle.len().max(1) as f64;
-        let within = 1000.0 / rate.max(1e-6);
-        if within < self.terms.set.warm_up / 4.0 {
-            let fresh = circle.iter().map(id).filter(|id| !self.kept.contains(id));
-            self.warm
-                .extend(fresh.map(|backend| Action::Preconnect { backend, within }));
+    fn preconnect_new_members(&mut self, now: Millis, subset: &[usize], backends: &BackendSet) {
+        let demand = self.demand.rate(now, self.demand_decay_rate());
+        let demand_each = demand / subset.len().max(1) as f64;
+        let within = 1000.0 / demand_each.max(MIN_DEMAND);
+        if within >= self.context.settings.warm_up / HALFLIVES_PER_WARM_UP {
+            return;
         }
-        self.kept = circle.iter().map(id).collect();
-        let part = 4.0 * (now - self.kept_at) / self.terms.set.warm_up.max(1.0);
-        self.kept_at = now;
-        if uniform(rng) < part {
-            let subset = self.circle(now, &[], fleet);
-            let beside = circle.iter().position(|at| !subset.contains(at));
-            beside.map(|place| self.kept.remove(place));
+        for index in subset {
+            let backend = backends.all[*index].entry.id;
+            if !self.subset.contains(&backend) {
+                self.preconnects
+                    .push(Action::Preconnect { backend, within });
+            }
         }
-        circle
     }
 
-    /// Size of the backends that the gateway keeps to, by what they can do. Cold ones get less, so the others
-    /// get more, but never so much that a cold one would be pushed over where all are cold.
-    fn able(&self, now: Millis, fleet: &Fleet, circle: &[usize]) -> f64 {
-        let (size, able) = circle.iter().fold((0.0, 0.0), |(size, able), at| {
-            let entry = &fleet.all[*at].entry;
-            (
-                size + entry.weight,
-                able + entry.weight * self.terms.set.slow_start_fraction(now, entry),
-            )
-        });
-        f64::max(able, size / self.terms.set.overload_factor.max(1.0)).max(0.01)
+    /// Capacity of a subset, in warm backends of weight 1. Backends that warm up get less, so the others get more,
+    /// but never so much that one would be overloaded where all warm up.
+    fn capacity(&self, now: Millis, backends: &BackendSet, subset: &[usize]) -> f64 {
+        let settings = &self.context.settings;
+        let mut weight = 0.0;
+        let mut capacity = 0.0;
+        for index in subset {
+            let entry = &backends.all[*index].entry;
+            weight += entry.weight;
+            capacity += entry.weight * settings.slow_start_fraction(now, entry);
+        }
+        let least = weight / settings.overload_factor.max(1.0);
+        f64::max(capacity, least).max(MIN_CAPACITY)
     }
 
-    /// Of these backends, the one with the least expected time; `rates` are the gateway's demand and what a
-    /// warm backend of size one gets of it.
+    /// Of these backends, the one with the least expected cost.
     fn least_cost(
         &self,
-        ask: &Ask,
-        rates: (f64, f64),
-        among: &[usize],
+        request: &SelectionRequest,
+        demand: &Demand,
+        indices: &[usize],
         rng: &mut Pcg32,
-    ) -> Option<Choice> {
-        let (now, fleet, set, (demand, even_rate)) = (ask.now, ask.fleet, &self.terms.set, rates);
-        let safe = set.classes[ask.live.request.class.0].idempotency == Idempotency::Idempotent;
-        let pace = fleet.common_pace();
-        let load = demand * pace / 1000.0;
-        let turn = pace / (1.0 + (load / among.len().max(1) as f64 / SPARSE_LOAD).powi(4));
-        let bars = among.iter().any(|at| fleet.all[*at].ejections > 0) && !fleet.panics(now);
-        let mut best: Option<(f64, Choice)> = None;
-        for backend in among.iter().map(|at| &fleet.all[*at]) {
-            let (id, due) = (
-                backend.entry.id,
-                backend.due.now(now, set, &backend.entry, even_rate),
-            );
-            let copied = ask.live.out.iter().any(|out| out.to == id);
-            let barred = bars && backend.barred(now, safe);
-            let too_cold = due <= 0.0 && set.slow_start_fraction(now, &backend.entry) < 1.0;
-            if copied || barred || too_cold || !ask.reach.holds(&backend.entry) {
+    ) -> Option<Selection> {
+        let backends = request.backends;
+        let unit_time = backends.mean_unit_time();
+        let load = demand.total * unit_time / 1000.0;
+        let load_each = load / indices.len().max(1) as f64;
+        let budget_value = unit_time / (1.0 + (load_each / SPARSE_LOAD).powi(SPARSE_LOAD_POWER));
+        let has_ejections = indices
+            .iter()
+            .any(|index| backends.all[*index].faults.has_ejections());
+        let respects_ejections = has_ejections && !backends.is_panic(request.now);
+        let mut best: Option<Candidate> = None;
+        for index in indices {
+            let backend = &backends.all[*index];
+            let budget = self.available_budget(request, backend, demand.even_rate);
+            if !self.may_select(request, backend, budget, respects_ejections) {
                 continue;
             }
-            let pace = fleet.pace(backend);
-            let wait = pace * backend.load_out();
-            let cost =
-                self.cost(ask, backend, wait, pace) * (1.0 + 0.05 * uniform(rng)) - turn * due;
-            if best.is_none_or(|(least, _)| cost < least) {
-                best = Some((
-                    cost,
-                    Choice {
-                        backend: id,
-                        wait,
-                        pace,
-                        even_rate,
-                    },
-                ));
+            let selection = self.selection(request, backend, demand.even_rate);
+            let jitter = 1.0 + COST_JITTER * uniform(rng);
+            let cost = self.cost(request, backend, &selection) * jitter - budget_value * budget;
+            if best.as_ref().is_none_or(|best| cost < best.cost) {
+                best = Some(Candidate { cost, selection });
             }
         }
-        best.map(|(_, choice)| choice)
+        best.map(|candidate| candidate.selection)
     }
 
-    /// What sending a request to a backend is expected to cost, as time.
-    fn cost(&self, ask: &Ask, backend: &Backend, wait: Millis, pace: f64) -> Millis {
-        let (set, request, now) = (&self.terms.set, &ask.live.request, ask.now);
-        let doubt = if set.classes[request.class.0].idempotency == Idempotency::NonIdempotent {
-            2.0
-        } else {
-            1.0
+    /// Units that a backend has earned from this gateway.
+    fn available_budget(
+        &self,
+        request: &SelectionRequest,
+        backend: &Backend,
+        even_rate: f64,
+    ) -> f64 {
+        let settings = &self.context.settings;
+        backend
+            .budget
+            .available(request.now, settings, &backend.entry, even_rate)
+    }
+
+    /// Whether a backend may be sent a request.
+    fn may_select(
+        &self,
+        request: &SelectionRequest,
+        backend: &Backend,
+        budget: f64,
+        respects_ejections: bool,
+    ) -> bool {
+        let now = request.now;
+        let entry = &backend.entry;
+        let has_attempt = request
+            .pending
+            .in_flight
+            .iter()
+            .any(|attempt| attempt.backend == entry.id);
+        let class = self.context.class(request.pending.request.class);
+        let is_idempotent = class.idempotency == Idempotency::Idempotent;
+        let has_in_flight = !backend.in_flight.is_empty();
+        let is_excluded =
+            respects_ejections && backend.faults.excludes(now, is_idempotent, has_in_flight);
+        let is_too_cold =
+            budget <= 0.0 && self.context.settings.slow_start_fraction(now, entry) < 1.0;
+        !has_attempt && !is_excluded && !is_too_cold && request.scope.contains(entry)
+    }
+
+    fn selection(
+        &self,
+        request: &SelectionRequest,
+        backend: &Backend,
+        even_rate: f64,
+    ) -> Selection {
+        let unit_time = request.backends.unit_time(backend);
+        Selection {
+            backend: backend.entry.id,
+            queue_delay: unit_time * backend.load(),
+            unit_time,
+            even_rate,
+        }
+    }
+
+    /// The expected cost of sending a request to a backend, as time, ms.
+    fn cost(&self, request: &SelectionRequest, backend: &Backend, selection: &Selection) -> Millis {
+        let settings = &self.context.settings;
+        let objective = self.context.latency_objective;
+        let now = request.now;
+        let class = request.pending.request.class;
+        let distrust_factor = match self.context.class(class).idempotency {
+            Idempotency::NonIdempotent => NON_IDEMPOTENT_DISTRUST,
+            _ => 1.0,
         };
-        let overdue = ask.fleet.overdue(now, backend, request.class);
-        let distrust = ask.fleet.distrust(now, backend, request) * doubt;
-        let time = wait.max(overdue) + pace * request.units;
-        let crossing = CROSSING_AIMS * set.cross_zone_cost * self.terms.aim;
-        let crossing = if backend.entry.zone == set.zone {
+        let overdue = request.backends.overdue(now, backend, class);
+        let distrust = backend
+            .faults
+            .distrust(now, &request.pending.request, objective)
+            * distrust_factor;
+        let time = selection.queue_delay.max(overdue)
+            + selection.unit_time * request.pending.request.units;
+        let crossing = if backend.entry.zone == settings.zone {
             0.0
         } else {
-            crossing
+            CROSS_ZONE_DELAY * settings.cross_zone_cost * objective
         };
-        time + (distrust - FORGOTTEN).max(0.0) * self.terms.aim + crossing
+        time + (distrust - NEGLIGIBLE_FAULT).max(0.0) * objective + crossing
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,399 +1,299 @@
-//! The decisions of a gateway, a file for each subject. `admission` holds customers to their quotas, `guards`
-//! keep what the rules and the backends' room ask beyond, `backends` is what is known of each, `load_balancing` picks
-//! one, `retry` tells how long and how often one is tried. Here events go to the parts that they concern.
+//! The policy of one gateway: pure decisions, from events to actions.
+//!
+//! [`PolicyEngine`] takes each event and calls the parts that it concerns:
+//!
+//! - Admission: [`quota`], with the evidence of [`usage`], the penalty box of [`rate_limit`] and the shares of
+//!   [`concurrency`], under the window that [`overload`] leaves open.
+//! - Selection: [`load_balancing`] selects one of the [`backends`], within what [`slow_start`] and
+//!   [`outlier_detection`] permit.
+//! - Attempts: [`retry`] bounds those of the [`pending`] requests, [`attempts`] sends and ends them, and [`timers`]
+//!   names what is to happen later.
 
-mod admission;
+mod attempts;
 mod backends;
-mod guards;
+mod concurrency;
 mod load_balancing;
+mod outlier_detection;
+mod overload;
+mod pending;
+mod quota;
+mod rate_limit;
 mod retry;
+mod slow_start;
+mod timers;
+mod usage;
 
 use crate::measure::uniform;
 use crate::policy_api::*;
-use admission::{Quotas, Seen};
-use backends::{Fleet, Flight};
-use guards::Opening;
-use load_balancing::{Ask, Choice, Subset};
+use backends::BackendSet;
+use load_balancing::{LoadBalancer, Selection, SelectionRequest};
+use overload::AdmissionWindow;
+use pending::PendingRequest;
+use quota::{AdmissionSignals, CustomerQuotas};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
-use retry::{Attempts, Live, Reach, Try};
+use retry::RetryPolicy;
+use std::collections::BTreeMap;
 use std::sync::Arc;
+use timers::PolicyTimer;
 
-const PATIENCE: f64 = 1.5; // times the expected answer that a client must have: half take longer
-const LIST_ALARM: TimerId = TimerId(u64::MAX); // asks again for the list of backends
+/// Multiple of the expected response time that a request's client must still wait: half of the responses take
+/// longer than expected, and a client that leaves before would retry after work done in vain.
+const DEADLINE_MARGIN: f64 = 1.5;
+/// Parts of the poll interval after which a failed poll is repeated, on average.
+const POLL_RETRIES_PER_INTERVAL: f64 = 8.0;
 
-/// Why a request is refused, and how long the reason will last if that is known.
-type Refused = (RejectReason, Option<Millis>);
+/// Why a request is rejected, and how long the reason will last if that is known.
+struct Rejection {
+    reason: RejectReason,
+    /// Time until the reason no longer holds, ms.
+    retry_after: Option<Millis>,
+}
+
+impl Rejection {
+    /// A rejection that nothing is known of when to retry.
+    fn new(reason: RejectReason) -> Rejection {
+        Rejection {
+            reason,
+            retry_after: None,
+        }
+    }
+
+    /// A rejection whose reason lasts so long.
+    fn until(reason: RejectReason, retry_after: Millis) -> Rejection {
+        Rejection {
+            reason,
+            retry_after: Some(retry_after),
+        }
+    }
+}
 
-/// What all parts go by: the settings and, of these, the shortest aim and the number of gateways.
-struct Terms {
-    set: Settings,
-    aim: Millis,
+/// What all parts of the policy depend on: the settings and two figures derived from them.
+struct PolicyContext {
+    settings: Settings,
+    /// The shortest latency objective of a class, ms.
+    latency_objective: Millis,
+    /// Number of gateways, at least 1.
     gateways: f64,
 }
 
+impl PolicyContext {
+    fn new(settings: Settings) -> PolicyContext {
+        PolicyContext {
+            latency_objective: settings.shortest_latency_objective(),
+            gateways: f64::from(settings.gateways.max(1)),
+            settings,
+        }
+    }
+
+    fn class(&self, id: ClassId) -> &Class {
+        &self.settings.classes[id.0]
+    }
+
+    fn plan(&self, id: PlanId) -> &Plan {
+        &self.settings.plans[id.0]
+    }
+}
+
 /// The decisions of one gateway.
 pub struct PolicyEngine {
-    terms: Arc<Terms>,
+    context: Arc<PolicyContext>,
     rng: Pcg32,
-    born: Option<Millis>,
-    quotas: Quotas,
-    opening: Opening,
-    fleet: Fleet,
-    subset: Subset,
-    attempts: Attempts,
-    stop: Option<Millis>, // when a planned stop has all answered, once there is one
+    /// Time of the first event, ms.
+    started_at: Option<Millis>,
+    quotas: CustomerQuotas,
+    window: AdmissionWindow,
+    backends: BackendSet,
+    load_balancer: LoadBalancer,
+    retry: RetryPolicy,
+    pending: BTreeMap<RequestId, PendingRequest>,
+    /// Once a graceful shutdown has begun, when all requests will have been answered, ms.
+    shutdown_ends_at: Option<Millis>,
 }
 
 impl PolicyEngine {
-    /// A gateway with these settings; `seed` is its only source of chance.
-    pub fn new(set: Settings, seed: u64) -> Self {
-        let gateways = f64::from(set.gateways.max(1));
-        let terms = Arc::new(Terms {
-            aim: set.shortest_latency_objective(),
-            set,
-            gateways,
-        });
+    /// A gateway with these settings; `seed` is its only source of randomness.
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        let context = Arc::new(PolicyContext::new(settings));
         PolicyEngine {
             rng: Pcg32::seed_from_u64(seed),
-            born: None,
-            quotas: Quotas::new(terms.clone()),
-            opening: Opening::new(terms.clone()),
-            fleet: Fleet::new(terms.clone()),
-            subset: Subset::new(terms.clone()),
-            attempts: Attempts::new(terms.clone()),
-            stop: None,
-            terms,
+            started_at: None,
+            quotas: CustomerQuotas::new(context.clone()),
+            window: AdmissionWindow::new(context.clone()),
+            backends: BackendSet::new(context.clone()),
+            load_balancer: LoadBalancer::new(context.clone()),
+            retry: RetryPolicy::new(context.clone()),
+            pending: BTreeMap::new(),
+            shutdown_ends_at: None,
+            context,
         }
     }
 
-    /// Takes one event that happened at `now` and appends what is to be done.
+    /// Handles one event that happened at `now`, and appends what the driver is to do.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
-        self.born.get_or_insert(now);
+        self.started_at.get_or_insert(now);
         match event {
-            Event::EndpointsChanged(kind, entries) => self.listed(now, kind, &entries, actions),
-            Event::RequestArrived(request) => self.arrived(now, request, actions),
-            Event::StreamStarted(id) => {
-                self.attempts
-                    .live
-                    .entry(id)
-                    .and_modify(|live| live.started = true);
+            Event::EndpointsChanged(kind, entries) => {
+                self.endpoints_changed(now, kind, &entries, actions);
             }
-            Event::AttemptCompleted(settled) => self.settled(now, &settled, actions),
+            Event::RequestArrived(request) => self.request_arrived(now, request, actions),
+            Event::StreamStarted(id) => self.stream_started(id),
+            Event::AttemptCompleted(completed) => self.attempt_completed(now, &completed, actions),
             Event::ClientDisconnected(id) => self.abandon(id, actions),
-            Event::TimerFired(LIST_ALARM) => actions.push(Action::Subscribe),
-            Event::TimerFired(TimerId(name)) => match (name >> 32, RequestId(name as u32)) {
-                (0, id) => self.out_of_time(now, id, actions),
-                (attempt, id) => self.copy(now, id, attempt as u32 - 1, actions),
-            },
-            Event::ShutdownStarted(end) => self.stop = Some(end),
-            Event::FleetSizeChanged(doors) => {
-                self.fleet.doors = self.terms.gateways.max(doors.into());
-            }
-            Event::HealthCheckCompleted { .. } => {} // none are sent: load is judged by this gateway's own attempts
+            Event::TimerFired(timer) => self.timer_fired(now, timer, actions),
+            Event::ShutdownStarted(ends_at) => self.shutdown_ends_at = Some(ends_at),
+            Event::FleetSizeChanged(gateways) => self.backends.set_live_gateways(gateways),
+            // No health checks are requested: backends are judged by this gateway's own attempts.
+            Event::HealthCheckCompleted { .. } => {}
         }
-        actions.append(&mut self.subset.warm);
+        actions.append(&mut self.load_balancer.preconnects);
     }
 
-    /// How many customers the gateway holds an entry of.
+    /// Number of customers that the gateway keeps an entry of.
     pub fn tracked_customers(&self) -> usize {
-        self.quotas.customers.len()
+        self.quotas.len()
     }
 
-    fn arrived(&mut self, now: Millis, request: Request, actions: &mut Vec<Action>) {
+    fn timer_fired(&mut self, now: Millis, timer: TimerId, actions: &mut Vec<Action>) {
+        match PolicyTimer::from_id(timer) {
+            PolicyTimer::PollList => actions.push(Action::Subscribe),
+            PolicyTimer::RequestDeadline(id) => self.request_overdue(now, id, actions),
+            PolicyTimer::Hedge { request, attempt } => self.hedge(now, request, attempt, actions),
+        }
+    }
+
+    fn stream_started(&mut self, id: RequestId) {
+        if let Some(pending) = self.pending.get_mut(&id) {
+            pending.stream_started = true;
+        }
+    }
+
+    fn request_arrived(&mut self, now: Millis, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
-        let Some(request) = request.bounded(now, &self.terms.set) else {
-            actions.push(Action::Reject {
-                request: id,
-                retry_after: None,
-                reason: RejectReason::UnknownPlanOrClass,
-            });
+        let Some(request) = request.bounded(now, &self.context.settings) else {
+            let rejection = Rejection::new(RejectReason::UnknownPlanOrClass);
+            actions.push(self.reject(id, &rejection));
             return;
         };
-        if let Some(end) = self.stop {
-            actions
-                .push(self.refusal(id, (RejectReason::ShuttingDown, Some((end - now).max(0.0)))));
+        if let Some(ends_at) = self.shutdown_ends_at {
+            let retry_after = (ends_at - now).max(0.0);
+            let rejection = Rejection::until(RejectReason::ShuttingDown, retry_after);
+            actions.push(self.reject(id, &rejection));
             return;
         }
-        self.quotas.evict(now);
-        let live = Live::new(request, now);
-        match self.admit(now, &live) {
-            Ok(choice) => {
-                self.attempts.earn_retries();
-                let at = self.slow_mark(&live).min(self.attempts.cut(&live));
+        self.quotas.evict_expired(now);
+        let pending = PendingRequest::new(request, now);
+        match self.admit(now, &pending) {
+            Ok(selection) => {
+                self.retry.earn();
+                let final_deadline = self.retry.final_deadline(&pending);
                 actions.push(Action::SetTimer {
-                    at,
-                    timer: TimerId(u64::from(id.0)),
+                    at: self.slow_at(&pending).min(final_deadline),
+                    timer: PolicyTimer::RequestDeadline(id).id(),
                 });
-                self.attempts.live.insert(id, live);
-                self.send(now, id, choice, actions);
+                self.pending.insert(id, pending);
+                self.send(now, id, selection, actions);
             }
-            Err(why) => actions.push(self.refusal(id, why)),
+            Err(rejection) => actions.push(self.reject(id, &rejection)),
         }
     }
 
-    /// Lets a request in and names its backend, or tells how long the reason to refuse it will last.
-    fn admit(&mut self, now: Millis, live: &Live) -> Result<Choice, Refused> {
-        let request = &live.request;
-        self.opening.observe_pressure(now, self.fleet.least_wait());
-        let seen = Seen {
-            age: now - self.born.unwrap_or(now),
-            pressure: self.opening.pressure.max(1.0 - self.opening.open),
-            opening: self.opening.open,
-            per_unit: self.fleet.common_pace() / 1000.0,
-            luck: uniform(&mut self.rng),
-        };
-        self.quotas.admit(now, request, &seen)?;
-        self.subset.asked(now, request.units);
-        let choice = self
-            .choose(now, live)
-            .ok_or((RejectReason::NoCapacity, None))?;
-        // A client that leaves before an answer can be expected would come again after work done for nothing.
-        let expected = choice.wait + choice.pace * request.units;
-        let late = PATIENCE * expected > request.deadline - now || !self.attempts.fits(now, live);
-        if choice.wait > guards::WAIT_LIMIT * self.terms.aim || late {
-            return Err((RejectReason::NoCapacity, None));
+    /// Admits a request and selects its backend, or rejects it.
+    fn admit(&mut self, now: Millis, pending: &PendingRequest) -> Result<Selection, Rejection> {
+        let request = &pending.request;
+        let least_delay = self.backends.least_queue_delay();
+        self.window.observe_queue_delay(now, least_delay);
+        let signals = self.admission_signals(now);
+        self.quotas.admit(now, request, &signals)?;
+        self.load_balancer.record_demand(now, request.units);
+        let selection = self
+            .select_backend(now, pending)
+            .ok_or(Rejection::new(RejectReason::NoCapacity))?;
+        if self.is_too_late(now, pending, &selection) {
+            return Err(Rejection::new(RejectReason::NoCapacity));
         }
         self.quotas.take(now, request);
-        Ok(choice)
-    }
-
-    fn choose(&mut self, now: Millis, live: &Live) -> Option<Choice> {
-        let reach = self.attempts.reach(now, live);
-        self.subset.choose(
-            &Ask {
-                now,
-                live,
-                reach,
-                fleet: &self.fleet,
-            },
-            &mut self.rng,
-        )
-    }
-
-    fn refusal(&self, request: RequestId, (why, wait): Refused) -> Action {
-        let advised = wait.filter(|_| self.terms.set.retry_after);
-        let retry_after = advised.map(|wait| wait.clamp(0.0, self.terms.set.max_retry_after));
-        Action::Reject {
-            request,
-            retry_after,
-            reason: why,
-        }
+        Ok(selection)
     }
 
-    /// When an answer is slow. It is observed at once: a time-out is news when queues have long filled.
-    fn slow_mark(&self, live: &Live) -> Millis {
-        // A larger request than usual has more time.
-        let size = (live.request.units / self.quotas.usual.max(0.01)).max(1.0);
-        live.arrived
-            + (guards::SLOW_AIMS * size).min(1.0)
-                * self.terms.set.classes[live.request.class.0].latency_objective
-    }
-
-    fn send(&mut self, now: Millis, id: RequestId, to: Choice, actions: &mut Vec<Action>) {
-        let (Some(live), Some(at)) = (self.attempts.live.get(&id), self.fleet.find(to.backend))
-        else {
-            return;
-        };
-        let units = live.request.units.max(0.01);
-        let load = self.fleet.all[at].load_out() + units;
-        let expected = self.fleet.pace(&self.fleet.all[at]) * load;
-        let left = self.attempts.cut(live) - now;
-        let patience = self
-            .attempts
-            .patience(now, live, expected, self.opening.calm());
-        // A second copy costs less than giving up: the first may still answer.
-        let copy = self.terms.set.hedging && patience < left;
-        let limit = if copy { left } else { patience.min(left) }.max(self.terms.set.tick);
-        if copy && live.out.is_empty() {
-            let alarm = TimerId(u64::from(live.sends + 1) << 32 | u64::from(id.0));
-            actions.push(Action::SetTimer {
-                at: now + patience,
-                timer: alarm,
-            });
+    fn admission_signals(&mut self, now: Millis) -> AdmissionSignals {
+        AdmissionSignals {
+            uptime: now - self.started_at.unwrap_or(now),
+            pressure: self.window.quota_pressure(),
+            admit_fraction: self.window.admit_fraction,
+            seconds_per_unit: self.backends.mean_unit_time() / 1000.0,
+            random_draw: uniform(&mut self.rng),
         }
-        let (delivery, begin_before) = (
-            self.attempts.delivery(now, live),
-            self.attempts.key_expires(live),
-        );
-        let flight = Flight {
-            at: now,
-            class: live.request.class,
-            load,
-            units,
-        };
-        self.quotas
-            .customers
-            .entry(live.request.customer)
-            .and_modify(|customer| customer.cap.open += 1);
-        self.fleet.all[at].sent(now, id, flight, to.even_rate, &self.terms.set);
-        let BackendEntry { zone, cell, .. } = self.fleet.all[at].entry;
-        self.attempts.live.entry(id).and_modify(|live| {
-            live.out.push(Try {
-                attempt: live.sends,
-                to: to.backend,
-                at: now,
-                zone,
-                cell,
-            });
-            live.sends += 1;
-        });
-        let (backend, limit) = (to.backend, Some(limit));
-        actions.push(Action::Send {
-            request: id,
-            backend,
-            timeout: limit,
-            begin_before,
-            delivery,
-        });
     }
 
-    fn settled(&mut self, now: Millis, settled: &AttemptCompleted, actions: &mut Vec<Action>) {
-        let id = settled.request;
-        let Some(live) = self.attempts.live.get_mut(&id) else {
-            return;
-        };
-        let ended = |out: &Try| out.attempt == settled.attempt && out.to == settled.backend;
-        let Some(ended) = live
-            .out
-            .iter()
-            .position(ended)
-            .map(|place| live.out.remove(place))
-        else {
-            return;
-        };
-        if !settled.outcome.never_ran() {
-            live.ran = live.ran.filter(|ran| ran.at <= ended.at).or(Some(ended));
-        }
-        let live = live.clone();
-        let served = settled.outcome == Outcome::Ok;
-        if served {
-            self.attempts
-                .observe_service(live.request.class, settled.elapsed.max(0.0));
-        }
-        if served && !live.slow {
-            let mark = self.slow_mark(&live) - live.arrived;
-            self.opening.observe_answer(
-                now,
-                (guards::SLOW_AIMS * (now - live.arrived) / mark).min(1.0),
-            );
-        }
-        if settled.broken_connections > 0 {
-            self.attempts.broke_at = now;
-        }
-        actions.extend(self.fleet.learn(now, &live.request, settled, &mut self.rng));
-        self.quotas.settle(now, &live.request, settled);
-        if settled.request_closed || live.answered || served {
-            // A copy that is still out works for nobody.
-            if live.out.is_empty() || !live.answered {
-                self.abandon(id, actions);
-            }
-            return;
-        }
-        // Another copy that is out has all of the time that both had.
-        if !live.out.is_empty() {
-            return;
-        }
-        if !live.started && self.attempts.may_send_again(now, &live) {
-            if let Some(choice) = self.choose(now, &live) {
-                self.attempts.retries -= 1.0;
-                self.send(now, id, choice, actions);
-                return;
-            }
-        }
-        actions.push(self.last_word(now, &live));
-        self.attempts.live.remove(&id);
+    /// Whether a request would be served too late at the backend selected for it.
+    fn is_too_late(&self, now: Millis, pending: &PendingRequest, selection: &Selection) -> bool {
+        let request = &pending.request;
+        let expected = selection.queue_delay + selection.unit_time * request.units;
+        DEADLINE_MARGIN * expected > request.deadline - now
+            || !self.retry.has_time(now, pending)
+            || self.window.exceeds_queue_limit(selection.queue_delay)
     }
 
-    /// Sends a second copy beside an attempt that has hung for too long, within the same time.
-    fn copy(&mut self, now: Millis, id: RequestId, attempt: u32, actions: &mut Vec<Action>) {
-        let Some(live) = self.attempts.waiting(id) else {
-            return;
+    fn select_backend(&mut self, now: Millis, pending: &PendingRequest) -> Option<Selection> {
+        let request = SelectionRequest {
+            now,
+            pending,
+            scope: self.retry.scope(now, pending),
+            backends: &self.backends,
         };
-        let alone = live.out.len() == 1 && live.out[0].attempt == attempt;
-        if !alone || !self.opening.calm() || !self.attempts.may_send_again(now, live) {
-            return;
-        }
-        let live = live.clone();
-        if let Some(choice) = self.choose(now, &live) {
-            self.attempts.retries -= 1.0;
-            self.send(now, id, choice, actions);
-        }
+        self.load_balancer.select(&request, &mut self.rng)
     }
 
-    /// The final answer for a request that will not be served: a refusal only where repeating is harmless.
-    fn last_word(&self, now: Millis, live: &Live) -> Action {
-        if self.attempts.reach(now, live) == Reach::Anywhere {
-            self.refusal(live.request.id, (RejectReason::AttemptsFailed, None))
-        } else {
-            Action::Fail(live.request.id)
-        }
-    }
-
-    fn out_of_time(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(live) = self.attempts.waiting(id) else {
-            return;
-        };
-        let cut = self.attempts.cut(live);
-        if now >= cut || live.slow {
-            actions.push(self.last_word(now, live));
-            self.abandon(id, actions);
-            return;
-        }
-        actions.push(Action::SetTimer {
-            at: cut,
-            timer: TimerId(u64::from(id.0)),
-        });
-        // What hangs is no sign of queues: a fallen opening would refuse what the backends have room for.
-        if !live
-            .out
-            .first()
-            .is_some_and(|out| self.fleet.hung(now, out.to, id))
-        {
-            self.opening.observe_answer(now, 1.0);
+    /// The action for a rejection. Clients get a Retry-After only where the settings permit it, and none longer than
+    /// they follow.
+    fn reject(&self, request: RequestId, rejection: &Rejection) -> Action {
+        let settings = &self.context.settings;
+        let retry_after = rejection
+            .retry_after
+            .filter(|_| settings.retry_after)
+            .map(|retry_after| retry_after.clamp(0.0, settings.max_retry_after));
+        Action::Reject {
+            request,
+            retry_after,
+            reason: rejection.reason,
         }
-        self.attempts
-            .live
-            .entry(id)
-            .and_modify(|live| live.slow = true);
     }
 
-    /// Ends a request, calling off an attempt that is still out.
-    fn abandon(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(live) = self.attempts.live.get_mut(&id) else {
-            return;
-        };
-        live.answered = true;
-        if live.out.is_empty() {
-            self.attempts.live.remove(&id);
-        } else if self.terms.set.cancellation && !live.started {
-            actions.extend(live.out.iter().map(|out| Action::CancelAttempt {
-                request: id,
-                attempt: out.attempt,
-            }));
-        }
+    /// When a request becomes slow, ms. It is observed at that time: a timeout is news when queues have long filled.
+    fn slow_at(&self, pending: &PendingRequest) -> Millis {
+        let request = &pending.request;
+        let objective = self.context.class(request.class).latency_objective;
+        let mean_units = self.quotas.mean_request_units;
+        pending.arrived_at + overload::slow_after(request.units, mean_units, objective)
     }
 
-    fn listed(
+    fn endpoints_changed(
         &mut self,
         now: Millis,
         kind: ListKind,
         entries: &[BackendEntry],
         actions: &mut Vec<Action>,
     ) {
-        match kind {
-            _ if self.terms.set.discovery == DiscoveryMode::Pushed => {}
-            ListKind::Cached => actions.push(Action::Subscribe),
-            ListKind::Failed => {
-                let pause = self.terms.set.poll_interval / 8.0 * (0.5 + uniform(&mut self.rng));
-                actions.push(Action::SetTimer {
-                    at: now + pause,
-                    timer: LIST_ALARM,
-                });
+        if self.context.settings.discovery == DiscoveryMode::OnRequest {
+            match kind {
+                ListKind::Cached => actions.push(Action::Subscribe),
+                ListKind::Failed => actions.push(self.poll_again(now)),
+                ListKind::Full | ListKind::Changes => {}
             }
-            ListKind::Full | ListKind::Changes => {}
         }
-        let whole = matches!(kind, ListKind::Full | ListKind::Cached);
-        self.fleet.listed(now, whole, entries, &mut self.rng);
+        let is_whole = matches!(kind, ListKind::Full | ListKind::Cached);
+        self.backends
+            .update_list(now, is_whole, entries, &mut self.rng);
+    }
+
+    /// Polls the endpoint list again after a part of the poll interval, with jitter.
+    fn poll_again(&mut self, now: Millis) -> Action {
+        let interval = self.context.settings.poll_interval;
+        let pause = interval / POLL_RETRIES_PER_INTERVAL * (0.5 + uniform(&mut self.rng));
+        Action::SetTimer {
+            at: now + pause,
+            timer: PolicyTimer::PollList.id(),
+        }
     }
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,215 +1,206 @@
-//! Attempts: how long one is waited for, when and where a request is sent again, and when it is given up.
+//! Retries: how long an attempt may take, whether and where a request may be sent again, and its final deadline.
 
-use super::Terms;
+use super::pending::PendingRequest;
+use super::PolicyContext;
 use crate::measure::QuantileEstimator;
 use crate::policy_api::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const HUNG: f64 = 8.0; // times what it should take after which an attempt that may be repeated is given up
-const HUNG_AIMS: f64 = 0.4; // least time that such an attempt gets, as a part of its aim
-const CAUTION_AIMS: f64 = 8.0; // shortest aims after a connection broke in which all are sent with caution
-const RETRY_SHARE: f64 = 0.2; // further attempts allowed for each first attempt
-const RETRY_DEPTH: f64 = 10.0; // further attempts saved up at most
-const QUICKEST: f64 = 0.1; // part of a class's answers that came sooner than the least time for an attempt
-const QUICK_STEP: f64 = 0.1; // how far one answer moves that time, as a part of it
-
-/// An attempt that is out: its number, its backend, and when and where it was sent.
-#[derive(Clone, Copy)]
-pub(super) struct Try {
-    pub attempt: u32,
-    pub to: BackendId,
-    pub at: Millis,
-    pub zone: ZoneId,
-    pub cell: CellId,
-}
-
-/// A request that has no final answer yet, or whose last attempt is still out.
-#[derive(Clone)]
-pub(super) struct Live {
-    pub request: Request,
-    pub arrived: Millis,
-    pub sends: u32,
-    pub out: Vec<Try>,    // two while a second copy runs
-    pub ran: Option<Try>, // the attempt sent first of those that ended and may have run
-    pub started: bool,    // its streamed answer has
-    pub answered: bool,   // whatever is still out, its client has its final answer
-    pub slow: bool,       // it is known to be
-}
-
-impl Live {
-    pub(super) fn new(request: Request, arrived: Millis) -> Live {
-        let (started, answered, slow) = (false, false, false);
-        Live {
-            request,
-            arrived,
-            sends: 0,
-            out: Vec::new(),
-            ran: None,
-            started,
-            answered,
-            slow,
-        }
-    }
-}
-
-/// Where a request may be sent next.
+/// Multiple of its expected time after which an attempt that may be repeated is abandoned.
+const TIMEOUT_FACTOR: f64 = 8.0;
+/// Least timeout of such an attempt, as a fraction of its latency objective.
+const MIN_TIMEOUT: f64 = 0.4;
+/// Shortest latency objectives after a connection broke in which all requests are written cautiously.
+const CAUTION_TIME: f64 = 8.0;
+/// Retries earned by each first attempt.
+const RETRIES_PER_REQUEST: f64 = 0.2;
+/// Most retries saved up.
+const MAX_RETRY_BUDGET: f64 = 10.0;
+/// Fraction of a class's responses that came sooner than the least time for an attempt.
+const FAST_FRACTION: f64 = 0.1;
+/// Largest step of that time for one response, as a fraction of it.
+const FAST_STEP: f64 = 0.1;
+/// Ticks before a deadline at which the policy has to act, so that the action still counts.
+const DEADLINE_TICKS: f64 = 2.0;
+
+/// The backends that a request may be sent to next.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Reach {
+pub(super) enum RetryScope {
     Anywhere,
     Zone(ZoneId),
     Cell(CellId),
     Nowhere,
 }
 
-impl Reach {
-    pub(super) fn holds(self, entry: &BackendEntry) -> bool {
-        self == Reach::Anywhere
-            || self == Reach::Zone(entry.zone)
-            || self == Reach::Cell(entry.cell)
+impl RetryScope {
+    pub(super) fn contains(self, entry: &BackendEntry) -> bool {
+        self == RetryScope::Anywhere
+            || self == RetryScope::Zone(entry.zone)
+            || self == RetryScope::Cell(entry.cell)
     }
 }
 
-/// The requests at hand, and what bounds their attempts.
-pub(super) struct Attempts {
-    terms: Arc<Terms>,
-    pub live: BTreeMap<RequestId, Live>,
-    pub retries: f64,
-    pub broke_at: Millis, // when a connection to a backend broke last
-    quick: BTreeMap<ClassId, QuantileEstimator>, // the time that few good answers came within, after the first
+/// What bounds the attempts of requests.
+pub(super) struct RetryPolicy {
+    context: Arc<PolicyContext>,
+    /// Retries that may be sent now.
+    budget: f64,
+    /// When a connection to a backend last broke, ms.
+    connection_broke_at: Millis,
+    /// Per class, the time within which few good responses came, ms.
+    fast_service: BTreeMap<ClassId, QuantileEstimator>,
 }
 
-impl Attempts {
-    pub(super) fn new(terms: Arc<Terms>) -> Attempts {
-        let (live, quick) = (BTreeMap::new(), BTreeMap::new());
-        Attempts {
-            terms,
-            live,
-            retries: RETRY_DEPTH,
-            broke_at: f64::NEG_INFINITY,
-            quick,
+impl RetryPolicy {
+    pub(super) fn new(context: Arc<PolicyContext>) -> RetryPolicy {
+        RetryPolicy {
+            context,
+            budget: MAX_RETRY_BUDGET,
+            connection_broke_at: f64::NEG_INFINITY,
+            fast_service: BTreeMap::new(),
         }
     }
 
-    /// A request that nothing has been answered to yet.
-    pub(super) fn waiting(&self, id: RequestId) -> Option<&Live> {
-        self.live
-            .get(&id)
-            .filter(|live| !live.answered && !live.started)
+    fn class(&self, pending: &PendingRequest) -> &Class {
+        self.context.class(pending.request.class)
     }
 
-    fn class(&self, live: &Live) -> &Class {
-        &self.terms.set.classes[live.request.class.0]
-    }
-
-    /// When a request gets its final answer at the latest: with its aim where later is worth nothing.
-    pub(super) fn cut(&self, live: &Live) -> Millis {
-        let class = self.class(live);
-        let aim = live.arrived - live.request.queued_for + class.latency_objective;
-        let last = live.request.deadline - 2.0 * self.terms.set.tick;
-        last.min(if class.late_priority_weight > 0.0 {
-            last
-        } else {
-            aim
-        })
+    /// When a request gets its final answer at the latest, ms: at its latency objective where a later response
+    /// earns nothing.
+    pub(super) fn final_deadline(&self, pending: &PendingRequest) -> Millis {
+        let class = self.class(pending);
+        let request = &pending.request;
+        let last = request.deadline - DEADLINE_TICKS * self.context.settings.tick;
+        if class.late_priority_weight > 0.0 {
+            return last;
+        }
+        last.min(pending.arrived_at - request.queued_for + class.latency_objective)
     }
 
-    /// Whether an attempt begun now can end in what is left of its request's time.
-    pub(super) fn fits(&self, now: Millis, live: &Live) -> bool {
-        let quick = self
-            .quick
-            .get(&live.request.class)
+    /// Whether an attempt that is sent now can end before its request's final deadline.
+    pub(super) fn has_time(&self, now: Millis, pending: &PendingRequest) -> bool {
+        let fast_service = self
+            .fast_service
+            .get(&pending.request.class)
             .map_or(0.0, QuantileEstimator::estimate);
-        self.cut(live) - now > quick.max(self.terms.set.tick)
+        self.final_deadline(pending) - now > fast_service.max(self.context.settings.tick)
     }
 
-    /// The time of few good answers of a class, moved by one that took `elapsed`.
-    pub(super) fn observe_service(&mut self, class: ClassId, elapsed: Millis) {
-        let quick = self
-            .quick
+    /// Observes the service time of a good response.
+    pub(super) fn observe_service_time(&mut self, class: ClassId, elapsed: Millis) {
+        self.fast_service
             .entry(class)
-            .or_insert(QuantileEstimator::new(elapsed / 2.0));
-        quick.observe(elapsed, QUICKEST, QUICK_STEP);
+            .or_insert(QuantileEstimator::new(elapsed / 2.0))
+            .observe(elapsed, FAST_FRACTION, FAST_STEP);
+    }
+
+    /// Records that a connection to a backend broke.
+    pub(super) fn connection_broke(&mut self, now: Millis) {
+        self.connection_broke_at = now;
+    }
+
+    /// Adds to the retry budget what a first attempt earns.
+    pub(super) fn earn(&mut self) {
+        self.budget = (self.budget + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
     }
 
-    pub(super) fn earn_retries(&mut self) {
-        self.retries = (self.retries + RETRY_SHARE).min(RETRY_DEPTH);
+    /// Takes one retry from the budget.
+    pub(super) fn spend(&mut self) {
+        self.budget -= 1.0;
     }
 
-    pub(super) fn may_send_again(&self, now: Millis, live: &Live) -> bool {
-        self.fits(now, live) && self.retries >= 1.0 && live.sends < self.terms.set.max_attempts
+    /// Whether a request may have one more attempt.
+    pub(super) fn may_retry(&self, now: Millis, pending: &PendingRequest) -> bool {
+        self.has_time(now, pending)
+            && self.budget >= 1.0
+            && pending.attempts_sent < self.context.settings.max_attempts
     }
 
-    /// How long an attempt that should take `expected` is waited for. One that may be repeated is given up
-    /// while another still has as much time, so that a hung one does not use all; the last gets the rest.
-    pub(super) fn patience(
+    /// The timeout of an attempt that is expected to take `expected`, ms. One that may be repeated is abandoned
+    /// while another still has as much time, so that a hanging one does not use all of it; the last gets the rest,
+    /// which an infinite timeout stands for.
+    pub(super) fn attempt_timeout(
         &self,
         now: Millis,
-        live: &Live,
+        pending: &PendingRequest,
         expected: Millis,
-        calm: bool,
+        has_capacity_for_retries: bool,
     ) -> Millis {
-        let class = self.class(live);
-        let again = matches!(class.idempotency, Idempotency::Idempotent)
-            || matches!(class.idempotency, Idempotency::WithKey { scope: DeduplicationScope::All, retention } if retention > class.latency_objective);
-        let limit = (HUNG * expected).max(HUNG_AIMS * class.latency_objective);
-        let fits =
-            2.0 * limit <= self.cut(live) - now && live.sends + 1 < self.terms.set.max_attempts;
-        if again && fits && calm && self.retries >= 1.0 {
-            limit
+        let class = self.class(pending);
+        let timeout = (TIMEOUT_FACTOR * expected).max(MIN_TIMEOUT * class.latency_objective);
+        let has_time_for_two = 2.0 * timeout <= self.final_deadline(pending) - now;
+        let has_attempt_left = pending.attempts_sent + 1 < self.context.settings.max_attempts;
+        let may_repeat = is_repeatable_anywhere(class)
+            && has_time_for_two
+            && has_attempt_left
+            && has_capacity_for_retries
+            && self.budget >= 1.0;
+        if may_repeat {
+            timeout
         } else {
             f64::INFINITY
         }
     }
 
-    /// Guards against connections that are dead unseen, in pools or between: a request that must not be run
-    /// again is lost with each. Others can be repeated; caution costs each the time of a way there and back.
-    pub(super) fn delivery(&self, now: Millis, live: &Live) -> DeliveryMode {
-        match self.class(live).idempotency {
+    /// How a request is written, against connections that are broken unnoticed, pooled or in between: each would
+    /// lose a request that must not execute twice. Others can be repeated, and caution costs each a round trip.
+    pub(super) fn delivery(&self, now: Millis, pending: &PendingRequest) -> DeliveryMode {
+        let caution_time = CAUTION_TIME * self.context.latency_objective;
+        match self.class(pending).idempotency {
             Idempotency::NonIdempotent => DeliveryMode::Once,
-            _ if now - self.broke_at < CAUTION_AIMS * self.terms.aim => DeliveryMode::Cautious,
+            _ if now - self.connection_broke_at < caution_time => DeliveryMode::Cautious,
             _ => DeliveryMode::Normal,
         }
     }
 
-    /// When the key of what has run is forgotten, an attempt that is out being taken to run.
-    pub(super) fn key_expires(&self, live: &Live) -> Option<Millis> {
-        let Idempotency::WithKey {
-            retention: memory, ..
-        } = self.class(live).idempotency
-        else {
+    /// When the idempotency key of what has executed is forgotten, ms. An attempt in flight counts as executed.
+    pub(super) fn key_expires_at(&self, pending: &PendingRequest) -> Option<Millis> {
+        let Idempotency::WithKey { retention, .. } = self.class(pending).idempotency else {
             return None;
         };
-        let first = live
-            .ran
+        let first_sent = pending
+            .executed
             .iter()
-            .chain(&live.out)
-            .map(|sent| sent.at)
+            .chain(&pending.in_flight)
+            .map(|attempt| attempt.sent_at)
             .reduce(f64::min)?;
-        Some(first + memory - 2.0 * self.terms.set.tick)
+        Some(first_sent + retention - DEADLINE_TICKS * self.context.settings.tick)
     }
 
-    /// Where a request may be sent after what has happened to it, an attempt that is out being taken to run.
-    pub(super) fn reach(&self, now: Millis, live: &Live) -> Reach {
-        let Some(ran) = live.ran.as_ref().or(live.out.first()) else {
-            return Reach::Anywhere;
+    /// The backends that a request may be sent to after its attempts so far. An attempt in flight counts as
+    /// executed.
+    pub(super) fn scope(&self, now: Millis, pending: &PendingRequest) -> RetryScope {
+        let Some(executed) = pending.executed.as_ref().or(pending.in_flight.first()) else {
+            return RetryScope::Anywhere;
         };
-        match self.class(live).idempotency {
-            Idempotency::Idempotent => Reach::Anywhere,
-            Idempotency::NonIdempotent => Reach::Nowhere,
-            _ if self.key_expires(live).is_some_and(|expires| now >= expires) => Reach::Nowhere,
-            Idempotency::WithKey {
-                scope: DeduplicationScope::All,
-                ..
-            } => Reach::Anywhere,
-            Idempotency::WithKey {
-                scope: DeduplicationScope::Zone,
-                ..
-            } => Reach::Zone(ran.zone),
-            Idempotency::WithKey {
-                scope: DeduplicationScope::Cell,
-                ..
-            } => Reach::Cell(ran.cell),
+        let scope = match self.class(pending).idempotency {
+            Idempotency::Idempotent => return RetryScope::Anywhere,
+            Idempotency::NonIdempotent => return RetryScope::Nowhere,
+            Idempotency::WithKey { scope, .. } => scope,
+        };
+        if self
+            .key_expires_at(pending)
+            .is_some_and(|expires_at| now >= expires_at)
+        {
+            return RetryScope::Nowhere;
+        }
+        match scope {
+            DeduplicationScope::All => RetryScope::Anywhere,
+            DeduplicationScope::Zone => RetryScope::Zone(executed.zone),
+            DeduplicationScope::Cell => RetryScope::Cell(executed.cell),
         }
     }
 }
+
+/// Whether a request may be sent to any backend while an earlier attempt may still execute.
+fn is_repeatable_anywhere(class: &Class) -> bool {
+    match class.idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::WithKey {
+            scope: DeduplicationScope::All,
+            retention,
+        } => retention > class.latency_objective,
+        Idempotency::WithKey { .. } | Idempotency::NonIdempotent => false,
+    }
+}
