--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,13 @@
-//! The decisions of an admission gateway for a service sold by plan.
+//! The policy of an admission gateway for a service sold by plan: which requests to admit, which backend each is
+//! forwarded to, and when to retry.
 //!
-//! A front door owns sockets, clients and connections; this library decides. The front door makes one
-//! [`PolicyEngine`] from its [`Settings`] and a seed, hands it every event with the time it happened, and carries
-//! out the actions that come back. Nothing here reads a clock, opens a file or keeps shared state.
+//! The policy is pure. Its driver owns sockets, connections, timers and the clock: it makes one [`PolicyEngine`]
+//! from [`Settings`] and a seed, reports every [`Event`] with its time, and carries out each [`Action`] that comes
+//! back. The policy reads no clock, does no I/O and shares no state, so the same events give the same actions.
+//!
+//! Admission is by recent average rate limiters, with a [`Cewma`] and a penalty box for each customer. The modules
+//! of the policy are private; their documentation says which subject each has. [`settings`] parses the text that a
+//! deployment writes its settings in.
 //!
 //! ```
 //! use cometspool::*;
@@ -39,7 +44,7 @@
 //!     match action {
 //!         Action::Send { request, backend, .. } => assert_eq!((request.0, backend.0), (1, 1)),
 //!         Action::SetTimer { at, .. } => assert!(at <= 2000.0),
-//!         other => panic!("a quiet gateway would not do {other:?}"),
+//!         other => panic!("unexpected action: {other:?}"),
 //!     }
 //! }
 //! ```
