--- a/src/bin/cometspool-simulator-adapter/codec/tests.rs
+++ b/src/bin/cometspool-simulator-adapter/codec/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `codec.rs`.
+//! Unit tests of the wire format, on frames written by hand.
 
 use super::*;
 
@@ -6,67 +6,68 @@
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
     digits
         .chunks(2)
-        .map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap())
+        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap())
         .collect()
 }
 
 #[test]
-fn an_arrival_an_alarm_and_a_client_gone_are_read() {
+fn decodes_request_timer_and_client_disconnect() {
     let payload =
         hex("00000000 00408f40 0201 02000000 05000000 00000040 00000000 0900000000000000 0000000000007940 \
          01000000 00004040 02 06   0601 02000000 4d00000000000000   0501 07000000 05000000");
-    let (clock, records) = decode(&payload).unwrap();
-    assert_eq!(clock, 1000.0);
-    let arrival = Record::Ingress {
+    let batch = decode(&payload).unwrap();
+    assert_eq!(batch.now, 1000.0);
+    let request = IncomingRequest {
         id: 5,
-        doors: 2.0,
+        gateway_count: 2.0,
         customer: 9,
         deadline: 400.0,
         plan: 1,
         units: 3.0,
         class: 2,
-        again: true,
+        is_retry: true,
     };
+    let addressed = |instance, record| AddressedRecord { instance, record };
     assert_eq!(
-        records,
+        batch.records,
         vec![
-            (2, arrival),
-            (2, Record::Alarm { name: 77 }),
-            (7, Record::ClientGone { id: 5 })
+            addressed(2, Record::Request(request)),
+            addressed(2, Record::TimerFired { timer: 77 }),
+            addressed(7, Record::ClientDisconnected { request: 5 })
         ]
     );
 }
 
 #[test]
-fn a_settled_attempt_and_a_list_are_read() {
+fn decodes_completed_attempt_and_endpoint_list() {
     let payload = hex(
         "0000000000000000 0401 01000000 05000000 0100 0b000000 0300 0000000000003440 01 6500 0300 01 0000003f \
          0101 01000000 01 29000000 01000000 01 0000000000005940 0b000000 0200 00 01 0000803f",
     );
-    let (_, records) = decode(&payload).unwrap();
-    let settled = Outcome {
-        id: 5,
+    let batch = decode(&payload).unwrap();
+    let completed = CompletedAttempt {
+        request: 5,
         attempt: 1,
         backend: 11,
         outcome: 3,
-        waited: 20.0,
-        closed: true,
-        used: 101,
-        actual: 3,
-        stats: vec![0.5],
+        elapsed: 20.0,
+        request_closed: true,
+        quota_usage: 101,
+        actual_units: 3,
+        metrics: vec![0.5],
     };
-    let entry = Entry {
+    let entry = ListEntry {
         zone: 1,
-        came_up: 100.0,
+        started_at: 100.0,
         backend: 11,
         cell: 2,
         availability: 1,
-        size: 1.0,
+        weight: 1.0,
     };
-    assert_eq!(records[0].1, Record::Settled(settled));
+    assert_eq!(batch.records[0].record, Record::AttemptCompleted(completed));
     assert_eq!(
-        records[1].1,
-        Record::Roster {
+        batch.records[1].record,
+        Record::EndpointList {
             kind: 1,
             entries: vec![entry]
         }
@@ -74,26 +75,30 @@
 }
 
 #[test]
-fn what_this_design_does_not_use_is_still_read_whole() {
+fn decodes_unused_records_completely() {
     let payload = hex(
         "0000000000000000 0801 01000000 02000000 0200 6869   0a01 01000000 000000000000f03f 0100000000000000 \
          0000803f 0000   0301 01000000 05000000 0000000000003440 0000 0b000000   0901 01000000",
     );
-    let (_, records) = decode(&payload).unwrap();
-    let kinds: Vec<Record> = records.into_iter().map(|(_, record)| record).collect();
+    let batch = decode(&payload).unwrap();
+    let records: Vec<Record> = batch
+        .records
+        .into_iter()
+        .map(|addressed| addressed.record)
+        .collect();
     assert_eq!(
-        kinds,
+        records,
         vec![
             Record::Unused,
             Record::Unused,
-            Record::FirstByte { id: 5 },
+            Record::StreamStarted { request: 5 },
             Record::Retire
         ]
     );
 }
 
 #[test]
-fn a_record_that_overruns_and_an_unknown_code_are_told_with_place_and_code() {
+fn malformed_frame_is_reported_with_offset_and_code() {
     let overrun = decode(&hex("0000000000000000 0601 01000000 4d0000")).unwrap_err();
     assert_eq!((overrun.offset, overrun.code), (14, Some(262)));
     let unknown = decode(&hex("0000000000000000 ff01 01000000")).unwrap_err();
@@ -105,17 +110,17 @@
 }
 
 #[test]
-fn every_action_has_its_code_and_length() {
+fn encodes_every_action() {
     let mut reply = Reply::default();
     reply.send(3, 5, 9, 80.0);
-    reply.refuse(3, 5, 0.0);
+    reply.reject(3, 5, 0.0);
     reply.fail(3, 5);
-    reply.call_off(3, 5, 1);
-    reply.set_alarm(3, 10.0, 77);
-    reply.probe(3, 9);
-    reply.close_idle(3, 9);
+    reply.cancel_attempt(3, 5, 1);
+    reply.set_timer(3, 10.0, 77);
+    reply.check_health(3, 9);
+    reply.close_idle_connections(3, 9);
     reply.log(3, "hi");
-    reply.broken(3, "no");
+    reply.instance_failed(3, "no");
     reply.subscribe(3);
     reply.fetch_list(3);
     let expected =
