--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,22 +1,25 @@
-//! A small stage for playing event sequences to a gateway.
+//! A gateway without its driver, for tests that play event sequences to the policy.
+
+#![allow(dead_code, reason = "each test file uses a part of these helpers")]
 
 use cometspool::*;
 
-/// A gateway with the actions of its last event.
-pub(crate) struct Stage {
-    pub gateway: PolicyEngine,
+/// A gateway, with the actions of its last event.
+pub(crate) struct GatewayFixture {
+    pub engine: PolicyEngine,
     pub actions: Vec<Action>,
 }
 
-/// One gateway of `spread` with a plan and a class of each effect: 0 safe, 1 keyed, 2 unsafe.
+/// Settings of one of so many gateways with one plan, and a class of each idempotency: 0 idempotent, 1 with a key,
+/// 2 not idempotent.
 pub(crate) fn settings(plan: Plan, gateways: u32) -> Settings {
-    let class = |effect| Class {
+    let class = |idempotency| Class {
         latency_objective: 1000.0,
         deadline: 3000.0,
-        idempotency: effect,
+        idempotency,
         ..Class::default()
     };
-    let keyed = Idempotency::WithKey {
+    let with_key = Idempotency::WithKey {
         scope: DeduplicationScope::Zone,
         retention: 2000.0,
     };
@@ -24,7 +27,7 @@
         gateways,
         classes: vec![
             class(Idempotency::Idempotent),
-            class(keyed),
+            class(with_key),
             class(Idempotency::NonIdempotent),
         ],
         plans: vec![plan],
@@ -33,7 +36,16 @@
     }
 }
 
-/// A warm backend in zone `zone`, cell `zone`.
+/// A plan that limits none of the requests of most tests.
+pub(crate) fn generous_plan() -> Plan {
+    Plan {
+        rate: 1000.0,
+        burst: 1000.0,
+        ..Plan::default()
+    }
+}
+
+/// A warm backend in zone `zone` and the cell of the same number.
 pub(crate) fn ready(id: u32, zone: u32) -> BackendEntry {
     BackendEntry {
         id: BackendId(id),
@@ -60,75 +72,97 @@
     }
 }
 
-#[allow(dead_code)]
-impl Stage {
-    /// A gateway that has been handed its first list.
-    pub(crate) fn new(settings: Settings, backends: Vec<BackendEntry>) -> Stage {
-        Stage::seeded(settings, 1, backends)
+/// One of a hundred gateways with a plan that admits all of its requests.
+pub(crate) fn one_of_many(gateway_index: u32, backends: Vec<BackendEntry>) -> GatewayFixture {
+    let plan = Plan {
+        rate: 1000.0,
+        burst: 4000.0,
+        ..Plan::default()
+    };
+    let settings = Settings {
+        gateway_index,
+        max_units: 1.0,
+        warm_up: 10_000.0,
+        ..settings(plan, 100)
+    };
+    GatewayFixture::seeded(settings, u64::from(gateway_index), backends)
+}
+
+impl GatewayFixture {
+    /// A gateway that has received its first endpoint list.
+    pub(crate) fn new(settings: Settings, backends: Vec<BackendEntry>) -> GatewayFixture {
+        GatewayFixture::seeded(settings, 1, backends)
     }
 
     /// One of several gateways, each with a seed of its own.
-    pub(crate) fn seeded(settings: Settings, seed: u64, backends: Vec<BackendEntry>) -> Stage {
-        let mut stage = Stage {
-            gateway: PolicyEngine::new(settings, seed),
+    pub(crate) fn seeded(
+        settings: Settings,
+        seed: u64,
+        backends: Vec<BackendEntry>,
+    ) -> GatewayFixture {
+        let mut gateway = GatewayFixture {
+            engine: PolicyEngine::new(settings, seed),
             actions: Vec::new(),
         };
-        stage.play(0.0, Event::EndpointsChanged(ListKind::Cached, backends));
-        stage
+        gateway.handle(0.0, Event::EndpointsChanged(ListKind::Cached, backends));
+        gateway
     }
 
-    /// Plays one event; the actions are kept until the next.
-    pub(crate) fn play(&mut self, now: Millis, event: Event) -> &[Action] {
+    /// Handles one event; its actions are kept until the next.
+    pub(crate) fn handle(&mut self, now: Millis, event: Event) -> &[Action] {
         self.actions.clear();
-        self.gateway.handle(now, event, &mut self.actions);
+        self.engine.handle(now, event, &mut self.actions);
         &self.actions
     }
 
-    /// Plays an arrival and tells where it was sent, if it was.
+    /// Handles the arrival of a request; the backend that it was sent to, if it was.
     pub(crate) fn arrive(&mut self, now: Millis, request: Request) -> Option<BackendId> {
-        self.play(now, Event::RequestArrived(request));
-        self.sent()
+        self.handle(now, Event::RequestArrived(request));
+        self.sent_to()
     }
 
-    /// Where the last event led to a send.
-    pub(crate) fn sent(&self) -> Option<BackendId> {
-        self.actions.iter().find_map(|a| match a {
+    /// The backend that the last event sent an attempt to.
+    pub(crate) fn sent_to(&self) -> Option<BackendId> {
+        self.actions.iter().find_map(|action| match action {
             Action::Send { backend, .. } => Some(*backend),
             _ => None,
         })
     }
 
-    /// Plays the end of an attempt.
-    pub(crate) fn settle(
+    /// Handles the end of an attempt.
+    pub(crate) fn complete(
         &mut self,
         now: Millis,
         id: u32,
         attempt: u32,
-        at: BackendId,
+        backend: BackendId,
         outcome: Outcome,
     ) -> &[Action] {
-        self.play(
-            now,
-            Event::AttemptCompleted(settled(id, attempt, at, outcome)),
-        )
+        let completed = completed(id, attempt, backend, outcome);
+        self.handle(now, Event::AttemptCompleted(completed))
     }
 
-    /// Plays an arrival that is answered 10 ms later if it is sent; tells whether it was.
+    /// Handles the arrival of a request that is answered 10 ms later if it is sent; whether it was.
     pub(crate) fn serve(&mut self, now: Millis, request: Request) -> bool {
-        let sent = self.arrive(now, request);
-        if let Some(at) = sent {
-            self.settle(now + 10.0, request.id.0, 0, at, Outcome::Ok);
+        let backend = self.arrive(now, request);
+        if let Some(backend) = backend {
+            self.complete(now + 10.0, request.id.0, 0, backend, Outcome::Ok);
         }
-        sent.is_some()
+        backend.is_some()
     }
 }
 
 /// The end of an attempt after 10 ms; a good one closes the request.
-pub(crate) fn settled(id: u32, attempt: u32, at: BackendId, outcome: Outcome) -> AttemptCompleted {
+pub(crate) fn completed(
+    id: u32,
+    attempt: u32,
+    backend: BackendId,
+    outcome: Outcome,
+) -> AttemptCompleted {
     AttemptCompleted {
         request: RequestId(id),
         attempt,
-        backend: at,
+        backend,
         outcome,
         elapsed: 10.0,
         request_closed: outcome == Outcome::Ok,
@@ -138,3 +172,25 @@
         broken_connections: 0,
     }
 }
+
+/// What becomes of a request by the actions of an event.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum NextStep {
+    Send,
+    Reject,
+    Fail,
+    Nothing,
+}
+
+/// The next step that these actions take; there must be no second one.
+pub(crate) fn next_step(actions: &[Action]) -> NextStep {
+    let mut steps = actions.iter().filter_map(|action| match action {
+        Action::Send { .. } => Some(NextStep::Send),
+        Action::Reject { .. } => Some(NextStep::Reject),
+        Action::Fail(_) => Some(NextStep::Fail),
+        _ => None,
+    });
+    let first = steps.next().unwrap_or(NextStep::Nothing);
+    assert_eq!(steps.next(), None, "more than one step: {actions:?}");
+    first
+}
--- a/tests/policy_trace.rs
+++ b/tests/policy_trace.rs
@@ -1,4 +1,4 @@
-//! The policy's actions for a recorded run: seeded events under every switch of the settings, held by a digest.
+//! A digest of the policy's actions for seeded runs, with every switch of the settings on and off.
 //!
 //! The digest covers each action's meaning, not its name, so that it stays the same while types are renamed. Times
 //! are rounded to a microsecond: the last bits of transcendental functions differ between C libraries.
@@ -9,7 +9,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// The digest of all runs, as the policy stood before its types were renamed.
+/// The digest of all runs.
 const EXPECTED_DIGEST: u64 = 3003417303617186830;
 /// The number of events handled in all runs.
 const EXPECTED_EVENTS: u64 = 121255;
@@ -43,14 +43,14 @@
             Action::Send {
                 request,
                 backend,
-                timeout: limit,
+                timeout,
                 begin_before,
                 delivery,
             } => {
                 self.number(1);
                 self.number(request.0.into());
                 self.number(backend.0.into());
-                self.optional_time(*limit);
+                self.optional_time(*timeout);
                 self.optional_time(*begin_before);
                 self.number(match delivery {
                     DeliveryMode::Normal => 0,
@@ -61,12 +61,12 @@
             Action::Reject {
                 request,
                 retry_after,
-                reason: why,
+                reason,
             } => {
                 self.number(2);
                 self.number(request.0.into());
                 self.optional_time(*retry_after);
-                self.number(reason(*why));
+                self.number(reason_number(*reason));
             }
             Action::Fail(request) => {
                 self.number(3);
@@ -97,14 +97,14 @@
             }
             Action::Subscribe => self.number(9),
             Action::FetchList => self.number(10),
-            // The text is for people; that there is one counts.
+            // The text is for the operators: only its presence counts.
             Action::Log(_) => self.number(11),
         }
     }
 }
 
-fn reason(why: RejectReason) -> u64 {
-    match why {
+fn reason_number(reason: RejectReason) -> u64 {
+    match reason {
         RejectReason::UnknownPlanOrClass => 0,
         RejectReason::ShuttingDown => 1,
         RejectReason::PenaltyBox => 2,
@@ -117,27 +117,28 @@
     }
 }
 
-/// A draw from nought to one.
+/// A random number from 0 to 1.
 fn draw(rng: &mut Pcg32) -> f64 {
     f64::from(rng.next_u32()) / f64::from(u32::MAX)
 }
 
-/// Settings that turn each switch by a bit of `run`.
+/// Settings with each switch set by a bit of `run`.
 fn settings(run: u32) -> Settings {
     let on = |bit: u32| run >> bit & 1 == 1;
-    let class = |effect: Idempotency, aim: f64, late_worth: f64| Class {
-        latency_objective: aim,
-        deadline: 3.0 * aim,
-        late_priority_weight: late_worth,
-        idempotency: effect,
-        ..Class::default()
-    };
-    let groups = [
+    let class =
+        |idempotency: Idempotency, latency_objective: Millis, late_priority_weight: f64| Class {
+            latency_objective,
+            deadline: 3.0 * latency_objective,
+            late_priority_weight,
+            idempotency,
+            ..Class::default()
+        };
+    let scopes = [
         DeduplicationScope::All,
         DeduplicationScope::Zone,
         DeduplicationScope::Cell,
     ];
-    let group = groups[run as usize % groups.len()];
+    let scope = scopes[run as usize % scopes.len()];
     let ceiling = Ceiling {
         rate: 40.0,
         burst: 30.0,
@@ -151,7 +152,7 @@
             class(Idempotency::Idempotent, 400.0, 0.3),
             class(
                 Idempotency::WithKey {
-                    scope: group,
+                    scope,
                     retention: 900.0,
                 },
                 500.0,
@@ -206,33 +207,33 @@
     }
 }
 
-/// What comes due in a run.
+/// What is scheduled in a run.
 #[derive(Clone, Copy, Debug)]
-enum Pending {
+enum Scheduled {
     Arrival(u32),
-    Alarm(TimerId),
+    Timer(TimerId),
     AttemptEnds { request: u32, attempt: u32 },
     ListChanges(u32),
-    ClientLeaves(u32),
-    Stops,
+    ClientDisconnects(u32),
+    ShutdownStarts,
 }
 
-/// An attempt that has not ended.
+/// An attempt in flight.
 #[derive(Clone, Copy)]
-struct Out {
+struct OpenAttempt {
     backend: u32,
-    sent: Millis,
+    sent_at: Millis,
     outcome: Outcome,
 }
 
 /// One gateway with its scripted clients and backends.
 struct Run {
     rng: Pcg32,
-    gateway: PolicyEngine,
+    engine: PolicyEngine,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    pending: Vec<Pending>,
+    scheduled: Vec<Scheduled>,
     attempts: BTreeMap<u32, u32>,
-    out: BTreeMap<(u32, u32), Out>,
+    open: BTreeMap<(u32, u32), OpenAttempt>,
     digest: Digest,
     events: u64,
 }
@@ -241,20 +242,20 @@
     fn new(run: u32) -> Run {
         Run {
             rng: Pcg32::seed_from_u64(u64::from(run) + 1000),
-            gateway: PolicyEngine::new(settings(run), u64::from(run)),
+            engine: PolicyEngine::new(settings(run), u64::from(run)),
             queue: BinaryHeap::new(),
-            pending: Vec::new(),
+            scheduled: Vec::new(),
             attempts: BTreeMap::new(),
-            out: BTreeMap::new(),
+            open: BTreeMap::new(),
             digest: Digest(0xcbf2_9ce4_8422_2325),
             events: 0,
         }
     }
 
     /// Schedules something; times are kept as whole microseconds so that the order is exact.
-    fn schedule(&mut self, at: Millis, pending: Pending) {
-        let number = self.pending.len() as u64;
-        self.pending.push(pending);
+    fn schedule(&mut self, at: Millis, scheduled: Scheduled) {
+        let number = self.scheduled.len() as u64;
+        self.scheduled.push(scheduled);
         self.queue
             .push(Reverse(((at.max(0.0) * 1000.0).round() as u64, number)));
     }
@@ -262,7 +263,7 @@
     fn handle(&mut self, now: Millis, event: Event) {
         let mut actions = Vec::new();
         self.events += 1;
-        self.gateway.handle(now, event, &mut actions);
+        self.engine.handle(now, event, &mut actions);
         for action in actions {
             self.digest.action(&action);
             self.carry_out(now, action);
@@ -274,10 +275,10 @@
             Action::Send {
                 request,
                 backend,
-                timeout: limit,
+                timeout,
                 ..
-            } => self.send(now, request.0, backend.0, limit),
-            Action::SetTimer { at, timer } => self.schedule(at.max(now), Pending::Alarm(timer)),
+            } => self.send(now, request.0, backend.0, timeout),
+            Action::SetTimer { at, timer } => self.schedule(at.max(now), Scheduled::Timer(timer)),
             Action::CancelAttempt { request, attempt } => {
                 self.end_attempt(now, request.0, attempt, Some(Outcome::Cancelled));
             }
@@ -293,58 +294,58 @@
         }
     }
 
-    fn send(&mut self, now: Millis, request: u32, backend: u32, limit: Option<Millis>) {
+    fn send(&mut self, now: Millis, request: u32, backend: u32, timeout: Option<Millis>) {
         let count = self.attempts.entry(request).or_default();
         let attempt = *count;
         *count += 1;
-        let luck = draw(&mut self.rng);
+        let random_draw = draw(&mut self.rng);
         let service = 20.0 + 150.0 * draw(&mut self.rng).powi(3);
-        // Two backends are bad: one answers with errors, one hangs half of the time.
-        let (mut outcome, mut service) = match (backend, luck) {
-            (1, luck) if luck < 0.7 => (Outcome::Error, 3.0),
-            (2, luck) if luck < 0.5 => (Outcome::Timeout, 5000.0),
-            (_, luck) if luck < 0.01 => (Outcome::Reset, service / 2.0),
-            (_, luck) if luck < 0.02 => (Outcome::ConnectFailed, 1.0),
-            (_, luck) if luck < 0.04 => (Outcome::Rejected, 2.0),
-            (_, luck) if luck < 0.045 => (Outcome::NotSent, 0.0),
+        // Two backends are faulty: one answers with errors, one hangs half of the time.
+        let (mut outcome, mut service) = match (backend, random_draw) {
+            (1, random_draw) if random_draw < 0.7 => (Outcome::Error, 3.0),
+            (2, random_draw) if random_draw < 0.5 => (Outcome::Timeout, 5000.0),
+            (_, random_draw) if random_draw < 0.01 => (Outcome::Reset, service / 2.0),
+            (_, random_draw) if random_draw < 0.02 => (Outcome::ConnectFailed, 1.0),
+            (_, random_draw) if random_draw < 0.04 => (Outcome::Rejected, 2.0),
+            (_, random_draw) if random_draw < 0.045 => (Outcome::NotSent, 0.0),
             _ => (Outcome::Ok, service),
         };
-        if let Some(limit) = limit.filter(|limit| service > *limit) {
+        if let Some(timeout) = timeout.filter(|timeout| service > *timeout) {
             outcome = Outcome::Timeout;
-            service = limit;
+            service = timeout;
         }
-        self.out.insert(
+        self.open.insert(
             (request, attempt),
-            Out {
+            OpenAttempt {
                 backend,
-                sent: now,
+                sent_at: now,
                 outcome,
             },
         );
-        self.schedule(now + service, Pending::AttemptEnds { request, attempt });
+        self.schedule(now + service, Scheduled::AttemptEnds { request, attempt });
     }
 
-    fn end_attempt(&mut self, now: Millis, request: u32, attempt: u32, instead: Option<Outcome>) {
-        let Some(out) = self.out.remove(&(request, attempt)) else {
+    fn end_attempt(&mut self, now: Millis, request: u32, attempt: u32, cancelled: Option<Outcome>) {
+        let Some(open) = self.open.remove(&(request, attempt)) else {
             return;
         };
-        let outcome = instead.unwrap_or(out.outcome);
-        let answered = matches!(outcome, Outcome::Ok | Outcome::Error);
-        let metered = answered && draw(&mut self.rng) < 0.5;
-        let true_units = answered && draw(&mut self.rng) < 0.3;
-        let settled = AttemptCompleted {
+        let outcome = cancelled.unwrap_or(open.outcome);
+        let is_answered = matches!(outcome, Outcome::Ok | Outcome::Error);
+        let is_metered = is_answered && draw(&mut self.rng) < 0.5;
+        let reports_units = is_answered && draw(&mut self.rng) < 0.3;
+        let completed = AttemptCompleted {
             request: RequestId(request),
             attempt,
-            backend: BackendId(out.backend),
+            backend: BackendId(open.backend),
             outcome,
-            elapsed: now - out.sent,
+            elapsed: now - open.sent_at,
             request_closed: draw(&mut self.rng) < 0.01,
-            quota_usage: metered.then(|| 2.0 * draw(&mut self.rng)),
-            actual_units: true_units.then(|| 3.0 * draw(&mut self.rng)),
+            quota_usage: is_metered.then(|| 2.0 * draw(&mut self.rng)),
+            actual_units: reports_units.then(|| 3.0 * draw(&mut self.rng)),
             load_report: LoadReport::default(),
             broken_connections: u32::from(outcome == Outcome::Reset),
         };
-        self.handle(now, Event::AttemptCompleted(settled));
+        self.handle(now, Event::AttemptCompleted(completed));
     }
 
     fn arrive(&mut self, now: Millis, number: u32) {
@@ -366,21 +367,21 @@
             },
         };
         if draw(&mut self.rng) < 0.03 {
-            let leaves = now + 200.0 * draw(&mut self.rng);
-            self.schedule(leaves, Pending::ClientLeaves(number));
+            let disconnects_at = now + 200.0 * draw(&mut self.rng);
+            self.schedule(disconnects_at, Scheduled::ClientDisconnects(number));
         }
         self.handle(now, Event::RequestArrived(request));
     }
 
     fn entry(&mut self, number: u32, now: Millis) -> BackendEntry {
-        let luck = draw(&mut self.rng);
+        let random_draw = draw(&mut self.rng);
         BackendEntry {
             id: BackendId(number),
             zone: ZoneId(number % 3),
             cell: CellId(number % 5),
-            availability: match luck {
-                luck if luck < 0.1 => Availability::Draining,
-                luck if luck < 0.15 => Availability::Removed,
+            availability: match random_draw {
+                random_draw if random_draw < 0.1 => Availability::Draining,
+                random_draw if random_draw < 0.15 => Availability::Removed,
                 _ => Availability::Ready,
             },
             started_at: (draw(&mut self.rng) < 0.3).then(|| now - 4000.0 * draw(&mut self.rng)),
@@ -403,6 +404,7 @@
         }
     }
 
+    /// Plays the run; its digest and its number of events.
     fn play(mut self) -> (u64, u64) {
         let first = (1..=BACKENDS)
             .map(|number| self.entry(number, 0.0))
@@ -410,29 +412,29 @@
         self.handle(0.0, Event::EndpointsChanged(ListKind::Cached, first));
         let mut at = 10.0;
         for number in 1..=ARRIVALS_PER_RUN {
-            // Calm at first, then a burst, then calm again.
-            let pause = if number % 500 > 300 { 2.0 } else { 9.0 };
-            at += pause * 2.0 * draw(&mut self.rng);
-            self.schedule(at, Pending::Arrival(number));
+            // A low rate, then a burst, then a low rate again.
+            let interval = if number % 500 > 300 { 2.0 } else { 9.0 };
+            at += interval * 2.0 * draw(&mut self.rng);
+            self.schedule(at, Scheduled::Arrival(number));
         }
         for step in 1..=8 {
-            self.schedule(at * f64::from(step) / 9.0, Pending::ListChanges(step));
+            self.schedule(at * f64::from(step) / 9.0, Scheduled::ListChanges(step));
         }
-        self.schedule(at - 200.0, Pending::Stops);
+        self.schedule(at - 200.0, Scheduled::ShutdownStarts);
         while let Some(Reverse((micros, number))) = self.queue.pop() {
             let now = micros as f64 / 1000.0;
-            match self.pending[number as usize] {
-                Pending::Arrival(number) => self.arrive(now, number),
-                Pending::Alarm(_) if now > at + 20_000.0 => {}
-                Pending::Alarm(alarm) => self.handle(now, Event::TimerFired(alarm)),
-                Pending::AttemptEnds { request, attempt } => {
+            match self.scheduled[number as usize] {
+                Scheduled::Arrival(number) => self.arrive(now, number),
+                Scheduled::Timer(_) if now > at + 20_000.0 => {}
+                Scheduled::Timer(timer) => self.handle(now, Event::TimerFired(timer)),
+                Scheduled::AttemptEnds { request, attempt } => {
                     self.end_attempt(now, request, attempt, None);
                 }
-                Pending::ListChanges(step) => self.change_list(now, step),
-                Pending::ClientLeaves(number) => {
+                Scheduled::ListChanges(step) => self.change_list(now, step),
+                Scheduled::ClientDisconnects(number) => {
                     self.handle(now, Event::ClientDisconnected(RequestId(number)));
                 }
-                Pending::Stops => self.handle(now, Event::ShutdownStarted(at + 100.0)),
+                Scheduled::ShutdownStarts => self.handle(now, Event::ShutdownStarted(at + 100.0)),
             }
         }
         (self.digest.0, self.events)
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -1,4 +1,4 @@
-//! The built adapter over its pipes, on small frames written by hand.
+//! The adapter's program over its pipes, on small frames written by hand.
 
 use std::io::{Read, Write};
 use std::process::{Child, Command, Output, Stdio};
@@ -30,29 +30,29 @@
         .collect()
 }
 
-fn record(code: u16, door: u32, fields: &[&[u8]]) -> Vec<u8> {
+fn record(code: u16, instance: u32, fields: &[&[u8]]) -> Vec<u8> {
     [
         &code.to_le_bytes()[..],
-        &door.to_le_bytes()[..],
+        &instance.to_le_bytes()[..],
         &fields.concat(),
     ]
     .concat()
 }
 
-fn create(door: u32, facts: &str) -> Vec<u8> {
+fn create(instance: u32, settings: &str) -> Vec<u8> {
     record(
         256,
-        door,
+        instance,
         &[
             &7u64.to_le_bytes(),
-            &(facts.len() as u32).to_le_bytes(),
-            facts.as_bytes(),
+            &(settings.len() as u32).to_le_bytes(),
+            settings.as_bytes(),
         ],
     )
 }
 
-fn cached_list(door: u32) -> Vec<u8> {
-    let line = [
+fn cached_list(instance: u32) -> Vec<u8> {
+    let entry = [
         &[0u8][..],
         &0f64.to_le_bytes(),
         &9u32.to_le_bytes(),
@@ -62,18 +62,18 @@
     .concat();
     record(
         257,
-        door,
-        &[&[2], &1u32.to_le_bytes(), &1u32.to_le_bytes(), &line],
+        instance,
+        &[&[2], &1u32.to_le_bytes(), &1u32.to_le_bytes(), &entry],
     )
 }
 
-fn ingress(door: u32, id: u32) -> Vec<u8> {
+fn request(instance: u32, id: u32) -> Vec<u8> {
     let (one, zero) = (1f32.to_le_bytes(), 0f32.to_le_bytes());
     let deadline = 5000f64.to_le_bytes();
     let plan = 0u32.to_le_bytes();
     record(
         258,
-        door,
+        instance,
         &[
             &id.to_le_bytes(),
             &one,
@@ -87,21 +87,21 @@
     )
 }
 
-const FACTS: &str = "grades.count=1\ngrades.0.aim=1000\ngrades.0.give_up=3000\ngrades.0.idempotency=safe\n\
+const SETTINGS: &str = "grades.count=1\ngrades.0.aim=1000\ngrades.0.give_up=3000\ngrades.0.idempotency=safe\n\
                      plans.count=1\nplans.0.per_second=5\nplans.0.peak_units=10\ntick=2.0\nsomething.new=1\n";
 
-/// One reply: its number of records and its body.
-fn reply(child: &mut Child) -> (u32, Vec<u8>) {
+/// Reads one reply: its number of records, and these.
+fn read_reply(child: &mut Child) -> (u32, Vec<u8>) {
     let out = child.stdout.as_mut().expect("a pipe");
     let mut header = [0; 8];
     out.read_exact(&mut header).expect("a reply");
     let length = u32::from_le_bytes(header[..4].try_into().unwrap());
     let mut body = vec![0; length as usize - 4];
-    out.read_exact(&mut body).expect("a whole reply");
+    out.read_exact(&mut body).expect("a complete reply");
     (u32::from_le_bytes(header[4..].try_into().unwrap()), body)
 }
 
-fn say(child: &mut Child, frame: &[u8]) {
+fn write_frame(child: &mut Child, frame: &[u8]) {
     let input = child.stdin.as_mut().expect("a pipe");
     input
         .write_all(frame)
@@ -110,53 +110,53 @@
 }
 
 #[test]
-fn a_request_is_sent_on_and_every_batch_gets_one_reply() {
+fn request_is_forwarded_and_every_frame_gets_one_reply() {
     let mut child = start();
-    say(&mut child, &frame(0.0, &[]));
-    assert_eq!(reply(&mut child), (0, vec![]));
+    write_frame(&mut child, &frame(0.0, &[]));
+    assert_eq!(read_reply(&mut child), (0, vec![]));
     let records = [
-        create(3, FACTS),
+        create(3, SETTINGS),
         cached_list(3),
-        create(4, FACTS),
+        create(4, SETTINGS),
         cached_list(4),
     ];
-    say(&mut child, &frame(1.0, &records));
-    assert_eq!(reply(&mut child), (0, vec![]));
-    say(&mut child, &frame(2.0, &[ingress(3, 77)]));
-    let (count, body) = reply(&mut child);
+    write_frame(&mut child, &frame(1.0, &records));
+    assert_eq!(read_reply(&mut child), (0, vec![]));
+    write_frame(&mut child, &frame(2.0, &[request(3, 77)]));
+    let (count, body) = read_reply(&mut child);
     assert_eq!(count, 2);
-    assert_eq!(body[..2], 324u16.to_le_bytes()); // an alarm ahead of the deadline
+    assert_eq!(body[..2], 324u16.to_le_bytes()); // a timer before the deadline
     let sent = &body[22..];
     assert_eq!(sent[..2], 320u16.to_le_bytes());
     assert_eq!(
         sent[2..14],
         [3u32.to_le_bytes(), 77u32.to_le_bytes(), 9u32.to_le_bytes()].concat()
     );
-    // The same instance, dead and born again in one batch, knows nothing of request 77.
-    let again = [
+    // The same instance, retired and created again in one frame, does not know request 77.
+    let restart = [
         record(265, 3, &[]),
-        create(3, FACTS),
+        create(3, SETTINGS),
         cached_list(3),
         record(261, 3, &[&77u32.to_le_bytes()]),
     ];
-    say(&mut child, &frame(3.0, &again));
-    assert_eq!(reply(&mut child), (0, vec![]));
+    write_frame(&mut child, &frame(3.0, &restart));
+    assert_eq!(read_reply(&mut child), (0, vec![]));
     let output = end(child);
     assert!(output.status.success());
 }
 
 #[test]
-fn settings_that_cannot_be_read_are_told_as_broken() {
+fn unreadable_settings_fail_the_instance() {
     let mut child = start();
-    say(&mut child, &frame(1.0, &[create(3, "tick=soon")]));
-    let (count, body) = reply(&mut child);
+    write_frame(&mut child, &frame(1.0, &[create(3, "tick=soon")]));
+    let (count, body) = read_reply(&mut child);
     assert_eq!((count, &body[..2]), (1, &329u16.to_le_bytes()[..]));
     assert!(String::from_utf8_lossy(&body).contains("tick=soon"));
     assert!(end(child).status.success());
 }
 
 #[test]
-fn a_frame_that_ends_early_or_makes_no_sense_ends_the_adapter_with_a_plain_line() {
+fn malformed_frame_ends_the_adapter_with_one_line_on_stderr() {
     let cases: [(Vec<u8>, &str); 3] = [
         (vec![40, 0, 0, 0, 1, 2], "truncated frame"),
         (
@@ -167,7 +167,7 @@
     ];
     for (bytes, expected) in cases {
         let mut child = start();
-        say(&mut child, &bytes);
+        write_frame(&mut child, &bytes);
         let output = end(child);
         assert!(!output.status.success());
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
