--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -22,7 +22,7 @@
 const SPARSE_LOAD: f64 = 0.2;
 /// Power by which these stop deciding beyond it.
 const SPARSE_LOAD_POWER: i32 = 4;
-/// Queueing delay that a crossing between zones is worth, in shortest latency objectives for a cost of 1.
+/// Queueing delay that a crossing between zones counts as, in shortest latency objectives for a cost of 1.
 const CROSS_ZONE_DELAY: f64 = 10.0;
 /// Random fraction added to each cost at most, so that gateways do not all choose alike.
 const COST_JITTER: f64 = 0.05;
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -250,7 +250,8 @@
         .map(|seed| GatewayFixture::seeded(gateway_settings.clone(), seed, backends()))
         .collect();
     let mut in_flight: Vec<(usize, u32, BackendId, f64)> = Vec::new();
-    let (mut mean_in_flight, mut sent_alone) = (0.0, 0);
+    let mut mean_in_flight = 0.0;
+    let mut sent_alone = 0;
     for i in 0..3600u32 {
         let now = 1.0 + f64::from(i) * 10.0;
         let (due, rest) = in_flight
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -203,8 +203,8 @@
     }
 }
 
-/// Requests that must not execute twice are always written cautiously, others for a while after a connection broke: caution
-/// costs each request a little time.
+/// Requests that must not execute twice are always written cautiously, others for a while after a connection broke:
+/// caution costs each request a little time.
 #[test]
 fn delivery_is_cautious_for_non_idempotent_requests_and_after_broken_connections() {
     let mut gateway =
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -93,8 +93,8 @@
     }
 }
 
-/// Requests that were queued here say nothing of queues at backends: as many are admitted as without a stall. When they
-/// counted as slow responses, they closed the admission window.
+/// Requests that were queued here say nothing of queues at backends: as many are admitted as without a stall. When
+/// they counted as slow responses, they closed the admission window.
 #[test]
 fn stall_of_the_gateway_does_not_count_as_slow_backends() {
     let (mut gateway, start) = warmed_up_gateway(settings(unlimited_plan(), 100), 100.0);
@@ -118,8 +118,8 @@
     assert_eq!(sent, 200);
 }
 
-/// Retries do not amplify an outage: however long everything fails, they stay a fixed share of the first attempts, beyond
-/// a few saved up. Each gateway holds to that alone, so the fleet does.
+/// Retries do not amplify an outage: however long everything fails, they stay a fixed share of the first attempts,
+/// beyond a few saved up. Each gateway holds to that alone, so the fleet does.
 #[test]
 fn retry_budget_holds_through_an_outage() {
     for outcome in [
@@ -132,7 +132,8 @@
             settings(unlimited_plan(), 1),
             (0..8).map(|id| ready(id, 0)).collect(),
         );
-        let (mut first_attempts, mut attempts) = (0u32, 0u32);
+        let mut first_attempts = 0u32;
+        let mut attempts = 0u32;
         for i in 0..4000u32 {
             let now = f64::from(i) * 20.0;
             let Some(mut at) = gateway.arrive(now, request(i, 0, now)) else {
@@ -165,8 +166,8 @@
     }
 }
 
-/// Once a shutdown has begun, arrivals are rejected with a Retry-After until its end, within what clients follow. Pending
-/// requests go on.
+/// Once a shutdown has begun, arrivals are rejected with a Retry-After until its end, within what clients follow.
+/// Pending requests go on.
 #[test]
 fn shutdown_rejects_with_retry_after_and_finishes_pending_requests() {
     let gateway_settings = Settings {
@@ -239,8 +240,8 @@
     }
 }
 
-/// A repeatable request gets a second attempt at another backend, and never a third at a time. A request that must not
-/// execute twice gets none, nor does any where the settings do not permit hedging.
+/// A repeatable request gets a second attempt at another backend, and never a third at a time. A request that must
+/// not execute twice gets none, nor does any where the settings do not permit hedging.
 #[test]
 fn hedge_goes_to_another_backend_and_only_where_permitted() {
     let HedgeCase {
@@ -370,7 +371,8 @@
     let (mut gateway, start) = warmed_up_gateway(gateway_settings, 20.0);
     let mut hedges = 0;
     for i in 0..200u32 {
-        let (id, now) = (1000 + i, start + f64::from(i) * 1000.0);
+        let id = 1000 + i;
+        let now = start + f64::from(i) * 1000.0;
         let Some(first) = gateway.arrive(now, request(id, 0, now)) else {
             continue;
         };
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -35,8 +35,8 @@
     Span { from, to, interval }
 }
 
-/// Sends requests of a class. Failing backends answer with an error in 1 ms, the others well in 20 ms. The number of attempts
-/// sent to each backend, retries included.
+/// Sends requests of a class. Failing backends answer with an error in 1 ms, the others well in 20 ms. The number
+/// of attempts sent to each backend, retries included.
 fn send_requests(
     gateway: &mut GatewayFixture,
     span: Span,
@@ -68,12 +68,13 @@
     sent
 }
 
-/// A backend that answers errors at once is always idle. However many gateways meet it, together they try it about once a
-/// latency objective at first, and ever less while it goes on so.
+/// A backend that answers errors at once is always idle. However many gateways meet it, together they try it about
+/// once a latency objective at first, and ever less while it goes on so.
 #[test]
 fn trials_of_an_ejected_backend_are_bounded_for_any_fleet_size() {
     for (gateways, backends) in [(3, 12), (30, 20), (300, 200)] {
-        let (mut early, mut late) = (0, 0);
+        let mut early = 0;
+        let mut late = 0;
         for gateway_index in 0..gateways {
             let mut gateway = one_gateway(gateway_index, gateways, backends);
             let is_failing = |backend: BackendId| backend.0 == 0;
@@ -105,8 +106,8 @@
     }
 }
 
-/// With more live gateways than configured, each tries less often, so that the sum stays; with fewer, the configured number
-/// counts.
+/// With more live gateways than configured, each tries less often, so that the sum stays; with fewer, the
+/// configured number counts.
 #[test]
 fn trial_rate_follows_the_live_gateways_but_at_least_the_configured_number() {
     let trials = |live_gateways: u32| {
@@ -128,8 +129,8 @@
     );
 }
 
-/// A backend that has recovered is tried with an idempotent request, and has its share afterwards. A request that must not
-/// execute twice is no trial.
+/// A backend that has recovered is tried with an idempotent request, and has its share afterwards. A request that
+/// must not execute twice is no trial.
 #[test]
 fn ejected_backend_returns_by_idempotent_trials_only() {
     let mut gateway = one_gateway(0, 1, 4);
--- a/tests/load_balancing.rs
+++ b/tests/load_balancing.rs
@@ -57,8 +57,8 @@
     );
 }
 
-/// Where many gateways share many backends, each keeps to a few, and each backend is used by about as many gateways as any
-/// other.
+/// Where many gateways share many backends, each keeps to a few, and each backend is used by about as many gateways
+/// as any other.
 #[test]
 fn each_of_many_gateways_keeps_to_a_subset_of_the_backends() {
     let mut users = BTreeMap::<BackendId, u32>::new();
@@ -123,8 +123,8 @@
     );
 }
 
-/// While backends are replaced one by one, each gateway keeps those that it has, and each backend is still used by about as
-/// many gateways as any other.
+/// While backends are replaced one by one, each gateway keeps those that it has, and each backend is still used by
+/// about as many gateways as any other.
 #[test]
 fn subset_is_kept_while_other_backends_are_replaced() {
     let mut connects = 0;
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -82,7 +82,8 @@
     let mut gateway = GatewayFixture::new(gateway_settings, vec![ready(1, 0), ready(2, 0)]);
     let mut sent = [[0u32; 3]; 2];
     for i in 0..400u32 {
-        let (now, plan) = (f64::from(i) * 20.0, (i % 2) as usize);
+        let now = f64::from(i) * 20.0;
+        let plan = (i % 2) as usize;
         let customer = CustomerId(u64::from(i % 2));
         let incoming = Request {
             plan: PlanId(plan),
@@ -108,8 +109,8 @@
     assert!(sent[1][1] > 60, "plan 1 does not use it: {sent:?}");
 }
 
-/// A network fault is not taken for faults of backends: where a third of the connections break, at all backends alike,
-/// none is gateway_settings aside. A refused connection sets its backend aside at once.
+/// A network fault is not taken for faults of backends: where a third of the connections break, at all backends
+/// alike, none is gateway_settings aside. A refused connection sets its backend aside at once.
 #[test]
 fn refused_connection_sets_a_backend_aside_but_broken_connections_do_not() {
     let mut gateway = GatewayFixture::new(
@@ -153,8 +154,8 @@
     )));
 }
 
-/// Where a backend lets one class hang and answers the others, that class avoids it for a while and the others use it as
-/// before, also while further attempts of that class hang there.
+/// Where a backend lets one class hang and answers the others, that class avoids it for a while and the others use
+/// it as before, also while further attempts of that class hang there.
 #[test]
 fn hanging_class_distrusts_a_backend_for_that_class_alone() {
     let mut gateway =
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -68,7 +68,8 @@
 }
 
 fn request(instance: u32, id: u32) -> Vec<u8> {
-    let (one, zero) = (1f32.to_le_bytes(), 0f32.to_le_bytes());
+    let one = 1f32.to_le_bytes();
+    let zero = 0f32.to_le_bytes();
     let deadline = 5000f64.to_le_bytes();
     let plan = 0u32.to_le_bytes();
     record(
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -56,7 +56,8 @@
         started_at: Some(20_000.0),
         ..ready(0, 0)
     };
-    let (mut by_second, mut all) = ([0u32; 10], 0);
+    let mut by_second = [0u32; 10];
+    let mut all = 0;
     for seed in 0..100u32 {
         let warm = (1..10).map(|id| ready(id, 0)).collect();
         let mut gateway = GatewayFixture::seeded(gateway_settings.clone(), u64::from(seed), warm);
--- a/tests/usage_evidence.rs
+++ b/tests/usage_evidence.rs
@@ -3,6 +3,7 @@
 mod common;
 use cometspool::*;
 use common::*;
+use std::cell::Cell;
 
 /// One of a hundred gateways, for customers whose requests are spread over most of them.
 fn one_of_a_hundred() -> GatewayFixture {
@@ -78,8 +79,8 @@
     );
 }
 
-/// How many of `count` requests of one customer, `interval` ms apart, are admitted by one of a hundred gateways, seventy of
-/// which the customer uses. Each is answered in 10 ms, with what the `meter` reports then.
+/// How many of `count` requests of one customer, `interval` ms apart, are admitted by one of a hundred gateways,
+/// seventy of which the customer uses. Each is answered in 10 ms, with what the `meter` reports then.
 fn admitted_requests(
     plan: Plan,
     count: u32,
@@ -118,8 +119,8 @@
     served
 }
 
-/// A customer spread over many gateways may send all of its traffic to one for a while. Half of its quota is requested,
-/// and the meter is silent, right, or reports impossible numbers.
+/// A customer spread over many gateways may send all of its traffic to one for a while. Half of its quota is
+/// requested, and the meter is silent, right, or reports impossible numbers.
 #[test]
 fn use_within_quota_through_one_gateway_is_admitted_whatever_the_meter_reports() {
     let plan = || Plan {
@@ -160,7 +161,9 @@
         // Half a request a second arrives here, for two minutes.
         admitted_requests(plan, 60, 2000.0, |_| Some(2.8))
     };
-    let (expensive, cheap, earning) = (admitted(9.0, 0.0), admitted(0.5, 0.0), admitted(0.0, 0.2));
+    let expensive = admitted(9.0, 0.0);
+    let cheap = admitted(0.5, 0.0);
+    let earning = admitted(0.0, 0.2);
     assert!(earning >= 57, "{earning} of 60 where overuse earns");
     assert!(
         expensive < cheap && cheap < earning,
@@ -168,9 +171,9 @@
     );
 }
 
-/// The meter reports what all gateways admitted, not what the customer requested: gateways that shed its load must not
-/// take that for less demand, and a customer that is reported over its quota has no burst left. All gateways act alike
-/// here, and the customer requests three times its quota.
+/// The meter reports what all gateways admitted, not what the customer requested: gateways that shed its load must
+/// not take that for less demand, and a customer that is reported over its quota has no burst left. All gateways
+/// act alike here, and the customer requests three times its quota.
 #[test]
 fn metered_usage_counts_admitted_not_requested_units() {
     let plan = Plan {
@@ -179,7 +182,9 @@
         over_quota_cost: 1.0,
         ..Plan::default()
     };
-    let (gap, last) = (std::cell::Cell::new(1.0), std::cell::Cell::new(0));
+    // The mean distance between admitted requests, and the last of them.
+    let gap = Cell::new(1.0);
+    let last = Cell::new(0);
     let served = admitted_requests(plan, 300, 2000.0, |i| {
         let since = f64::from(i - last.replace(i)).max(1.0);
         gap.set(gap.get() + 0.1 * (since - gap.get()));
@@ -198,8 +203,8 @@
     is_retry: bool,
 }
 
-/// How many of these arrivals, of customers that the meter has not reported on, are admitted by one of two hundred gateways
-/// with an open window. The customers are spread over all gateways; the meter reports `usage` of others.
+/// How many of these arrivals, of customers that the meter has not reported on, are admitted by one of two hundred
+/// gateways with an open window. The customers are spread over all gateways; the meter reports `usage` of others.
 fn admitted_of_unknown_customers(
     usage: Option<f64>,
     over_quota_cost: f64,
@@ -251,9 +256,9 @@
     admitted.count()
 }
 
-/// Before the meter reports, many requests at once at one of two hundred gateways suggest a customer far over its quota, and
-/// so does a request that was rejected elsewhere a moment ago. The first request is admitted, and all are where overuse
-/// earns.
+/// Before the meter reports, many requests at once at one of two hundred gateways suggest a customer far over its
+/// quota, and so does a request that was rejected elsewhere a moment ago. The first request is admitted, and all
+/// are where overuse earns.
 #[test]
 fn burst_and_marked_retries_at_one_of_many_gateways_are_limited_by_the_cost_of_overuse() {
     let at_once = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9].map(|i| Arrival {
