--- a/src/policy/backends.rs
+++ b/src/policy/backends.rs
@@ -1,6 +1,6 @@
 //! What a gateway keeps of each backend: its entry of the endpoint list, attempts in flight, and time per unit.
 
-use super::outlier_detection::{self, FaultHistory};
+use super::outlier_detection::{self, AttemptEvidence, FaultHistory};
 use super::slow_start::SlowStartBudget;
 use super::PolicyContext;
 use crate::measure::{uniform, DecayingRatio};
@@ -35,17 +35,6 @@
     pub units: f64,
 }
 
-/// What the end of an attempt shows of its backend.
-pub(super) struct AttemptEvidence {
-    /// Whether it ended by its timeout, or was cancelled: the last attempt of a request is cancelled at the final
-    /// deadline, before its own timeout.
-    pub timed_out: bool,
-    /// Whether it was overdue without news of its class.
-    pub was_hanging: bool,
-    /// Whether nothing has come from the backend since the attempt was sent.
-    pub was_silent: bool,
-}
-
 /// What a gateway keeps of one backend.
 pub(super) struct Backend {
     pub entry: BackendEntry,
@@ -61,14 +50,14 @@
 }
 
 impl Backend {
-    fn new(entry: BackendEntry, now: Millis, debt: f64) -> Backend {
+    fn new(entry: BackendEntry, now: Millis, debt: f64, latency_objective: Millis) -> Backend {
         Backend {
             entry,
             in_flight: BTreeMap::new(),
             unit_time: DecayingRatio::default(),
             last_news_at: now,
             answered_at: BTreeMap::new(),
-            faults: FaultHistory::new(),
+            faults: FaultHistory::new(latency_objective),
             budget: SlowStartBudget::with_debt(now, debt),
         }
     }
@@ -164,12 +153,11 @@
     /// rejects nothing: responses may be lost where there is no queue. An attempt of a class that is known to hang
     /// there counts only for its own class.
     pub(super) fn overdue(&self, now: Millis, backend: &Backend, class: ClassId) -> Millis {
-        let objective = self.context.latency_objective;
         let mut longest = 0.0;
         for attempt in backend.in_flight.values() {
             let overdue = if attempt.class == class {
                 self.overdue_within_class(now, backend, attempt)
-            } else if backend.faults.is_hanging(now, attempt.class, objective) {
+            } else if backend.faults.is_hanging(now, attempt.class) {
                 continue;
             } else {
                 self.overdue_since(now, backend, attempt, backend.last_news_at)
@@ -249,7 +237,6 @@
         if let Some(attempt) = attempt {
             self.observe_unit_time(index, &attempt, completed, &evidence);
         }
-        let objective = self.context.latency_objective;
         let backend = &mut self.all[index];
         backend.answered_at.entry(request.class).or_insert(now);
         backend.last_news_at = now;
@@ -261,9 +248,9 @@
         }
         backend
             .faults
-            .record_outcome(now, request, completed, &evidence, objective);
+            .record_outcome(now, request, completed, &evidence);
         self.update_ejection(now, index, attempt, completed.outcome, rng);
-        let changed = self.all[index].faults.update_set_aside(now, objective);
+        let changed = self.all[index].faults.update_set_aside(now);
         actions.extend(changed.map(|is_set_aside| set_aside_log(completed, is_set_aside)));
         actions
     }
@@ -315,13 +302,12 @@
         outcome: Outcome,
         rng: &mut Pcg32,
     ) {
-        let objective = self.context.latency_objective;
         let meeting_gateways = self.meeting_gateways();
         let faults = &mut self.all[index].faults;
         let is_trial = attempt.is_some_and(|attempt| faults.is_trial(attempt.sent_at));
         match outcome {
-            Outcome::Error if is_trial || faults.is_outlier(now, objective) => {
-                let duration = faults.next_ejection_time(meeting_gateways, objective, rng);
+            Outcome::Error if is_trial || faults.is_outlier(now) => {
+                let duration = faults.next_ejection_time(meeting_gateways, rng);
                 faults.eject(now, duration);
             }
             Outcome::Ok if is_trial => faults.record_successful_trial(),
@@ -361,7 +347,7 @@
         };
         // Each gateway has yet to earn its first request there, so that not all send theirs in one instant.
         let debt = self.context.settings.max_units.max(1.0) * uniform(rng);
-        let fresh = Backend::new(entry, now, debt);
+        let fresh = Backend::new(entry, now, debt, self.context.latency_objective);
         let position = self
             .all
             .binary_search_by_key(&entry.id, |backend| backend.entry.id);
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -162,9 +162,7 @@
     }
 
     fn is_trusted(&self, now: Millis, backend: &Backend) -> bool {
-        let objective = self.context.latency_objective;
-        !backend.faults.has_ejections()
-            && backend.faults.general_distrust(now, objective) <= NEGLIGIBLE_FAULT
+        !backend.faults.has_ejections() && backend.faults.general_distrust(now) <= NEGLIGIBLE_FAULT
     }
 
     /// Brings the subset up to now; its backends, as indices. A new member gets a connection ahead of the request
@@ -319,10 +317,7 @@
             _ => 1.0,
         };
         let overdue = request.backends.overdue(now, backend, class);
-        let distrust = backend
-            .faults
-            .distrust(now, &request.pending.request, objective)
-            * distrust_factor;
+        let distrust = backend.faults.distrust(now, &request.pending.request) * distrust_factor;
         let time = selection.queue_delay.max(overdue)
             + selection.unit_time * request.pending.request.units;
         let crossing = if backend.entry.zone == settings.zone {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! [`PolicyEngine`] takes each event and calls the parts that it concerns:
 //!
-//! - Admission: [`quota`], with the evidence of [`usage`], the penalty box of [`rate_limit`] and the shares of
-//!   [`concurrency`], under the window that [`overload`] leaves open.
+//! - Admission: [`quota`], with the figures of [`local_quota`], the evidence of [`usage`], the penalty box of
+//!   [`rate_limit`] and the shares of [`concurrency`], under the window that [`overload`] leaves open.
 //! - Selection: [`load_balancing`] selects one of the [`backends`], within what [`slow_start`] and
 //!   [`outlier_detection`] permit.
 //! - Attempts: [`retry`] bounds those of the [`pending`] requests, [`attempts`] sends and ends them, and [`timers`]
@@ -13,6 +13,7 @@
 mod backends;
 mod concurrency;
 mod load_balancing;
+mod local_quota;
 mod outlier_detection;
 mod overload;
 mod pending;
@@ -27,9 +28,9 @@
 use crate::policy_api::*;
 use backends::BackendSet;
 use load_balancing::{LoadBalancer, Selection, SelectionRequest};
-use overload::AdmissionWindow;
+use overload::{AdmissionSignals, AdmissionWindow};
 use pending::PendingRequest;
-use quota::{AdmissionSignals, CustomerQuotas};
+use quota::CustomerQuotas;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
 use retry::RetryPolicy;
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,6 +1,5 @@
 //! Outlier detection: what each backend is at fault in, and the ejection of backends that answer with errors.
 
-use super::backends::AttemptEvidence;
 use crate::measure::{uniform, DecayingScore};
 use crate::policy_api::*;
 use rand_pcg::Pcg32;
@@ -59,6 +58,17 @@
     }
 }
 
+/// What the end of an attempt shows of its backend.
+pub(super) struct AttemptEvidence {
+    /// Whether it ended by its timeout, or was cancelled: the last attempt of a request is cancelled at the final
+    /// deadline, before its own timeout.
+    pub timed_out: bool,
+    /// Whether it was overdue without news of its class.
+    pub was_hanging: bool,
+    /// Whether nothing has come from the backend since the attempt was sent.
+    pub was_silent: bool,
+}
+
 /// A step of a fault score toward a target.
 struct ScoreUpdate {
     fault: Fault,
@@ -88,6 +98,8 @@
 
 /// What a gateway holds against one backend.
 pub(super) struct FaultHistory {
+    /// The shortest latency objective of a class, ms: the scale of its times.
+    latency_objective: Millis,
     /// How far the backend is at fault, from 0 to 1.
     scores: BTreeMap<Fault, DecayingScore>,
     /// Whether it is logged as set aside.
@@ -99,8 +111,9 @@
 }
 
 impl FaultHistory {
-    pub(super) fn new() -> FaultHistory {
+    pub(super) fn new(latency_objective: Millis) -> FaultHistory {
         FaultHistory {
+            latency_objective,
             scores: BTreeMap::new(),
             is_set_aside: false,
             ejected_until: f64::NEG_INFINITY,
@@ -109,39 +122,27 @@
     }
 
     /// How far the backend is at fault in something, decayed until now.
-    fn score(&self, now: Millis, fault: Fault, latency_objective: Millis) -> f64 {
+    fn score(&self, now: Millis, fault: Fault) -> f64 {
         self.scores.get(&fault).map_or(0.0, |score| {
-            score.decayed(now, fault.halflife(latency_objective))
+            score.decayed(now, fault.halflife(self.latency_objective))
         })
     }
 
     /// How far the backend is distrusted by all requests.
-    pub(super) fn general_distrust(&self, now: Millis, latency_objective: Millis) -> f64 {
-        self.score(now, Fault::Failing, latency_objective)
+    pub(super) fn general_distrust(&self, now: Millis) -> f64 {
+        self.score(now, Fault::Failing)
     }
 
     /// How far the backend is distrusted by one request.
-    pub(super) fn distrust(
-        &self,
-        now: Millis,
-        request: &Request,
-        latency_objective: Millis,
-    ) -> f64 {
-        let full = self.score(now, Fault::Full(request.plan), latency_objective);
-        let hanging = self.score(now, Fault::Hanging(request.class), latency_objective);
-        self.general_distrust(now, latency_objective)
-            .max(full)
-            .max(hanging)
+    pub(super) fn distrust(&self, now: Millis, request: &Request) -> f64 {
+        let full = self.score(now, Fault::Full(request.plan));
+        let hanging = self.score(now, Fault::Hanging(request.class));
+        self.general_distrust(now).max(full).max(hanging)
     }
 
     /// Whether the backend is known to let a class hang.
-    pub(super) fn is_hanging(
-        &self,
-        now: Millis,
-        class: ClassId,
-        latency_objective: Millis,
-    ) -> bool {
-        self.score(now, Fault::Hanging(class), latency_objective) > NEGLIGIBLE_FAULT
+    pub(super) fn is_hanging(&self, now: Millis, class: ClassId) -> bool {
+        self.score(now, Fault::Hanging(class)) > NEGLIGIBLE_FAULT
     }
 
     /// Whether the backend is ejected or half-open.
@@ -166,9 +167,8 @@
     }
 
     /// Whether the backend is to be ejected for the first time.
-    pub(super) fn is_outlier(&self, now: Millis, latency_objective: Millis) -> bool {
-        !self.has_ejections()
-            && self.score(now, Fault::Errors, latency_objective) > OUTLIER_THRESHOLD
+    pub(super) fn is_outlier(&self, now: Millis) -> bool {
+        !self.has_ejections() && self.score(now, Fault::Errors) > OUTLIER_THRESHOLD
     }
 
     /// Ejects the backend.
@@ -184,16 +184,11 @@
 
     /// How long the backend is to be ejected the next time, ms: with jitter, and longer the more gateways meet
     /// it. An error comes sooner than work is done: unless the backend is left alone it would be tried most of all.
-    pub(super) fn next_ejection_time(
-        &self,
-        meeting_gateways: f64,
-        latency_objective: Millis,
-        rng: &mut Pcg32,
-    ) -> Millis {
+    pub(super) fn next_ejection_time(&self, meeting_gateways: f64, rng: &mut Pcg32) -> Millis {
         let doublings = self.ejections.min(MAX_EJECTION_DOUBLINGS);
         let factor = f64::from(1 << doublings);
         let jitter = 0.5 + uniform(rng);
-        meeting_gateways.max(MIN_EJECTION_TIME) * latency_objective * factor * jitter
+        meeting_gateways.max(MIN_EJECTION_TIME) * self.latency_objective * factor * jitter
     }
 
     /// Records what the end of an attempt says of the backend.
@@ -203,27 +198,26 @@
         request: &Request,
         completed: &AttemptCompleted,
         evidence: &AttemptEvidence,
-        latency_objective: Millis,
     ) {
         let hanging = Fault::Hanging(request.class);
         let outcome = completed.outcome;
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             let update = ScoreUpdate::lower(hanging, RESPONSIVE_STEP);
-            self.update(now, &update, latency_objective);
+            self.update(now, &update);
         } else if evidence.timed_out && evidence.was_hanging {
             let update = ScoreUpdate::raise(hanging, 1.0);
-            self.update(now, &update, latency_objective);
+            self.update(now, &update);
         }
         for update in outcome_updates(request.plan, completed) {
-            self.update(now, &update, latency_objective);
+            self.update(now, &update);
         }
         // The general score is brought up to now by every outcome, also by one that says nothing.
         let no_change = ScoreUpdate::lower(Fault::Failing, 0.0);
-        self.update(now, &no_change, latency_objective);
+        self.update(now, &no_change);
     }
 
-    fn update(&mut self, now: Millis, update: &ScoreUpdate, latency_objective: Millis) {
-        let halflife = update.fault.halflife(latency_objective);
+    fn update(&mut self, now: Millis, update: &ScoreUpdate) {
+        let halflife = update.fault.halflife(self.latency_objective);
         self.scores.entry(update.fault).or_default().move_toward(
             now,
             halflife,
@@ -233,12 +227,8 @@
     }
 
     /// Brings up to now whether the backend counts as set aside; whether it is, if that changed.
-    pub(super) fn update_set_aside(
-        &mut self,
-        now: Millis,
-        latency_objective: Millis,
-    ) -> Option<bool> {
-        let distrust = self.general_distrust(now, latency_objective);
+    pub(super) fn update_set_aside(&mut self, now: Millis) -> Option<bool> {
+        let distrust = self.general_distrust(now);
         let is_set_aside = distrust > OUTLIER_THRESHOLD
             || (self.is_set_aside && distrust >= OUTLIER_THRESHOLD / 2.0);
         let changed = is_set_aside != self.is_set_aside;
--- a/src/policy/overload.rs
+++ b/src/policy/overload.rs
@@ -24,6 +24,20 @@
 /// Admitted fraction above which, and lack of pressure by which, there is capacity for retries.
 const RETRY_FRACTION: f64 = 0.95;
 
+/// What admission needs to know of the gateway and of the backends' capacity.
+pub(super) struct AdmissionSignals {
+    /// Time since the gateway's start, ms.
+    pub uptime: Millis,
+    /// How short of capacity the backends are, from 0 to 1.
+    pub pressure: f64,
+    /// Fraction of the quotas that the backends can serve.
+    pub admit_fraction: f64,
+    /// Seconds that the backends take for a unit.
+    pub seconds_per_unit: f64,
+    /// A random number from `[0, 1)`.
+    pub random_draw: f64,
+}
+
 /// The fraction of the quotas that a gateway admits, by the latency of responses, and the pressure on the
 /// backends, by the queues of its own attempts.
 pub(super) struct AdmissionWindow {
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -4,6 +4,8 @@
 //! rate starts at the even share and rises with local demand, as the design has it.
 
 use super::concurrency::{CeilingShare, ConcurrencyShare};
+use super::local_quota::{LocalQuota, ObservedTraffic};
+use super::overload::AdmissionSignals;
 use super::usage::{UsageHistory, MIN_DIVISOR};
 use super::{rate_limit, PolicyContext, Rejection};
 use crate::policy_api::*;
@@ -13,9 +15,6 @@
 
 /// Refill rate of a token bucket that demand asks for, in recent average rates; the design's figure.
 const REFILL_FACTOR: f64 = 2.0;
-/// Least depth of a token bucket, in largest requests of its customer; the design's figure. An even share of the
-/// burst below so many mean requests is a fragment.
-const MIN_DEPTH_REQUESTS: f64 = 2.0;
 /// Halflives of the recent average in which a refill rate rises to its target: slower than a spike.
 const RISE_HALFLIVES: f64 = 0.5;
 /// Halflives of the recent average after which a customer without attempts is evicted.
@@ -32,47 +31,6 @@
 const INITIAL_MEAN_UNITS: f64 = 1.0;
 /// Fraction of its quota that an unknown customer is assumed to use, by the operators' figures.
 const ASSUMED_USE: f64 = 0.7;
-/// How much faster than the recent average a report of the meter is forgotten.
-const METER_DECAY_FACTOR: f64 = 2.0;
-
-/// What admission needs to know of the gateway and of the backends' capacity.
-pub(super) struct AdmissionSignals {
-    /// Time since the gateway's start, ms.
-    pub uptime: Millis,
-    /// How short of capacity the backends are, from 0 to 1.
-    pub pressure: f64,
-    /// Fraction of the quotas that the backends can serve.
-    pub admit_fraction: f64,
-    /// Seconds that the backends take for a unit.
-    pub seconds_per_unit: f64,
-    /// A random number from `[0, 1)`.
-    pub random_draw: f64,
-}
-
-/// The figures of a customer's quota at this gateway.
-pub(super) struct LocalQuota {
-    /// Decay rate of the recent average, 1/ms.
-    pub decay_rate: f64,
-    /// Decay rate of what the meter reported, 1/ms. A fragment gets too few reports to forget them sooner than the
-    /// average.
-    pub meter_decay_rate: f64,
-    /// Recent average rate at which the penalty box shuts, units a second.
-    pub penalty_box_limit: f64,
-    /// Even share of the quota's rate, units a second.
-    pub even_rate: f64,
-    /// Capacity of the token bucket, units.
-    pub depth: f64,
-    /// Number of gateways over which the customer's requests are spread.
-    pub gateway_count: f64,
-    /// Mean units of a request.
-    pub mean_request_units: f64,
-    /// When the meter last reported anything of any customer, ms.
-    pub meter_reported_at: Millis,
-    /// Concurrent attempts that this gateway's share covers; infinite where the plan has no limit.
-    pub concurrency: f64,
-    /// Whether the even share of the burst does not hold two mean requests.
-    pub is_fragment: bool,
-}
 
 /// The token bucket of a customer at this gateway.
 struct TokenBucket {
@@ -339,37 +297,17 @@
 
     /// The figures of the requesting customer's quota at this gateway.
     fn local_quota(&self, request: &Request) -> LocalQuota {
-        let plan = self.context.plan(request.plan);
-        let decay_rate = rate_limit::decay_rate(&self.context.settings, plan);
         let largest_request = self
             .customers
             .get(&request.customer)
             .map_or(0.0, |customer| customer.largest_request)
             .max(request.units);
-        let even_burst = plan.burst / request.gateway_count;
-        let is_fragment = request.gateway_count > 1.0
-            && even_burst < MIN_DEPTH_REQUESTS * self.mean_request_units;
-        let burst = if is_fragment { plan.burst } else { even_burst };
-        LocalQuota {
-            decay_rate,
-            meter_decay_rate: if is_fragment {
-                decay_rate
-            } else {
-                METER_DECAY_FACTOR * decay_rate
-            },
-            penalty_box_limit: rate_limit::penalty_box_limit(plan, decay_rate),
-            even_rate: plan.rate / request.gateway_count,
-            depth: burst.max(MIN_DEPTH_REQUESTS * largest_request),
-            gateway_count: request.gateway_count,
+        let traffic = ObservedTraffic {
+            largest_request,
             mean_request_units: self.mean_request_units,
             meter_reported_at: self.meter_reported_at,
-            concurrency: if plan.max_concurrency > 0 {
-                f64::from(plan.max_concurrency) / request.gateway_count
-            } else {
-                f64::INFINITY
-            },
-            is_fragment,
-        }
+        };
+        LocalQuota::new(&self.context, request, &traffic)
     }
 
     /// Evicts customers whose entry says no more than a new one would.
--- a/src/policy/usage.rs
+++ b/src/policy/usage.rs
@@ -4,7 +4,8 @@
 //! *fragment*): no gateway knows its share of a customer, so the whole quota stands against what the meter reports
 //! and against what arrives here.
 
-use super::quota::{AdmissionSignals, LocalQuota};
+use super::local_quota::LocalQuota;
+use super::overload::AdmissionSignals;
 use super::rate_limit;
 use crate::measure::{normal_quantile, zipf_share, Cewma};
 use crate::policy_api::*;
