--- a/crates/fault-injection/src/hand.rs
+++ b/crates/fault-injection/src/hand.rs
@@ -331,7 +331,8 @@
 pub struct Watch(pub Wire);
 
 impl Watch {
-    /// Begins the answer to a watch that has been asked for.
+    /// Begins the response to a watch request that has been read from the connection: a response that comes before its
+    /// request makes the program's HTTP client close the connection.
     pub fn begin(mut wire: Wire) -> Watch {
         wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         Watch(wire)
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -291,7 +291,7 @@
     large
 }
 
-/// Answers the call with a new list that holds `fresh` alone, and waits until a request gets there.
+/// Answers a call whose request has been read with a new list that holds `fresh` alone, and waits until a request gets there.
 fn told_and_served(program: &Program, call: Wire, fresh: &Place) {
     let mut watch = Watch::begin(call);
     watch.line(&members(8, true, &[member("s-1", fresh.address(), "up")]).to_string());
@@ -313,7 +313,8 @@
             // The service takes this long to refuse it.
             std::thread::sleep(wait);
             refused.answer(status, "", "");
-            let call = wait_for("the next call", || discovery.try_accept());
+            // A response that overtakes its request would end the connection: `called` has read the request.
+            let call = called(&discovery, &watch_from(7));
             assert!(
                 had.elapsed() < IN_FORCE,
                 "{status} after {wait:?}: called again after {:?}",
