--- a/crates/fault-injection/src/cost.rs
+++ b/crates/fault-injection/src/cost.rs
@@ -1,9 +1,9 @@
 //! What the rig itself costs, so that figures taken with it can be read.
 
 use crate::ground::Ground;
-use crate::hand::{request_of, Wire};
 use crate::link::{Direction, Link};
 use crate::rig::{Plan, Rig};
+use crate::scripted_peers::{request_with, ScriptedConnection};
 use crate::standins::Manner;
 use nix::sys::resource::{getrusage, UsageWho};
 use nix::sys::signal::{kill, Signal};
@@ -241,10 +241,10 @@
     let at = rig.processes[0].config["listen"]
         .as_str()
         .and_then(|at| at.parse().ok());
-    let mut client = Wire::to(at.ok_or(io::ErrorKind::InvalidInput)?);
+    let mut client = ScriptedConnection::connect(at.ok_or(io::ErrorKind::InvalidInput)?);
     let mut ask = |from: usize, count: usize| {
         (from..from + count).all(|i| {
-            client.write(request_of(&format!("id-{i}"), "read", "wide", "8"));
+            client.write(request_with(&format!("id-{i}"), "read", "wide", "8"));
             client.read().status() == 200
         })
     };
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -7,13 +7,13 @@
 pub mod check;
 pub mod cost;
 pub mod ground;
-pub mod hand;
 pub mod history;
 pub mod link;
 pub mod load;
 pub mod process;
 pub mod rig;
 pub mod schedule;
+pub mod scripted_peers;
 pub mod standins;
 
 pub use rig::{Plan, Rig};
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -1,7 +1,7 @@
 //! One process of the program: its configuration, folder, log, and what can be done to it.
 
-use crate::hand::program;
 use crate::history::History;
+use crate::scripted_peers::program_path;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::{json, Value};
@@ -76,7 +76,7 @@
         // A write over the limit of a full disk is to be an error, as on a disk, and not the process's end.
         command.args(["env", "--ignore-signal=XFSZ"]);
         command
-            .arg(program())
+            .arg(program_path())
             .env_clear()
             .env("BALANCER_CONFIG", &path);
         command
--- a/crates/fault-injection/src/rig.rs
+++ b/crates/fault-injection/src/rig.rs
@@ -2,11 +2,11 @@
 //! one history.
 
 use crate::ground::{Ground, MOST_PROCESSES};
-use crate::hand::{member, members, settings};
 use crate::history::{Event, History};
 use crate::link::{Direction, Link, Quality};
 use crate::load::{Load, Pace};
 use crate::process::Process;
+use crate::scripted_peers::{default_settings, endpoint, endpoint_list};
 use crate::standins::{backend, counter, discovery, List, Manner, Meter};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -156,7 +156,7 @@
                 format!("backend-{number}"),
             );
             let manner = watch::Sender::new(Manner::default());
-            hosts.push(member(&name, at, "up"));
+            hosts.push(endpoint(&name, at, "up"));
             runtime.block_on(backend(
                 at,
                 name,
@@ -166,7 +166,7 @@
             ))?;
             manners.push(manner);
         }
-        let list = List::new(members(1, true, &hosts));
+        let list = List::new(endpoint_list(1, true, &hosts));
         runtime.block_on(discovery(ground.stand_in(DISCOVERY), list.subscribe()))?;
         runtime.block_on(counter(ground.stand_in(COUNTER)))?;
         let mut rig = Rig {
@@ -212,7 +212,7 @@
     }
 
     fn config(&self, plan: &Plan, i: usize) -> Value {
-        let mut settings = settings();
+        let mut settings = default_settings();
         settings["fleet_size"] = plan.processes.into();
         settings["me"] = i.into();
         let mut config = json!({
--- /dev/null
+++ b/crates/fault-injection/src/scripted_peers/front_door_process.rs
@@ -0,0 +1,213 @@
+//! The program under test as a process of its own.
+
+use super::{wait_for, ScriptedConnection};
+use nix::sys::signal::{kill, Signal};
+use nix::unistd::Pid;
+use serde_json::{json, Value};
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
+
+/// Numbers the temporary files of this process.
+static FILES: AtomicU32 = AtomicU32::new(0);
+
+/// A running front door that serves clients.
+pub struct FrontDoorProcess {
+    /// The process.
+    pub child: Child,
+    /// The address on which it serves clients.
+    pub address: SocketAddr,
+    /// Its standard error, from the second line on.
+    pub log: BufReader<ChildStderr>,
+    /// The configuration with which it was started.
+    pub config: Value,
+    /// The path of its configuration file.
+    pub path: String,
+}
+
+/// The program as started, whether or not its configuration can be used.
+pub struct SpawnedProgram {
+    /// The process, with a pipe for its standard error.
+    pub child: Child,
+    /// The path of its configuration file; whoever started the program removes it.
+    pub configuration_path: String,
+}
+
+/// The path of the built program: `COMETSPOOL_PROGRAM`, or beside the running executable (a test, or the binary of this
+/// crate).
+pub fn program_path() -> PathBuf {
+    if let Some(configured) = std::env::var_os("COMETSPOOL_PROGRAM") {
+        return configured.into();
+    }
+    let executable = std::env::current_exe().expect("a path");
+    let found = executable
+        .ancestors()
+        .skip(1)
+        .take(2)
+        .map(|folder| folder.join("cometspool"))
+        .find(|path| path.is_file());
+    found.unwrap_or_else(|| panic!("no program beside {}: build it first", executable.display()))
+}
+
+/// A path in the system's folder for temporary files that no other process uses: it holds this process's id.
+pub fn temporary_path(name: &str) -> String {
+    let number = FILES.fetch_add(1, Ordering::Relaxed);
+    format!(
+        "{}/cometspool-{}-{number}-{name}",
+        std::env::temp_dir().display(),
+        std::process::id()
+    )
+}
+
+/// Starts the program with a configuration file of this text and these environment variables.
+pub fn spawn_with_configuration(config: &str, variables: &[(&str, &str)]) -> SpawnedProgram {
+    let configuration_path = temporary_path("config.json");
+    std::fs::write(&configuration_path, config).expect("a file");
+    let mut command = Command::new(program_path());
+    for name in ["BALANCER_NAME", "BALANCER_LISTEN", "BALANCER_DISCOVERY"] {
+        command.env_remove(name);
+    }
+    command
+        .envs(variables.iter().copied())
+        .env("BALANCER_CONFIG", &configuration_path)
+        .stderr(Stdio::piped());
+    SpawnedProgram {
+        child: command.spawn().expect("the program starts"),
+        configuration_path,
+    }
+}
+
+impl FrontDoorProcess {
+    /// Starts the program with these settings, the address of a discovery service, and an initial endpoint list (JSON
+    /// null for none).
+    pub fn start(settings: Value, discovery: SocketAddr, known: Value) -> FrontDoorProcess {
+        FrontDoorProcess::start_with_descriptor_limit(256, settings, discovery, known)
+    }
+
+    /// Starts the program with a limit on its file descriptors.
+    pub fn start_with_descriptor_limit(
+        descriptors: u32,
+        settings: Value,
+        discovery: SocketAddr,
+        known: Value,
+    ) -> FrontDoorProcess {
+        let limits = json!({"cores": 1.0, "memory_mb": 192, "sockets": descriptors});
+        FrontDoorProcess::start_with_limits(limits, settings, discovery, known)
+    }
+
+    /// Starts the program with a limit on its memory, in megabytes.
+    pub fn start_with_memory_limit(
+        megabytes: u32,
+        settings: Value,
+        discovery: SocketAddr,
+        known: Value,
+    ) -> FrontDoorProcess {
+        let limits = json!({"cores": 1.0, "memory_mb": megabytes, "sockets": 256});
+        FrontDoorProcess::start_with_limits(limits, settings, discovery, known)
+    }
+
+    fn start_with_limits(
+        limits: Value,
+        settings: Value,
+        discovery: SocketAddr,
+        known: Value,
+    ) -> FrontDoorProcess {
+        FrontDoorProcess::start_with_configuration(json!({
+            "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
+            "limits": limits, "known": known, "settings": settings,
+        }))
+    }
+
+    /// Starts the program with this configuration, and waits until it serves.
+    pub fn start_with_configuration(config: Value) -> FrontDoorProcess {
+        // As in service, the variable and the file name the same address.
+        let variable = [("BALANCER_DISCOVERY", config["discovery"].as_str().unwrap())];
+        let mut spawned = spawn_with_configuration(&config.to_string(), &variable);
+        let mut log = BufReader::new(spawned.child.stderr.take().expect("a pipe"));
+        let mut line = String::new();
+        log.read_line(&mut line).expect("a line");
+        let address = line
+            .trim()
+            .rsplit(' ')
+            .next()
+            .and_then(|text| text.parse().ok());
+        let address = address.unwrap_or_else(|| panic!("no address in {line:?}"));
+        FrontDoorProcess {
+            child: spawned.child,
+            address,
+            log,
+            config,
+            path: spawned.configuration_path,
+        }
+    }
+
+    /// Opens a client connection.
+    pub fn connect_client(&self) -> ScriptedConnection {
+        ScriptedConnection::connect(self.address)
+    }
+
+    /// Sends SIGTERM.
+    pub fn terminate(&self) {
+        self.signal(Signal::SIGTERM);
+    }
+
+    /// Replaces the configuration file and sends SIGHUP.
+    pub fn reload(&self, config: &str) {
+        let staged = format!("{}.new", self.path);
+        std::fs::write(&staged, config).expect("a file");
+        std::fs::rename(&staged, &self.path).expect("a file replaced");
+        self.signal(Signal::SIGHUP);
+    }
+
+    /// Stops the process with SIGSTOP, and returns once the system reports it as stopped.
+    pub fn pause(&self) {
+        self.signal(Signal::SIGSTOP);
+        let path = format!("/proc/{}/stat", self.child.id());
+        wait_for("a process that is stopped", || {
+            let stat = std::fs::read_to_string(&path).expect("the process");
+            stat.rsplit(')')
+                .next()
+                .is_some_and(|rest| rest.trim_start().starts_with('T'))
+                .then_some(())
+        });
+    }
+
+    /// Sends SIGCONT.
+    pub fn resume(&self) {
+        self.signal(Signal::SIGCONT);
+    }
+
+    /// The number of file descriptors that the process has open.
+    pub fn descriptor_count(&self) -> usize {
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .expect("the process")
+            .count()
+    }
+
+    fn signal(&self, signal: Signal) {
+        kill(Pid::from_raw(self.child.id() as i32), signal).expect("a running process");
+    }
+
+    /// Reads the next line of its log.
+    pub fn read_log_line(&mut self) -> String {
+        let mut line = String::new();
+        self.log.read_line(&mut line).expect("a line");
+        line
+    }
+
+    /// Waits until the process has exited.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        self.child.wait().expect("an exit status")
+    }
+}
+
+impl Drop for FrontDoorProcess {
+    fn drop(&mut self) {
+        // The process may have exited already, and a test may have removed the file.
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_file(&self.path);
+    }
+}
--- /dev/null
+++ b/crates/fault-injection/src/scripted_peers/mod.rs
@@ -0,0 +1,44 @@
+//! Scripted clients, backends and discovery services: a test plays each peer of one front door message by message.
+//!
+//! The front door is the built program in a process of its own ([`FrontDoorProcess`]); all traffic runs over loopback
+//! sockets. A scripted peer reads a request before it responds: a response that comes before its request makes an HTTP
+//! client close the connection. Nothing here sleeps. Whatever does not happen within [`MAX_WAIT`] fails the test with a
+//! panic.
+
+mod connection;
+mod fixture;
+mod front_door_process;
+mod listener;
+mod socket_table;
+
+pub use connection::{Message, ScriptedConnection, WatchStream};
+pub use fixture::{default_settings, endpoint, endpoint_list, request, request_with, TestFixture};
+pub use front_door_process::{
+    program_path, spawn_with_configuration, temporary_path, FrontDoorProcess, SpawnedProgram,
+};
+pub use listener::{
+    accept_any_unless_answered, listener_with_full_backlog, refusing_address, FullBacklog,
+    RefusingAddress, TestListener,
+};
+pub use socket_table::{any_established, is_connecting, ConnectionEnds};
+
+use std::time::{Duration, Instant};
+
+/// The longest time that a test waits for an event. An event that takes longer counts as one that never comes.
+pub const MAX_WAIT: Duration = Duration::from_secs(30);
+
+/// Polls `probe` until it returns a value.
+///
+/// # Panics
+///
+/// Panics with `what` if there is no value within [`MAX_WAIT`].
+pub fn wait_for<T>(what: &str, mut probe: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + MAX_WAIT;
+    loop {
+        if let Some(found) = probe() {
+            return found;
+        }
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
+        std::thread::yield_now();
+    }
+}
--- a/crates/fault-injection/src/standins.rs
+++ b/crates/fault-injection/src/standins.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for what a front door meets, by the protocol: backends with their meter, discovery, the count keeper.
 //!
-//! They answer by themselves and note in the history what they saw; [`crate::hand`] has those that a test plays by hand.
+//! They answer by themselves and note in the history what they saw; [`crate::scripted_peers`] has those that a test plays by hand.
 
 use crate::history::{now_us, History};
 use http_body_util::channel::Channel;
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -1,7 +1,7 @@
 //! A front door whose descriptors idle clients fill, over loopback sockets: the list, health checks and backends keep theirs,
 //! and whoever comes with a request gets in.
 
-use cometspool_fault_injection::hand::*;
+use cometspool_fault_injection::scripted_peers::*;
 use std::time::{Duration, Instant};
 
 /// Descriptors of the front door, and idle clients: far more than it has room for.
@@ -17,42 +17,47 @@
 const WATCH: &str = "GET /catalog/members?watch=1&from=1 HTTP/1.1";
 
 /// A front door with few descriptors, its discovery, and the one backend that it knows.
-fn tight_front_door() -> (Program, Place, Place) {
-    let (discovery, backend) = (Place::new(), Place::new());
-    let known = members(1, true, &[member("s-0", backend.address(), "up")]);
-    let program = Program::start_within(SOCKETS, settings(), discovery.address(), known);
+fn tight_front_door() -> (FrontDoorProcess, TestListener, TestListener) {
+    let (discovery, backend) = (TestListener::new(), TestListener::new());
+    let known = endpoint_list(1, true, &[endpoint("s-0", backend.address(), "up")]);
+    let program = FrontDoorProcess::start_with_descriptor_limit(
+        SOCKETS,
+        default_settings(),
+        discovery.address(),
+        known,
+    );
     (program, discovery, backend)
 }
 
-fn assert_healthy(program: &Program) -> Wire {
-    let mut client = program.client();
+fn assert_healthy(program: &FrontDoorProcess) -> ScriptedConnection {
+    let mut client = program.connect_client();
     client.write(HEALTH);
     assert_eq!(client.read().status(), 200);
     client
 }
 
 /// Idle clients, every fourth of which has asked something before.
-fn idle_clients(program: &Program, count: usize) -> Vec<Wire> {
+fn idle_clients(program: &FrontDoorProcess, count: usize) -> Vec<ScriptedConnection> {
     (0..count)
         .map(|i| {
             if i % 4 == 0 {
                 assert_healthy(program)
             } else {
-                program.client()
+                program.connect_client()
             }
         })
         .collect()
 }
 
 /// A request by a new client gets to this backend and is served.
-fn assert_served(program: &Program, backend: &Place, id: &str) {
-    let mut client = program.client();
-    client.write(request_of(id, "read", "wide", "8"));
+fn assert_served(program: &FrontDoorProcess, backend: &TestListener, id: &str) {
+    let mut client = program.connect_client();
+    client.write(request_with(id, "read", "wide", "8"));
     let mut wire = backend
-        .accept_or(&client)
+        .accept_unless_answered(&client)
         .expect("a request that is sent on");
     assert_eq!(wire.read().header("request-id"), Some(id));
-    wire.answer(200, "Connection: close\r\n", id);
+    wire.respond(200, "Connection: close\r\n", id);
     assert_eq!(client.read().body, id.as_bytes());
 }
 
@@ -61,42 +66,42 @@
 #[test]
 fn a_crowd_of_idle_clients_takes_nobody_elses_descriptors() {
     let (program, discovery, backend) = tight_front_door();
-    let fresh = Place::new();
+    let fresh = TestListener::new();
     let mut watch = discovery.accept();
-    assert_eq!(watch.read().first, WATCH);
+    assert_eq!(watch.read().start_line, WATCH);
     let before = idle_clients(&program, CROWD);
     // Discovery is down: the watch is reset and the calls after it hang.
-    drop(Watch::begin(watch));
+    drop(WatchStream::begin_response(watch));
     let mut hung = discovery.accept();
-    assert_eq!(hung.read().first, WATCH);
+    assert_eq!(hung.read().start_line, WATCH);
     let meanwhile = idle_clients(&program, CROWD);
     assert_healthy(&program);
     assert_served(&program, &backend, "down");
     assert!(
-        program.descriptors() <= SOCKETS as usize,
+        program.descriptor_count() <= SOCKETS as usize,
         "{} descriptors",
-        program.descriptors()
+        program.descriptor_count()
     );
     // Discovery can be reached again; the call that hung has no answer.
     let back = Instant::now();
     let mut again = discovery.accept();
-    assert_eq!(again.read().first, WATCH);
-    let mut watch = Watch::begin(again);
-    let gone = member("s-0", backend.address(), "removed");
-    let list = members(2, false, &[gone, member("s-1", fresh.address(), "up")]);
-    watch.line(&list.to_string());
+    assert_eq!(again.read().start_line, WATCH);
+    let mut watch = WatchStream::begin_response(again);
+    let gone = endpoint("s-0", backend.address(), "removed");
+    let list = endpoint_list(2, false, &[gone, endpoint("s-1", fresh.address(), "up")]);
+    watch.send_line(&list.to_string());
     let places = [backend, fresh];
     wait_for("the list in force", || {
-        let mut client = program.client();
-        client.write(request_of(
+        let mut client = program.connect_client();
+        client.write(request_with(
             &format!("{:?}", back.elapsed()),
             "read",
             "wide",
             "8",
         ));
-        let (place, mut wire) = accept_any_or(&places, &client)?;
+        let (place, mut wire) = accept_any_unless_answered(&places, &client)?;
         wire.read();
-        wire.answer(200, "Connection: close\r\n", "");
+        wire.respond(200, "Connection: close\r\n", "");
         assert_eq!(client.read().status(), 200);
         (place == 1).then_some(())
     });
@@ -109,7 +114,8 @@
     assert_served(&program, &places[1], "back");
     // The idle ones leave: as many as there is room for come in and stay.
     drop((before, meanwhile, hung));
-    let mut fresh_clients: Vec<Wire> = (0..ROOM).map(|_| assert_healthy(&program)).collect();
+    let mut fresh_clients: Vec<ScriptedConnection> =
+        (0..ROOM).map(|_| assert_healthy(&program)).collect();
     for client in &mut fresh_clients {
         client.write(HEALTH);
         assert_eq!(client.read().status(), 200);
@@ -124,14 +130,15 @@
     let idle = idle_clients(&program, ROOM);
     // All of these have come when the front door looks next.
     program.pause();
-    let mut asking: Vec<Wire> = (0..BURST).map(|_| program.client()).collect();
+    let mut asking: Vec<ScriptedConnection> =
+        (0..BURST).map(|_| program.connect_client()).collect();
     for client in &mut asking {
         client.write(HEALTH);
     }
     program.resume();
     let unanswered = asking
         .iter_mut()
-        .filter(|client| !client.hears(PATIENCE))
+        .filter(|client| !client.receives_within(MAX_WAIT))
         .count();
     assert_eq!(unanswered, 0, "of {BURST} closed without an answer");
     drop(idle);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -264,7 +264,7 @@
 /// test's alone.
 #[test]
 fn a_bad_fleet_section_names_its_key() {
-    use cometspool_fault_injection::hand::{settings, spawn};
+    use cometspool_fault_injection::scripted_peers::{default_settings, spawn_with_configuration};
     use serde_json::json;
     let good = json!({"name": "f", "listen": "127.0.0.1:9", "peers": []});
     let cases = [
@@ -292,9 +292,9 @@
             .extend(change.as_object().unwrap().clone());
         let config = json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
-            "limits": {"sockets": 256}, "settings": settings(), "fleet": fleet,
+            "limits": {"sockets": 256}, "settings": default_settings(), "fleet": fleet,
         });
-        let (child, _) = spawn(&config.to_string(), &[]);
+        let child = spawn_with_configuration(&config.to_string(), &[]).child;
         let output = child.wait_with_output().expect("an exit");
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{key}: {text}");
@@ -305,10 +305,10 @@
     }
     let config = json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
-        "limits": {"sockets": 256}, "settings": settings(), "clock": {"rate": 2.0},
+        "limits": {"sockets": 256}, "settings": default_settings(), "clock": {"rate": 2.0},
     });
-    let output = spawn(&config.to_string(), &[])
-        .0
+    let output = spawn_with_configuration(&config.to_string(), &[])
+        .child
         .wait_with_output()
         .expect("an exit");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
--- a/tests/front_door.rs
+++ b/tests/front_door.rs
@@ -1,6 +1,6 @@
 //! The front door over loopback sockets: each test names what it guards.
 
-use cometspool_fault_injection::hand::*;
+use cometspool_fault_injection::scripted_peers::*;
 use std::io::Read;
 use std::process::ExitStatus;
 
@@ -10,12 +10,12 @@
 /// Guards the way there and back: what must go on unchanged does, and the answer's body too.
 #[test]
 fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
-    let scene = Scene::new(1);
-    let mut client = scene.program.client();
-    client.write(request_of("id-1", "extend", "wide", LONG));
-    let mut backend = scene.backends[0].accept();
+    let fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-1", "extend", "wide", LONG));
+    let mut backend = fixture.backends[0].accept();
     let sent = backend.read();
-    assert_eq!(sent.first, "POST /extend/a?b=c HTTP/1.1");
+    assert_eq!(sent.start_line, "POST /extend/a?b=c HTTP/1.1");
     assert_eq!(sent.header("request-id"), Some("id-1"));
     assert_eq!(sent.header("idempotency-key"), Some("5c0f6e1a"));
     assert_eq!(sent.body, b"hello");
@@ -25,7 +25,7 @@
         .parse()
         .unwrap();
     assert!(wait > 0.0 && wait <= 8.0, "{wait}");
-    backend.answer(200, "Api-Usage: 55\r\nApi-Charge: 2\r\n", "paid");
+    backend.respond(200, "Api-Usage: 55\r\nApi-Charge: 2\r\n", "paid");
     let answer = client.read();
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
@@ -36,16 +36,16 @@
 /// Guards against a new connection for every request: they cost the backend work.
 #[test]
 fn connections_on_both_sides_are_used_again() {
-    let scene = Scene::new(1);
-    let mut client = scene.program.client();
-    client.write(request_of("id-1", "read", "wide", LONG));
-    let mut backend = scene.backends[0].accept();
+    let fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-1", "read", "wide", LONG));
+    let mut backend = fixture.backends[0].accept();
     for id in ["id-1", "id-2", "id-3"] {
         assert_eq!(backend.read().header("request-id"), Some(id));
-        backend.answer(200, "", id);
+        backend.respond(200, "", id);
         assert_eq!(client.read().body, id.as_bytes());
         if id != "id-3" {
-            client.write(request_of(
+            client.write(request_with(
                 if id == "id-1" { "id-2" } else { "id-3" },
                 "read",
                 "wide",
@@ -53,22 +53,22 @@
             ));
         }
     }
-    assert!(scene.nobody_called());
+    assert!(fixture.no_backend_contacted());
 }
 
 /// Guards the outcome table for a request that must not run twice: what may have run is not sent again, and
 /// its answer is neither 200 nor a refusal.
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() {
-    type Play = fn(&mut Wire);
+    type Play = fn(&mut ScriptedConnection);
     let plays: [(&str, Play); 6] = [
-        ("500", |b| b.answer(500, "", "")),
+        ("500", |b| b.respond(500, "", "")),
         ("500 that claims not to have started", |b| {
-            b.answer(500, "Not-Started: 1\r\n", "");
+            b.respond(500, "Not-Started: 1\r\n", "");
         }),
-        ("503 without a word", |b| b.answer(503, "", "")),
+        ("503 without a word", |b| b.respond(503, "", "")),
         ("504 with another word", |b| {
-            b.answer(504, "Not-Started: 0\r\n", "");
+            b.respond(504, "Not-Started: 0\r\n", "");
         }),
         ("end without an answer", |b| {
             b.reader
@@ -85,15 +85,15 @@
         }),
     ];
     for (name, play) in plays {
-        let scene = Scene::new(2);
-        let mut client = scene.program.client();
-        client.write(request_of("id-1", "charge", "wide", LONG));
-        let (_, mut backend) = scene.accept_any();
+        let fixture = TestFixture::new(2);
+        let mut client = fixture.program.connect_client();
+        client.write(request_with("id-1", "charge", "wide", LONG));
+        let (_, mut backend) = fixture.accept_any();
         backend.read();
         play(&mut backend);
         let status = client.read().status();
         assert!(status >= 500 && status != 503, "{name}: {status}");
-        assert!(scene.nobody_called(), "{name}: sent again");
+        assert!(fixture.no_backend_contacted(), "{name}: sent again");
     }
 }
 
@@ -101,16 +101,16 @@
 #[test]
 fn an_unsafe_request_that_never_ran_is_sent_again() {
     for status in [503, 504] {
-        let scene = Scene::new(2);
-        let mut client = scene.program.client();
-        client.write(request_of("id-1", "charge", "wide", LONG));
-        let (first, mut backend) = scene.accept_any();
+        let fixture = TestFixture::new(2);
+        let mut client = fixture.program.connect_client();
+        client.write(request_with("id-1", "charge", "wide", LONG));
+        let (first, mut backend) = fixture.accept_any();
         backend.read();
-        backend.answer(status, "Not-Started: 1\r\n", "");
+        backend.respond(status, "Not-Started: 1\r\n", "");
         // The one that turned it away is shunned for a while.
-        let mut backend = scene.backends[1 - first].accept();
+        let mut backend = fixture.backends[1 - first].accept();
         assert_eq!(backend.read().header("request-id"), Some("id-1"));
-        backend.answer(200, "", "done");
+        backend.respond(200, "", "done");
         assert_eq!(client.read().status(), 200, "{status}");
     }
 }
@@ -118,27 +118,30 @@
 /// Guards the row for connections that are refused: an unsafe request never ran, so it may be refused.
 #[test]
 fn a_refused_connection_counts_as_never_run() {
-    let discovery = Place::new();
-    let (gone, _held) = refusing_place();
-    let program = Program::start(
-        settings(),
+    let discovery = TestListener::new();
+    let RefusingAddress {
+        address: gone,
+        reserved: _held,
+    } = refusing_address();
+    let program = FrontDoorProcess::start(
+        default_settings(),
         discovery.address(),
-        members(1, true, &[member("s", gone, "up")]),
+        endpoint_list(1, true, &[endpoint("s", gone, "up")]),
     );
-    let mut client = program.client();
-    client.write(request_of("id-1", "charge", "wide", LONG));
+    let mut client = program.connect_client();
+    client.write(request_with("id-1", "charge", "wide", LONG));
     assert_eq!(client.read().status(), 429);
 }
 
 /// Guards against a request written to a connection that the backend closed while it was idle.
 #[test]
 fn a_closed_idle_connection_is_not_used_again() {
-    let scene = Scene::new(1);
-    let mut client = scene.program.client();
-    client.write(request_of("id-1", "charge", "wide", LONG));
-    let mut backend = scene.backends[0].accept();
+    let fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-1", "charge", "wide", LONG));
+    let mut backend = fixture.backends[0].accept();
     backend.read();
-    backend.answer(200, "", "one");
+    backend.respond(200, "", "one");
     assert_eq!(client.read().body, b"one");
     backend
         .reader
@@ -146,11 +149,11 @@
         .shutdown(std::net::Shutdown::Write)
         .unwrap();
     // The front door has seen the end once it has closed its own side.
-    backend.expect_end();
-    client.write(request_of("id-2", "charge", "wide", LONG));
-    let mut backend = scene.backends[0].accept();
+    backend.expect_close();
+    client.write(request_with("id-2", "charge", "wide", LONG));
+    let mut backend = fixture.backends[0].accept();
     assert_eq!(backend.read().header("request-id"), Some("id-2"));
-    backend.answer(200, "", "two");
+    backend.respond(200, "", "two");
     assert_eq!(client.read().body, b"two");
 }
 
@@ -158,11 +161,11 @@
 /// answer before it stops waiting; a late answer goes nowhere, and the next request gets its own.
 #[test]
 fn a_silent_backend_is_given_up_in_time_and_its_late_answer_dropped() {
-    let scene = Scene::new(1);
-    let mut client = scene.program.client();
+    let fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
     let begun = std::time::Instant::now();
-    client.write(request_of("id-1", "charge", "wide", "2.5"));
-    let mut backend = scene.backends[0].accept();
+    client.write(request_with("id-1", "charge", "wide", "2.5"));
+    let mut backend = fixture.backends[0].accept();
     backend.read();
     let answer = client.read();
     assert!(
@@ -176,11 +179,11 @@
         backend.reader.get_mut(),
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate",
     );
-    backend.expect_end();
-    client.write(request_of("id-2", "charge", "wide", LONG));
-    let mut backend = scene.backends[0].accept();
+    backend.expect_close();
+    client.write(request_with("id-2", "charge", "wide", LONG));
+    let mut backend = fixture.backends[0].accept();
     assert_eq!(backend.read().header("request-id"), Some("id-2"));
-    backend.answer(200, "", "own");
+    backend.respond(200, "", "own");
     assert_eq!(client.read().body, b"own");
 }
 
@@ -188,67 +191,67 @@
 /// though the other backend is the busier one, and the others go on being sent there.
 #[test]
 fn a_class_that_hangs_at_a_backend_is_sent_elsewhere() {
-    let scene = Scene::new(2);
-    let mut client = scene.program.client();
-    client.write(request_of("id-1", "charge", "wide", "2"));
-    let (hangs, mut backend) = scene.accept_any();
+    let fixture = TestFixture::new(2);
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-1", "charge", "wide", "2"));
+    let (hangs, mut backend) = fixture.accept_any();
     backend.read();
     assert!(client.read().status() >= 500);
-    let mut busy = scene.program.client();
-    busy.write(request_of("id-2", "charge", "wide", LONG));
-    let mut first = scene.backends[1 - hangs].accept();
+    let mut busy = fixture.program.connect_client();
+    busy.write(request_with("id-2", "charge", "wide", LONG));
+    let mut first = fixture.backends[1 - hangs].accept();
     assert_eq!(first.read().header("request-id"), Some("id-2"));
-    let mut backend: Option<Wire> = None;
+    let mut backend: Option<ScriptedConnection> = None;
     for i in 0..150 {
-        client.write(request_of(&format!("read-{i}"), "read", "wide", LONG));
-        let backend = backend.get_or_insert_with(|| scene.backends[hangs].accept());
+        client.write(request_with(&format!("read-{i}"), "read", "wide", LONG));
+        let backend = backend.get_or_insert_with(|| fixture.backends[hangs].accept());
         backend.read();
-        backend.answer(200, "", "good");
+        backend.respond(200, "", "good");
         assert_eq!(client.read().body, b"good");
     }
-    client.write(request_of("id-3", "charge", "wide", LONG));
-    let mut second = scene.backends[1 - hangs].accept();
+    client.write(request_with("id-3", "charge", "wide", LONG));
+    let mut second = fixture.backends[1 - hangs].accept();
     assert_eq!(second.read().header("request-id"), Some("id-3"));
-    second.answer(200, "", "done");
+    second.respond(200, "", "done");
     assert_eq!(client.read().body, b"done");
 }
 
 /// Guards against work for nobody: when a client goes away its attempt is called off, long before its time.
 #[test]
 fn a_client_that_leaves_ends_its_attempt() {
-    let mut settings = settings();
+    let mut settings = default_settings();
     for key in ["aim", "give_up"] {
         settings["grades"][0][key] = 600_000.0.into();
     }
-    let scene = Scene::with(settings, 1);
-    let mut client = scene.program.client();
-    client.write(request_of("id-1", "read", "wide", "600"));
-    let mut backend = scene.backends[0].accept();
+    let fixture = TestFixture::with_settings(settings, 1);
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-1", "read", "wide", "600"));
+    let mut backend = fixture.backends[0].accept();
     backend.read();
     drop(client);
-    backend.expect_end();
+    backend.expect_close();
     // The front door goes on serving.
-    let mut client = scene.program.client();
-    client.write(request_of("id-2", "read", "wide", LONG));
-    let mut backend = scene.backends[0].accept();
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-2", "read", "wide", LONG));
+    let mut backend = fixture.backends[0].accept();
     assert_eq!(backend.read().header("request-id"), Some("id-2"));
-    backend.answer(200, "", "ok");
+    backend.respond(200, "", "ok");
     assert_eq!(client.read().status(), 200);
 }
 
 /// Guards against two attempts out for one id: a copy that comes while the first is out is turned down.
 #[test]
 fn an_id_that_is_out_is_not_taken_twice() {
-    let scene = Scene::new(1);
-    let mut client = scene.program.client();
-    client.write(request_of("id-1", "charge", "wide", LONG));
-    let mut backend = scene.backends[0].accept();
+    let fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-1", "charge", "wide", LONG));
+    let mut backend = fixture.backends[0].accept();
     backend.read();
-    let mut second = scene.program.client();
-    second.write(request_of("id-1", "charge", "wide", LONG));
+    let mut second = fixture.program.connect_client();
+    second.write(request_with("id-1", "charge", "wide", LONG));
     assert_eq!(second.read().status(), 409);
-    assert!(scene.nobody_called());
-    backend.answer(200, "", "once");
+    assert!(fixture.no_backend_contacted());
+    backend.respond(200, "", "once");
     assert_eq!(client.read().body, b"once");
 }
 
@@ -256,31 +259,36 @@
 /// backend left a request is refused at once.
 #[test]
 fn a_draining_backend_gets_nothing_new() {
-    let mut scene = Scene::new(1);
-    let mut client = scene.program.client();
-    client.write(request_of("id-1", "read", "wide", LONG));
-    let mut backend = scene.backends[0].accept();
+    let mut fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-1", "read", "wide", LONG));
+    let mut backend = fixture.backends[0].accept();
     backend.read();
-    backend.answer(200, "", "ok");
+    backend.respond(200, "", "ok");
     assert_eq!(client.read().status(), 200);
-    let line = members(
+    let line = endpoint_list(
         8,
         false,
-        &[member("s-0", scene.backends[0].address(), "draining")],
+        &[endpoint("s-0", fixture.backends[0].address(), "draining")],
     );
-    scene.watch.line(&line.to_string());
-    backend.expect_end();
-    client.write(request_of("id-2", "read", "wide", LONG));
+    fixture.watch.send_line(&line.to_string());
+    backend.expect_close();
+    client.write(request_with("id-2", "read", "wide", LONG));
     assert_eq!(client.read().status(), 429);
-    assert!(scene.nobody_called());
+    assert!(fixture.no_backend_contacted());
     // Told that it is back, the front door sends again; until the line has come, it refuses.
-    scene
-        .watch
-        .line(&members(9, true, &[member("s-0", scene.backends[0].address(), "up")]).to_string());
+    fixture.watch.send_line(
+        &endpoint_list(
+            9,
+            true,
+            &[endpoint("s-0", fixture.backends[0].address(), "up")],
+        )
+        .to_string(),
+    );
     let mut backend = (3..)
         .find_map(|id| {
-            client.write(request_of(&format!("id-{id}"), "read", "wide", LONG));
-            let accepted = scene.backends[0].accept_or(&client);
+            client.write(request_with(&format!("id-{id}"), "read", "wide", LONG));
+            let accepted = fixture.backends[0].accept_unless_answered(&client);
             if accepted.is_none() {
                 assert_eq!(client.read().status(), 429);
             }
@@ -288,7 +296,7 @@
         })
         .expect("a connection");
     backend.read();
-    backend.answer(200, "", "back");
+    backend.respond(200, "", "back");
     assert_eq!(client.read().body, b"back");
 }
 
@@ -296,30 +304,39 @@
 /// before the first byte is written. Nothing was sent, so the request is refused.
 #[test]
 fn a_backend_that_drains_while_it_is_dialled_gets_nothing() {
-    let discovery = Place::new();
-    let (backend, fillers) = crowded_place();
-    let up = [member("s-0", backend.address(), "up")];
-    let program = Program::start(settings(), discovery.address(), members(7, true, &up));
+    let discovery = TestListener::new();
+    let FullBacklog {
+        listener: backend,
+        fillers,
+    } = listener_with_full_backlog();
+    let up = [endpoint("s-0", backend.address(), "up")];
+    let program = FrontDoorProcess::start(
+        default_settings(),
+        discovery.address(),
+        endpoint_list(7, true, &up),
+    );
     let mut wire = discovery.accept();
     wire.read();
-    let mut watch = Watch::begin(wire);
-    let mut client = program.client();
-    client.write(request_of("id-1", "charge", "wide", LONG));
+    let mut watch = WatchStream::begin_response(wire);
+    let mut client = program.connect_client();
+    client.write(request_with("id-1", "charge", "wide", LONG));
     wait_for("a dial that hangs", || {
-        dialling(backend.address()).then_some(())
+        is_connecting(backend.address()).then_some(())
     });
-    watch.line(&members(8, false, &[member("s-0", backend.address(), "draining")]).to_string());
-    watch.0.write("0\r\n\r\n");
+    watch.send_line(
+        &endpoint_list(8, false, &[endpoint("s-0", backend.address(), "draining")]).to_string(),
+    );
+    watch.connection.write("0\r\n\r\n");
     drop(watch);
     // Asking from 8 shows that the line has been taken in.
     assert_eq!(
-        discovery.accept().read().first,
+        discovery.accept().read().start_line,
         "GET /catalog/members?watch=1&from=8 HTTP/1.1"
     );
     for _ in &fillers {
         backend.accept();
     }
-    backend.accept().expect_end();
+    backend.accept().expect_close();
     assert_eq!(client.read().status(), 429);
 }
 
@@ -327,25 +344,27 @@
 /// by asking for the whole list.
 #[test]
 fn a_watch_is_resumed_and_an_unreadable_line_asks_for_the_whole_list() {
-    let mut scene = Scene::new(1);
-    let hosts = [member("s-0", scene.backends[0].address(), "up")];
-    scene.watch.line("");
-    scene.watch.line(&members(12, false, &hosts).to_string());
-    scene.watch.0.write("0\r\n\r\n");
-    drop(scene.watch);
-    let mut wire = scene.discovery.accept();
+    let mut fixture = TestFixture::new(1);
+    let hosts = [endpoint("s-0", fixture.backends[0].address(), "up")];
+    fixture.watch.send_line("");
+    fixture
+        .watch
+        .send_line(&endpoint_list(12, false, &hosts).to_string());
+    fixture.watch.connection.write("0\r\n\r\n");
+    drop(fixture.watch);
+    let mut wire = fixture.discovery.accept();
     assert_eq!(
-        wire.read().first,
+        wire.read().start_line,
         "GET /catalog/members?watch=1&from=12 HTTP/1.1"
     );
-    let mut watch = Watch::begin(wire);
-    watch.line("{\"seq\":13,\"whole\":");
-    let mut wire = scene.discovery.accept();
-    assert_eq!(wire.read().first, "GET /catalog/members HTTP/1.1");
-    wire.answer(200, "", &members(20, true, &hosts).to_string());
-    let mut wire = scene.discovery.accept();
+    let mut watch = WatchStream::begin_response(wire);
+    watch.send_line("{\"seq\":13,\"whole\":");
+    let mut wire = fixture.discovery.accept();
+    assert_eq!(wire.read().start_line, "GET /catalog/members HTTP/1.1");
+    wire.respond(200, "", &endpoint_list(20, true, &hosts).to_string());
+    let mut wire = fixture.discovery.accept();
     assert_eq!(
-        wire.read().first,
+        wire.read().start_line,
         "GET /catalog/members?watch=1&from=20 HTTP/1.1"
     );
 }
@@ -354,19 +373,19 @@
 /// it is asked for the changes again, and for the whole list only where it says that there is no such thing.
 #[test]
 fn a_watch_that_is_turned_away_is_asked_for_from_the_same_version() {
-    let mut scene = Scene::new(1);
-    scene.watch.0.write("0\r\n\r\n");
-    drop(scene.watch);
+    let mut fixture = TestFixture::new(1);
+    fixture.watch.connection.write("0\r\n\r\n");
+    drop(fixture.watch);
     for status in [503, 503, 500, 404] {
-        let mut wire = scene.discovery.accept();
+        let mut wire = fixture.discovery.accept();
         assert_eq!(
-            wire.read().first,
+            wire.read().start_line,
             "GET /catalog/members?watch=1&from=7 HTTP/1.1"
         );
-        wire.answer(status, "", "");
+        wire.respond(status, "", "");
     }
     assert_eq!(
-        scene.discovery.accept().read().first,
+        fixture.discovery.accept().read().start_line,
         "GET /catalog/members HTTP/1.1"
     );
 }
@@ -374,10 +393,10 @@
 /// Guards against a watch whose other end has vanished: it says nothing and does not end.
 #[test]
 fn a_silent_watch_is_opened_again() {
-    let scene = Scene::new(1);
-    let mut wire = scene.discovery.accept();
+    let fixture = TestFixture::new(1);
+    let mut wire = fixture.discovery.accept();
     assert_eq!(
-        wire.read().first,
+        wire.read().start_line,
         "GET /catalog/members?watch=1&from=7 HTTP/1.1"
     );
 }
@@ -385,23 +404,27 @@
 /// Guards the start: the front is told to come only when there is a list to serve from.
 #[test]
 fn health_waits_for_a_list() {
-    let discovery = Place::new();
-    let program = Program::start(settings(), discovery.address(), serde_json::Value::Null);
+    let discovery = TestListener::new();
+    let program = FrontDoorProcess::start(
+        default_settings(),
+        discovery.address(),
+        serde_json::Value::Null,
+    );
     let mut wire = discovery.accept();
-    assert_eq!(wire.read().first, "GET /catalog/members HTTP/1.1");
-    let mut client = program.client();
+    assert_eq!(wire.read().start_line, "GET /catalog/members HTTP/1.1");
+    let mut client = program.connect_client();
     let health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
     client.write(health);
     assert_eq!(client.read().status(), 503);
-    let backend = Place::new();
-    wire.answer(
+    let backend = TestListener::new();
+    wire.respond(
         200,
         "",
-        &members(1, true, &[member("s-0", backend.address(), "up")]).to_string(),
+        &endpoint_list(1, true, &[endpoint("s-0", backend.address(), "up")]).to_string(),
     );
     // The watch that follows shows that the list has been taken in.
     assert_eq!(
-        discovery.accept().read().first,
+        discovery.accept().read().start_line,
         "GET /catalog/members?watch=1&from=1 HTTP/1.1"
     );
     client.write(health);
@@ -412,50 +435,50 @@
 /// close theirs, and the program ends by itself with 0.
 #[test]
 fn sigterm_answers_what_was_taken_and_ends_well() {
-    let mut scene = Scene::new(1);
-    let mut idle = scene.program.client();
+    let mut fixture = TestFixture::new(1);
+    let mut idle = fixture.program.connect_client();
     idle.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(idle.read().header("connection"), None);
-    let mut unused = scene.program.client();
-    let mut client = scene.program.client();
-    client.write(request_of("id-1", "charge", "wide", LONG));
-    let mut backend = scene.backends[0].accept();
+    let mut unused = fixture.program.connect_client();
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-1", "charge", "wide", LONG));
+    let mut backend = fixture.backends[0].accept();
     backend.read();
-    scene.program.terminate();
-    assert_eq!(scene.program.log_line(), "n0: stopping\n");
-    let mut late = scene.program.client();
-    late.write(request_of("id-2", "charge", "wide", LONG));
-    let mut second = scene.backends[0].accept();
+    fixture.program.terminate();
+    assert_eq!(fixture.program.read_log_line(), "n0: stopping\n");
+    let mut late = fixture.program.connect_client();
+    late.write(request_with("id-2", "charge", "wide", LONG));
+    let mut second = fixture.backends[0].accept();
     assert_eq!(second.read().header("request-id"), Some("id-2"));
-    let kept = |backend: &mut Wire, client: &mut Wire| {
-        backend.answer(200, "", "kept");
+    let kept = |backend: &mut ScriptedConnection, client: &mut ScriptedConnection| {
+        backend.respond(200, "", "kept");
         let answer = client.read();
         assert_eq!(
             (answer.status(), answer.body.as_slice()),
             (200, &b"kept"[..])
         );
         assert_eq!(answer.header("connection"), Some("close"));
-        client.expect_end();
+        client.expect_close();
     };
     // One answer at once and one after idle connections have been closed: neither is lost.
     kept(&mut second, &mut late);
-    idle.expect_end();
+    idle.expect_close();
     kept(&mut backend, &mut client);
     // A connection that never carried a request does not hold the program up.
     let begun = std::time::Instant::now();
-    assert_eq!(scene.program.wait().code(), Some(0));
+    assert_eq!(fixture.program.wait_for_exit().code(), Some(0));
     assert!(
         begun.elapsed().as_secs_f64() < 5.0,
         "held up until its last call"
     );
-    unused.expect_end();
+    unused.expect_close();
 }
 
 /// Guards against bad input: each gets one plain answer, and nothing of it reaches a backend.
 #[test]
 fn bad_requests_are_turned_down() {
-    let scene = Scene::new(1);
-    let good = request_of("id-1", "charge", "wide", LONG);
+    let fixture = TestFixture::new(1);
+    let good = request_with("id-1", "charge", "wide", LONG);
     let without = |name: &str| {
         let lines = good.split("\r\n").filter(|line| !line.starts_with(name));
         lines.collect::<Vec<_>>().join("\r\n")
@@ -529,35 +552,40 @@
         cases.push((good.replacen(from, to, 1), status));
     }
     for (text, status) in cases {
-        let mut client = scene.program.client();
+        let mut client = fixture.program.connect_client();
         client.write(&text);
         assert_eq!(client.read().status(), status, "{text}");
-        client.expect_end();
+        client.expect_close();
     }
-    assert!(scene.nobody_called());
+    assert!(fixture.no_backend_contacted());
     // A client that leaves within a request leaves nothing behind.
-    let mut client = scene.program.client();
+    let mut client = fixture.program.connect_client();
     client.write(&good[..good.len() - 2]);
     drop(client);
-    let mut client = scene.program.client();
+    let mut client = fixture.program.connect_client();
     client.write(&good);
-    let mut backend = scene.backends[0].accept();
+    let mut backend = fixture.backends[0].accept();
     backend.read();
-    backend.answer(200, "", "fine");
+    backend.respond(200, "", "fine");
     assert_eq!(client.read().status(), 200);
 }
 
 /// Guards against a front door full of idle connections: a new client gets in all the same.
 #[test]
 fn idle_connections_make_room_for_new_clients() {
-    let discovery = Place::new();
-    let backend = Place::new();
-    let known = members(1, true, &[member("s-0", backend.address(), "up")]);
+    let discovery = TestListener::new();
+    let backend = TestListener::new();
+    let known = endpoint_list(1, true, &[endpoint("s-0", backend.address(), "up")]);
     // Few enough descriptors that 60 connections are too many.
-    let mut program = Program::start_within(64, settings(), discovery.address(), known);
+    let mut program = FrontDoorProcess::start_with_descriptor_limit(
+        64,
+        default_settings(),
+        discovery.address(),
+        known,
+    );
     let mut held = Vec::new();
     for _ in 0..60 {
-        let mut client = program.client();
+        let mut client = program.connect_client();
         client.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
         assert_eq!(client.read().status(), 200);
         held.push(client);
@@ -571,18 +599,23 @@
 /// Guards against clients that begin a request and never end it: at the limit they make room too.
 #[test]
 fn stalled_requests_make_room_for_new_clients() {
-    let discovery = Place::new();
-    let backend = Place::new();
-    let known = members(1, true, &[member("s-0", backend.address(), "up")]);
-    let program = Program::start_within(64, settings(), discovery.address(), known);
-    let stalled: Vec<Wire> = (0..40)
+    let discovery = TestListener::new();
+    let backend = TestListener::new();
+    let known = endpoint_list(1, true, &[endpoint("s-0", backend.address(), "up")]);
+    let program = FrontDoorProcess::start_with_descriptor_limit(
+        64,
+        default_settings(),
+        discovery.address(),
+        known,
+    );
+    let stalled: Vec<ScriptedConnection> = (0..40)
         .map(|_| {
-            let mut client = program.client();
+            let mut client = program.connect_client();
             client.write("GET /_health HTTP/1.1\r\nHo");
             client
         })
         .collect();
-    let mut client = program.client();
+    let mut client = program.connect_client();
     client.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(client.read().status(), 200);
     drop(stalled);
@@ -591,30 +624,30 @@
 /// Guards memory: a head that goes on and on is turned down, not kept.
 #[test]
 fn an_endless_head_is_turned_down() {
-    let scene = Scene::new(1);
-    let mut client = scene.program.client();
+    let fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
     let long = format!("X: {}\r\nHost: ser", "x".repeat(70_000));
-    client.write(request_of("id-1", "charge", "wide", LONG).replacen("Host: ser", &long, 1));
+    client.write(request_with("id-1", "charge", "wide", LONG).replacen("Host: ser", &long, 1));
     assert_eq!(client.read().status(), 431);
-    assert!(scene.nobody_called());
+    assert!(fixture.no_backend_contacted());
 }
 
 /// Guards quotas: beyond its quota a customer is refused at once and told when to come back.
 #[test]
 fn a_customer_past_its_quota_is_refused_with_advice() {
-    let scene = Scene::new(1);
-    let mut client = scene.program.client();
-    client.write(request_of("id-0", "read", "narrow", LONG));
-    let mut backend = scene.backends[0].accept();
+    let fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-0", "read", "narrow", LONG));
+    let mut backend = fixture.backends[0].accept();
     let mut served = 0;
     for id in 1.. {
         assert!(id < 20, "never refused");
         backend.read();
-        backend.answer(200, "", "ok");
+        backend.respond(200, "", "ok");
         assert_eq!(client.read().status(), 200);
         served += 1;
-        client.write(request_of(&format!("id-{id}"), "read", "narrow", LONG));
-        if client.speaks_before(&backend) {
+        client.write(request_with(&format!("id-{id}"), "read", "narrow", LONG));
+        if client.is_readable_before(&backend) {
             break;
         }
     }
@@ -651,7 +684,7 @@
         ),
     ];
     for (config, expected) in cases {
-        let (mut child, _) = spawn(&config, &[]);
+        let mut child = spawn_with_configuration(&config, &[]).child;
         let mut text = String::new();
         child
             .stderr
@@ -671,35 +704,37 @@
 /// discovery is followed at once, from the version last seen, though the variable still tells the old one.
 #[test]
 fn a_new_configuration_moves_the_watch_and_a_bad_one_does_not() {
-    let mut scene = Scene::new(1);
-    let mut client = scene.program.client();
-    client.write(request_of("id-1", "charge", "wide", LONG));
-    let mut backend = scene.backends[0].accept();
+    let mut fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-1", "charge", "wide", LONG));
+    let mut backend = fixture.backends[0].accept();
     backend.read();
-    let mut config = scene.program.config.clone();
+    let mut config = fixture.program.config.clone();
     for bad in [
         "{",
         "{\"seed\":\"1\",\"limits\":{\"sockets\":256},\"settings\":{},\"discovery\":\"x\"}",
     ] {
-        scene.program.reload(bad);
-        let line = scene.program.log_line();
+        fixture.program.reload(bad);
+        let line = fixture.program.read_log_line();
         assert!(line.contains("old configuration goes on"), "{line}");
     }
     // The old watch is still the one that counts.
-    let moved = Place::new();
-    let hosts = [member("s-0", moved.address(), "up")];
-    scene.watch.line(&members(8, false, &hosts).to_string());
-    let fresh = Place::new();
+    let moved = TestListener::new();
+    let hosts = [endpoint("s-0", moved.address(), "up")];
+    fixture
+        .watch
+        .send_line(&endpoint_list(8, false, &hosts).to_string());
+    let fresh = TestListener::new();
     config["discovery"] = fresh.address().to_string().into();
     wait_for("the line to be taken in", || {
-        scene.program.reload(&config.to_string());
+        fixture.program.reload(&config.to_string());
         let mut wire = fresh.accept();
-        let first = wire.read().first;
+        let first = wire.read().start_line;
         (first == "GET /catalog/members?watch=1&from=8 HTTP/1.1")
-            .then(|| scene.watch.0.expect_end())
+            .then(|| fixture.watch.connection.expect_close())
     });
     // What was taken before is answered.
-    backend.answer(200, "", "kept");
+    backend.respond(200, "", "kept");
     assert_eq!(client.read().body, b"kept");
 }
 
@@ -707,22 +742,22 @@
 /// is not served, and its connection is closed before anything behind it is read.
 #[test]
 fn chunks_beside_a_length_are_not_served_and_hide_nothing() {
-    let scene = Scene::new(1);
-    let hidden = request_of("id-2", "charge", "wide", LONG);
+    let fixture = TestFixture::new(1);
+    let hidden = request_with("id-2", "charge", "wide", LONG);
     let (length, chunks) = ("Content-Length: 5", "Transfer-Encoding: chunked");
     for framing in [
         format!("{length}\r\n{chunks}"),
         format!("{chunks}\r\n{length}"),
         chunks.to_owned(),
     ] {
-        let good = request_of("id-1", "charge", "wide", LONG).replacen(length, &framing, 1);
+        let good = request_with("id-1", "charge", "wide", LONG).replacen(length, &framing, 1);
         let head = good.strip_suffix("hello").unwrap();
-        let mut client = scene.program.client();
+        let mut client = fixture.program.connect_client();
         client.write(format!("{head}0\r\n\r\n{hidden}"));
         assert_eq!(client.read().status(), 411, "{framing}");
-        client.expect_end();
+        client.expect_close();
     }
-    assert!(scene.nobody_called());
+    assert!(fixture.no_backend_contacted());
 }
 
 /// Guards against clients that hold connections and never end a request: each is turned down or closed within 3 s
@@ -730,28 +765,28 @@
 /// served may stay.
 #[test]
 fn a_connection_without_a_whole_request_is_closed_in_time() {
-    let scene = Scene::new(1);
-    let mut usual = scene.program.client();
+    let fixture = TestFixture::new(1);
+    let mut usual = fixture.program.connect_client();
     let health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
     usual.write(health);
     usual.read();
-    let good = request_of("id-1", "charge", "wide", LONG);
+    let good = request_with("id-1", "charge", "wide", LONG);
     let begun = std::time::Instant::now();
-    let mut clients: Vec<Wire> = ["", &good[..40], &good[..good.len() - 2]]
+    let mut clients: Vec<ScriptedConnection> = ["", &good[..40], &good[..good.len() - 2]]
         .iter()
         .map(|text| {
-            let mut client = scene.program.client();
+            let mut client = fixture.program.connect_client();
             client.write(text);
             client
         })
         .collect();
-    let mut endless = scene.program.client();
+    let mut endless = fixture.program.connect_client();
     endless.write(&good[..good.len() - 9]);
     // It goes on saying a little, so that no pause gives it away.
     let end = wait_for("the end of a head without end", || {
         let wrote = std::io::Write::write_all(endless.reader.get_mut(), b"X: y\r\n");
         std::thread::sleep(std::time::Duration::from_millis(50));
-        (wrote.is_err() || endless.speaks()).then(|| begun.elapsed().as_secs_f64())
+        (wrote.is_err() || endless.is_readable()).then(|| begun.elapsed().as_secs_f64())
     });
     assert!(end > 1.0, "closed after {end} s");
     let mut said = Vec::new();
@@ -765,18 +800,23 @@
     assert!(begun.elapsed().as_secs_f64() < 8.0);
     usual.write(health);
     assert_eq!(usual.read().status(), 200);
-    assert!(scene.nobody_called());
+    assert!(fixture.no_backend_contacted());
 }
 
 /// Guards usual clients in a crowd: to make room, those that never spoke go before one that did.
 #[test]
 fn the_silent_make_room_before_those_that_spoke() {
-    let discovery = Place::new();
-    let backend = Place::new();
-    let known = members(1, true, &[member("s-0", backend.address(), "up")]);
-    let program = Program::start_within(64, settings(), discovery.address(), known);
+    let discovery = TestListener::new();
+    let backend = TestListener::new();
+    let known = endpoint_list(1, true, &[endpoint("s-0", backend.address(), "up")]);
+    let program = FrontDoorProcess::start_with_descriptor_limit(
+        64,
+        default_settings(),
+        discovery.address(),
+        known,
+    );
     let health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
-    let mut usual: Vec<Wire> = (0..8).map(|_| program.client()).collect();
+    let mut usual: Vec<ScriptedConnection> = (0..8).map(|_| program.connect_client()).collect();
     let mut ask = |silent: usize| {
         for client in &mut usual {
             client.write(health);
@@ -784,9 +824,9 @@
         }
     };
     ask(0);
-    let held: Vec<Wire> = (1..=60)
+    let held: Vec<ScriptedConnection> = (1..=60)
         .map(|number| {
-            let client = program.client();
+            let client = program.connect_client();
             ask(number);
             client
         })
@@ -798,10 +838,10 @@
 /// somebody else's. It guards memory too: no wait is longer than the class allows.
 #[test]
 fn an_id_is_good_once_and_no_wait_is_longer_than_its_class_allows() {
-    let scene = Scene::new(1);
-    let mut client = scene.program.client();
-    client.write(request_of("id-1", "charge", "wide", "79"));
-    let mut backend = scene.backends[0].accept();
+    let fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-1", "charge", "wide", "79"));
+    let mut backend = fixture.backends[0].accept();
     let wait: f64 = backend
         .read()
         .header("request-timeout")
@@ -809,12 +849,12 @@
         .parse()
         .unwrap();
     assert!(wait > 0.0 && wait <= 8.0, "{wait}");
-    backend.answer(200, "", "once");
+    backend.respond(200, "", "once");
     assert_eq!(client.read().status(), 200);
-    client.write(request_of("id-1", "charge", "wide", LONG));
+    client.write(request_with("id-1", "charge", "wide", LONG));
     assert_eq!(client.read().status(), 409);
-    client.expect_end();
-    assert!(scene.nobody_called());
+    client.expect_close();
+    assert!(fixture.no_backend_contacted());
 }
 
 /// Guards against a wrong answer: what a backend sends behind an answer, in one write with it or later, never becomes
@@ -828,10 +868,10 @@
         (copy, false),
         ("noise", false),
     ] {
-        let scene = Scene::new(1);
-        let mut client = scene.program.client();
-        client.write(request_of("id-1", "charge", "wide", LONG));
-        let mut backend = scene.backends[0].accept();
+        let fixture = TestFixture::new(1);
+        let mut client = fixture.program.connect_client();
+        client.write(request_with("id-1", "charge", "wide", LONG));
+        let mut backend = fixture.backends[0].accept();
         backend.read();
         let good = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
         if together {
@@ -842,12 +882,12 @@
             assert_eq!(client.read().body, b"one");
             backend.write(behind);
         }
-        client.write(request_of("id-2", "charge", "wide", LONG));
-        let mut second = scene.backends[0].accept();
+        client.write(request_with("id-2", "charge", "wide", LONG));
+        let mut second = fixture.backends[0].accept();
         assert_eq!(second.read().header("request-id"), Some("id-2"));
-        second.answer(200, "", "two");
+        second.respond(200, "", "two");
         assert_eq!(client.read().body, b"two", "{behind} together: {together}");
-        backend.expect_end();
+        backend.expect_close();
     }
 }
 
@@ -885,10 +925,10 @@
         ("a head without end", head.as_str()),
     ];
     for (name, text) in cases {
-        let scene = Scene::new(1);
-        let mut client = scene.program.client();
-        client.write(request_of("id-1", "charge", "wide", LONG));
-        let mut backend = scene.backends[0].accept();
+        let fixture = TestFixture::new(1);
+        let mut client = fixture.program.connect_client();
+        client.write(request_with("id-1", "charge", "wide", LONG));
+        let mut backend = fixture.backends[0].accept();
         backend.read();
         let begun = std::time::Instant::now();
         // The front door may close before all is written.
@@ -898,11 +938,11 @@
             begun.elapsed().as_secs_f64() < 3.0,
             "{name}: waited for more"
         );
-        backend.expect_end();
-        client.write(request_of("id-2", "charge", "wide", LONG));
-        let mut second = scene.backends[0].accept();
+        backend.expect_close();
+        client.write(request_with("id-2", "charge", "wide", LONG));
+        let mut second = fixture.backends[0].accept();
         assert_eq!(second.read().header("request-id"), Some("id-2"));
-        second.answer(200, "", "fine");
+        second.respond(200, "", "fine");
         assert_eq!(client.read().body, b"fine", "{name}");
     }
 }
@@ -910,13 +950,13 @@
 /// Guards good answers with odd company: 1xx ahead and figures that say nothing spoil nothing.
 #[test]
 fn a_good_answer_with_odd_figures_is_served() {
-    let scene = Scene::new(1);
-    let mut client = scene.program.client();
-    client.write(request_of("id-1", "charge", "wide", LONG));
-    let mut backend = scene.backends[0].accept();
+    let fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-1", "charge", "wide", LONG));
+    let mut backend = fixture.backends[0].accept();
     backend.read();
     backend.write("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n");
-    backend.answer(
+    backend.respond(
         200,
         "Api-Usage: %%%\r\nApi-Usage: 9e99\r\nApi-Charge: =,=\r\nApi-Charge: 1\r\n",
         "paid",
@@ -932,24 +972,29 @@
 /// is refused at once, and no backend is set aside.
 #[test]
 fn an_own_shortage_is_not_held_against_a_backend() {
-    let discovery = Place::new();
-    let backend = Place::new();
-    let known = members(1, true, &[member("s-0", backend.address(), "up")]);
+    let discovery = TestListener::new();
+    let backend = TestListener::new();
+    let known = endpoint_list(1, true, &[endpoint("s-0", backend.address(), "up")]);
     // Room for three connections to backends.
-    let mut program = Program::start_within(32, settings(), discovery.address(), known);
+    let mut program = FrontDoorProcess::start_with_descriptor_limit(
+        32,
+        default_settings(),
+        discovery.address(),
+        known,
+    );
     let mut held = Vec::new();
     for id in 0..3 {
-        let mut client = program.client();
-        client.write(request_of(&format!("id-{id}"), "charge", "wide", LONG));
+        let mut client = program.connect_client();
+        client.write(request_with(&format!("id-{id}"), "charge", "wide", LONG));
         let mut wire = backend.accept();
         wire.read();
         held.push((client, wire));
     }
-    let mut client = program.client();
-    client.write(request_of("id-3", "charge", "wide", LONG));
+    let mut client = program.connect_client();
+    client.write(request_with("id-3", "charge", "wide", LONG));
     assert_eq!(client.read().status(), 429);
     for (mut client, mut wire) in held {
-        wire.answer(200, "", "ok");
+        wire.respond(200, "", "ok");
         assert_eq!(client.read().status(), 200);
     }
     program.terminate();
@@ -965,16 +1010,16 @@
 /// again and again: the room that each takes is given back.
 #[test]
 fn a_long_answer_is_passed_on_whole() {
-    let scene = Scene::new(1);
-    let mut client = scene.program.client();
+    let fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
     let long = "0123456789abcdef".repeat(25_000);
-    client.write(request_of("id-0", "charge", "wide", LONG));
-    let mut backend = scene.backends[0].accept();
+    client.write(request_with("id-0", "charge", "wide", LONG));
+    let mut backend = fixture.backends[0].accept();
     // More than the memory would hold together.
     for number in 1..=200 {
         backend.read();
         if number % 2 == 0 {
-            backend.answer(200, "", &long);
+            backend.respond(200, "", &long);
         } else {
             let (head, length) = ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked", long.len());
             backend.write(format!("{head}\r\n\r\n{length:x}\r\n{long}\r\n0\r\n\r\n"));
@@ -986,7 +1031,12 @@
             "number {number}: {} bytes",
             answer.body.len()
         );
-        client.write(request_of(&format!("id-{number}"), "charge", "wide", LONG));
+        client.write(request_with(
+            &format!("id-{number}"),
+            "charge",
+            "wide",
+            LONG,
+        ));
     }
 }
 
@@ -994,18 +1044,18 @@
 /// connection first, and another backend serves it well before its client leaves.
 #[test]
 fn a_hung_attempt_leaves_time_for_another() {
-    let mut settings = settings();
+    let mut settings = default_settings();
     settings["fleet_size"] = 1.into();
     settings["grades"][0]["aim"] = 600.0.into();
     settings["grades"][0]["late_worth"] = 0.5.into();
-    let scene = Scene::with(settings, 2);
-    let mut client = scene.program.client();
-    client.write(request_of("id-1", "read", "wide", LONG));
-    let (first, mut hung) = scene.accept_any();
+    let fixture = TestFixture::with_settings(settings, 2);
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-1", "read", "wide", LONG));
+    let (first, mut hung) = fixture.accept_any();
     hung.read();
-    let mut other = scene.backends[1 - first].accept();
-    hung.expect_end();
+    let mut other = fixture.backends[1 - first].accept();
+    hung.expect_close();
     assert_eq!(other.read().header("request-id"), Some("id-1"));
-    other.answer(200, "", "in time");
+    other.respond(200, "", "in time");
     assert_eq!(client.read().body, b"in time");
 }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -1,6 +1,6 @@
 //! The list of backends where two events cross, over loopback sockets: silence, layout, versions that go back, old addresses.
 
-use cometspool_fault_injection::hand::*;
+use cometspool_fault_injection::scripted_peers::*;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
@@ -12,20 +12,20 @@
 }
 
 /// The agent's next call, which has to be this one.
-fn called(discovery: &Place, first: &str) -> Wire {
+fn called(discovery: &TestListener, first: &str) -> ScriptedConnection {
     let mut wire = discovery.accept();
-    assert_eq!(wire.read().first, first);
+    assert_eq!(wire.read().start_line, first);
     wire
 }
 
 /// Asks until a request reaches a backend: until then it is refused, as there is nobody to send it to.
-fn served_by(program: &Program, backend: &Place, name: &str) {
-    let mut client = program.client();
+fn served_by(program: &FrontDoorProcess, backend: &TestListener, name: &str) {
+    let mut client = program.connect_client();
     let begun = Instant::now();
     let reached = (0..).find_map(|i| {
-        assert!(begun.elapsed() < PATIENCE, "{name}: nobody to send it to");
-        client.write(request_of(&format!("{name}-{i}"), "read", "wide", LONG));
-        let reached = backend.accept_or(&client);
+        assert!(begun.elapsed() < MAX_WAIT, "{name}: nobody to send it to");
+        client.write(request_with(&format!("{name}-{i}"), "read", "wide", LONG));
+        let reached = backend.accept_unless_answered(&client);
         if reached.is_none() {
             assert_eq!(client.read().status(), 429);
         }
@@ -33,7 +33,7 @@
     });
     let mut backend = reached.expect("a connection");
     backend.read();
-    backend.answer(200, "Connection: close\r\n", name);
+    backend.respond(200, "Connection: close\r\n", name);
     assert_eq!(client.read().body, name.as_bytes());
 }
 
@@ -45,7 +45,7 @@
     let whole = "GET /catalog/members HTTP/1.1".to_owned();
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
-    let indented = format!("{:#}", members(9, false, &[]));
+    let indented = format!("{:#}", endpoint_list(9, false, &[]));
     let cases = [
         ("before the first byte", String::new(), false, watch_from(7)),
         (
@@ -63,7 +63,7 @@
         ),
         (
             "after an empty list",
-            head.to_owned() + &chunk(&members(8, false, &[]).to_string()),
+            head.to_owned() + &chunk(&endpoint_list(8, false, &[]).to_string()),
             false,
             watch_from(8),
         ),
@@ -86,13 +86,16 @@
             whole,
         ),
     ];
-    let scenes: Vec<_> = cases
+    let runs: Vec<_> = cases
         .into_iter()
         .map(|(name, said, drips, then)| {
             std::thread::spawn(move || {
-                let discovery = Place::new();
-                let _program =
-                    Program::start(settings(), discovery.address(), members(7, true, &[]));
+                let discovery = TestListener::new();
+                let _program = FrontDoorProcess::start(
+                    default_settings(),
+                    discovery.address(),
+                    endpoint_list(7, true, &[]),
+                );
                 let mut wire = called(&discovery, &watch_from(7));
                 wire.write(said);
                 let mut again = wait_for(name, || {
@@ -103,80 +106,87 @@
                     }
                     discovery.try_accept()
                 });
-                assert_eq!(again.read().first, then, "{name}");
+                assert_eq!(again.read().start_line, then, "{name}");
             })
         })
         .collect();
-    scenes
-        .into_iter()
-        .for_each(|scene| scene.join().expect("a scene that held"));
+    runs.into_iter()
+        .for_each(|fixture| fixture.join().expect("a fixture that held"));
 }
 
 /// Guards lists that come indented: over many lines, in a watch and as the whole list, with signs of life between.
 #[test]
 fn an_indented_list_is_taken_in() {
-    let mut scene = Scene::new(1);
-    let fresh = Place::new();
-    let hosts = [member("s-1", fresh.address(), "up")];
-    scene.watch.line(&format!("{:#}", members(8, true, &hosts)));
-    scene.watch.line("");
-    served_by(&scene.program, &fresh, "watched");
-    scene.watch.0.write("0\r\n\r\n");
-    drop(scene.watch);
-    called(&scene.discovery, &watch_from(8)).answer(404, "", "");
-    let last = Place::new();
-    let hosts = [member("s-2", last.address(), "up")];
-    let mut wire = called(&scene.discovery, "GET /catalog/members HTTP/1.1");
-    wire.answer(200, "", &format!("\n{:#}\n\n", members(9, true, &hosts)));
-    called(&scene.discovery, &watch_from(9));
-    served_by(&scene.program, &last, "listed");
+    let mut fixture = TestFixture::new(1);
+    let fresh = TestListener::new();
+    let hosts = [endpoint("s-1", fresh.address(), "up")];
+    fixture
+        .watch
+        .send_line(&format!("{:#}", endpoint_list(8, true, &hosts)));
+    fixture.watch.send_line("");
+    served_by(&fixture.program, &fresh, "watched");
+    fixture.watch.connection.write("0\r\n\r\n");
+    drop(fixture.watch);
+    called(&fixture.discovery, &watch_from(8)).respond(404, "", "");
+    let last = TestListener::new();
+    let hosts = [endpoint("s-2", last.address(), "up")];
+    let mut wire = called(&fixture.discovery, "GET /catalog/members HTTP/1.1");
+    wire.respond(
+        200,
+        "",
+        &format!("\n{:#}\n\n", endpoint_list(9, true, &hosts)),
+    );
+    called(&fixture.discovery, &watch_from(9));
+    served_by(&fixture.program, &last, "listed");
 }
 
 /// Guards what has been told against a list that is older: one that lags brings back no process that was told to drain or to
 /// be gone, nor do the changes that follow in it; a new process of that name is another matter, and so is a newer version.
 #[test]
 fn an_older_list_brings_back_nothing_that_has_ended() {
-    type End = fn(&Place) -> Vec<Value>;
+    type End = fn(&TestListener) -> Vec<Value>;
     let ends: [(&str, End); 3] = [
         ("draining", |place| {
-            vec![member("s-0", place.address(), "draining")]
+            vec![endpoint("s-0", place.address(), "draining")]
         }),
         ("removed", |place| {
-            vec![member("s-0", place.address(), "removed")]
+            vec![endpoint("s-0", place.address(), "removed")]
         }),
         ("not listed", |_| Vec::new()),
     ];
     for (name, end) in ends {
-        let mut scene = Scene::new(1);
-        let up = || member("s-0", scene.backends[0].address(), "up");
-        scene
-            .watch
-            .line(&members(12, name == "not listed", &end(&scene.backends[0])).to_string());
-        scene.watch.0.write("0\r\n\r\n");
-        drop(scene.watch);
-        called(&scene.discovery, &watch_from(12)).answer(404, "", "");
-        let mut wire = called(&scene.discovery, "GET /catalog/members HTTP/1.1");
-        wire.answer(200, "", &members(9, true, &[up()]).to_string());
-        let mut watch = Watch::begin(called(&scene.discovery, &watch_from(9)));
+        let mut fixture = TestFixture::new(1);
+        let up = || endpoint("s-0", fixture.backends[0].address(), "up");
+        fixture.watch.send_line(
+            &endpoint_list(12, name == "not listed", &end(&fixture.backends[0])).to_string(),
+        );
+        fixture.watch.connection.write("0\r\n\r\n");
+        drop(fixture.watch);
+        called(&fixture.discovery, &watch_from(12)).respond(404, "", "");
+        let mut wire = called(&fixture.discovery, "GET /catalog/members HTTP/1.1");
+        wire.respond(200, "", &endpoint_list(9, true, &[up()]).to_string());
+        let mut watch = WatchStream::begin_response(called(&fixture.discovery, &watch_from(9)));
         let refused = |id: &str| {
-            let mut client = scene.program.client();
-            client.write(request_of(id, "read", "wide", LONG));
+            let mut client = fixture.program.connect_client();
+            client.write(request_with(id, "read", "wide", LONG));
             assert!(
-                scene.backends[0].accept_or(&client).is_none(),
+                fixture.backends[0]
+                    .accept_unless_answered(&client)
+                    .is_none(),
                 "{name}: {id} was sent on"
             );
             assert_eq!(client.read().status(), 429, "{name}: {id}");
         };
         refused("older-whole");
-        watch.line(&members(10, false, &[up()]).to_string());
-        watch.0.write("0\r\n\r\n");
+        watch.send_line(&endpoint_list(10, false, &[up()]).to_string());
+        watch.connection.write("0\r\n\r\n");
         drop(watch);
-        let mut watch = Watch::begin(called(&scene.discovery, &watch_from(10)));
+        let mut watch = WatchStream::begin_response(called(&fixture.discovery, &watch_from(10)));
         refused("older-change");
         let mut anew = up();
         anew["born_ms"] = json!(5.0);
-        watch.line(&members(11, false, &[anew]).to_string());
-        served_by(&scene.program, &scene.backends[0], "another-process");
+        watch.send_line(&endpoint_list(11, false, &[anew]).to_string());
+        served_by(&fixture.program, &fixture.backends[0], "another-process");
     }
 }
 
@@ -184,11 +194,13 @@
 /// whole list is asked for.
 #[test]
 fn changes_to_an_earlier_version_ask_for_the_whole_list() {
-    let mut scene = Scene::new(1);
-    scene.watch.line(&members(6, false, &[]).to_string());
-    let mut wire = called(&scene.discovery, "GET /catalog/members HTTP/1.1");
-    wire.answer(200, "", &members(6, true, &[]).to_string());
-    called(&scene.discovery, &watch_from(6));
+    let mut fixture = TestFixture::new(1);
+    fixture
+        .watch
+        .send_line(&endpoint_list(6, false, &[]).to_string());
+    let mut wire = called(&fixture.discovery, "GET /catalog/members HTTP/1.1");
+    wire.respond(200, "", &endpoint_list(6, true, &[]).to_string());
+    called(&fixture.discovery, &watch_from(6));
 }
 
 /// Guards the move of discovery: what the old address answers late is not read any more, whole list or change, whether it
@@ -196,16 +208,21 @@
 #[test]
 fn the_old_address_tells_nothing_after_a_new_configuration() {
     for late in [false, true] {
-        let (old, fresh, right) = (Place::new(), Place::new(), Place::new());
-        let wrong = Place::new();
-        let program = Program::start(settings(), old.address(), Value::Null);
+        let (old, fresh, right) = (
+            TestListener::new(),
+            TestListener::new(),
+            TestListener::new(),
+        );
+        let wrong = TestListener::new();
+        let program = FrontDoorProcess::start(default_settings(), old.address(), Value::Null);
         let mut asked = called(&old, "GET /catalog/members HTTP/1.1");
         let mut config = program.config.clone();
         config["discovery"] = fresh.address().to_string().into();
         program.reload(&config.to_string());
         let mut moved = called(&fresh, "GET /catalog/members HTTP/1.1");
-        let tell = |asked: &mut Wire| {
-            let list = members(50, true, &[member("s-0", wrong.address(), "up")]).to_string();
+        let tell = |asked: &mut ScriptedConnection| {
+            let list =
+                endpoint_list(50, true, &[endpoint("s-0", wrong.address(), "up")]).to_string();
             let head = format!(
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
                 list.len()
@@ -216,18 +233,18 @@
         if !late {
             tell(&mut asked);
         }
-        moved.answer(
+        moved.respond(
             200,
             "",
-            &members(8, true, &[member("s-1", right.address(), "up")]).to_string(),
+            &endpoint_list(8, true, &[endpoint("s-1", right.address(), "up")]).to_string(),
         );
         called(&fresh, &watch_from(8));
         if late {
             tell(&mut asked);
         }
-        asked.expect_end();
+        asked.expect_close();
         served_by(&program, &right, "moved");
-        assert!(!wrong.called());
+        assert!(!wrong.has_pending_connection());
     }
 }
 
@@ -235,32 +252,37 @@
 /// none, and the next request goes to where it is now.
 #[test]
 fn a_backend_listed_again_elsewhere_is_not_sent_to_where_it_was() {
-    let discovery = Place::new();
-    let (before, fillers) = crowded_place();
-    let after = Place::new();
-    let up = |place: &Place| member("s-0", place.address(), "up");
-    let program = Program::start(
-        settings(),
+    let discovery = TestListener::new();
+    let FullBacklog {
+        listener: before,
+        fillers,
+    } = listener_with_full_backlog();
+    let after = TestListener::new();
+    let up = |place: &TestListener| endpoint("s-0", place.address(), "up");
+    let program = FrontDoorProcess::start(
+        default_settings(),
         discovery.address(),
-        members(7, true, &[up(&before)]),
+        endpoint_list(7, true, &[up(&before)]),
     );
-    let mut watch = Watch::begin(called(&discovery, &watch_from(7)));
-    let mut client = program.client();
-    client.write(request_of("id-1", "charge", "wide", LONG));
+    let mut watch = WatchStream::begin_response(called(&discovery, &watch_from(7)));
+    let mut client = program.connect_client();
+    client.write(request_with("id-1", "charge", "wide", LONG));
     wait_for("a dial that hangs", || {
-        dialling(before.address()).then_some(())
+        is_connecting(before.address()).then_some(())
     });
-    watch.line(&members(8, false, &[member("s-0", before.address(), "removed")]).to_string());
-    watch.line(&members(9, false, &[up(&after)]).to_string());
+    watch.send_line(
+        &endpoint_list(8, false, &[endpoint("s-0", before.address(), "removed")]).to_string(),
+    );
+    watch.send_line(&endpoint_list(9, false, &[up(&after)]).to_string());
     // What waited is sent where it is now, or refused: never to where it was.
-    let sent = after.accept_or(&client);
+    let sent = after.accept_unless_answered(&client);
     for _ in &fillers {
         before.accept();
     }
     match sent {
         Some(mut backend) => {
             assert_eq!(backend.read().header("request-id"), Some("id-1"));
-            backend.answer(200, "", "now");
+            backend.respond(200, "", "now");
             assert_eq!(client.read().body, b"now");
         }
         None => {
@@ -270,7 +292,7 @@
     }
     // The dial to the old place may come up; nothing is said on it.
     if let Some(mut stale) = before.try_accept() {
-        stale.expect_end();
+        stale.expect_close();
     }
 }
 
@@ -286,15 +308,15 @@
 
 /// Settings of a fleet whose calls would keep a service busy if they came often.
 fn large_fleet() -> Value {
-    let mut large = settings();
+    let mut large = default_settings();
     large["fleet_size"] = 300.into();
     large
 }
 
 /// Answers a call whose request has been read with a new list that holds `fresh` alone, and waits until a request gets there.
-fn told_and_served(program: &Program, call: Wire, fresh: &Place) {
-    let mut watch = Watch::begin(call);
-    watch.line(&members(8, true, &[member("s-1", fresh.address(), "up")]).to_string());
+fn told_and_served(program: &FrontDoorProcess, call: ScriptedConnection, fresh: &TestListener) {
+    let mut watch = WatchStream::begin_response(call);
+    watch.send_line(&endpoint_list(8, true, &[endpoint("s-1", fresh.address(), "up")]).to_string());
     served_by(program, fresh, "in-force");
 }
 
@@ -303,16 +325,20 @@
 #[test]
 fn after_a_refused_call_the_list_is_in_force_in_time() {
     for status in [503, 429] {
-        let discovery = Place::new();
-        let fresh = Place::new();
-        let program = Program::start(large_fleet(), discovery.address(), members(7, true, &[]));
+        let discovery = TestListener::new();
+        let fresh = TestListener::new();
+        let program = FrontDoorProcess::start(
+            large_fleet(),
+            discovery.address(),
+            endpoint_list(7, true, &[]),
+        );
         for wait in [Duration::ZERO, LONG_WAIT] {
             // Each of these calls may be the last one before discovery can be reached again.
             let mut refused = called(&discovery, &watch_from(7));
             let had = Instant::now();
             // The service takes this long to refuse it.
             std::thread::sleep(wait);
-            refused.answer(status, "", "");
+            refused.respond(status, "", "");
             // A response that overtakes its request would end the connection: `called` has read the request.
             let call = called(&discovery, &watch_from(7));
             assert!(
@@ -338,13 +364,13 @@
 /// the time.
 #[test]
 fn after_a_silent_watch_and_a_refused_call_the_list_is_in_force_in_time() {
-    let fresh = Place::new();
-    let mut scene = Scene::with(large_fleet(), 0);
-    scene.watch.line("");
+    let fresh = TestListener::new();
+    let mut fixture = TestFixture::with_settings(large_fleet(), 0);
+    fixture.watch.send_line("");
     let silent = Instant::now();
-    called(&scene.discovery, &watch_from(7)).answer(503, "", "");
-    let call = called(&scene.discovery, &watch_from(7));
-    told_and_served(&scene.program, call, &fresh);
+    called(&fixture.discovery, &watch_from(7)).respond(503, "", "");
+    let call = called(&fixture.discovery, &watch_from(7));
+    told_and_served(&fixture.program, call, &fresh);
     assert!(
         silent.elapsed() < IN_FORCE,
         "in force after {:?}",
@@ -356,9 +382,13 @@
 /// also one whose answer is slow, is in time.
 #[test]
 fn after_a_hung_call_the_list_is_in_force_in_time() {
-    let discovery = Place::new();
-    let fresh = Place::new();
-    let program = Program::start(large_fleet(), discovery.address(), members(7, true, &[]));
+    let discovery = TestListener::new();
+    let fresh = TestListener::new();
+    let program = FrontDoorProcess::start(
+        large_fleet(),
+        discovery.address(),
+        endpoint_list(7, true, &[]),
+    );
     let _first = called(&discovery, &watch_from(7));
     let _second = called(&discovery, &watch_from(7));
     let had = Instant::now();
@@ -376,15 +406,22 @@
 /// Guards the list against dials that hang: each is given up early enough for the slowest answer to a further one.
 #[test]
 fn after_a_hung_dial_the_list_is_in_force_in_time() {
-    let (discovery, fillers) = crowded_place();
-    let fresh = Place::new();
-    let program = Program::start(large_fleet(), discovery.address(), members(7, true, &[]));
+    let FullBacklog {
+        listener: discovery,
+        fillers,
+    } = listener_with_full_backlog();
+    let fresh = TestListener::new();
+    let program = FrontDoorProcess::start(
+        large_fleet(),
+        discovery.address(),
+        endpoint_list(7, true, &[]),
+    );
     wait_for("a dial that hangs", || {
-        dialling(discovery.address()).then_some(())
+        is_connecting(discovery.address()).then_some(())
     });
     let had = Instant::now();
     wait_for("a dial that is given up", || {
-        (!dialling(discovery.address())).then_some(())
+        (!is_connecting(discovery.address())).then_some(())
     });
     assert!(
         had.elapsed() + SLOWEST_ANSWER < IN_FORCE,
@@ -405,15 +442,15 @@
 /// Guards the list at a new address of discovery that refuses the first call.
 #[test]
 fn after_a_move_and_a_refused_call_the_list_is_in_force_in_time() {
-    let moved = Place::new();
-    let fresh = Place::new();
-    let scene = Scene::with(large_fleet(), 0);
-    let mut config = scene.program.config.clone();
+    let moved = TestListener::new();
+    let fresh = TestListener::new();
+    let fixture = TestFixture::with_settings(large_fleet(), 0);
+    let mut config = fixture.program.config.clone();
     config["discovery"] = moved.address().to_string().into();
     let told = Instant::now();
-    scene.program.reload(&config.to_string());
-    called(&moved, &watch_from(7)).answer(503, "", "");
-    told_and_served(&scene.program, called(&moved, &watch_from(7)), &fresh);
+    fixture.program.reload(&config.to_string());
+    called(&moved, &watch_from(7)).respond(503, "", "");
+    told_and_served(&fixture.program, called(&moved, &watch_from(7)), &fresh);
     assert!(
         told.elapsed() < IN_FORCE_ELSEWHERE,
         "in force after {:?}",
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -1,6 +1,6 @@
 //! Many front doors and many backends: nothing ends below 1,024 of either.
 
-use cometspool_fault_injection::hand::*;
+use cometspool_fault_injection::scripted_peers::*;
 use cometspool_fault_injection::standins::Manner;
 use cometspool_fault_injection::{Plan, Rig};
 use serde_json::json;
@@ -38,9 +38,9 @@
         .as_str()
         .and_then(|at| at.parse().ok())
         .expect("an address");
-    let mut client = Wire::to(at);
+    let mut client = ScriptedConnection::connect(at);
     for i in 0..MORE + MORE / 4 {
-        client.write(request_of(&format!("id-{i}"), "read", "wide", "8"));
+        client.write(request_with(&format!("id-{i}"), "read", "wide", "8"));
         assert_eq!(client.read().status(), 200, "request {i}");
     }
     let served: BTreeSet<String> = rig.history.read(|events| {
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,7 +1,7 @@
 //! Where an attempt's end meets what may be sent again, over loopback sockets: a keyed request goes nowhere outside its group,
 //! and nowhere once those in it have forgotten its key.
 
-use cometspool_fault_injection::hand::*;
+use cometspool_fault_injection::scripted_peers::*;
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
@@ -9,28 +9,39 @@
 const LONG: &str = "8";
 
 /// Three backends, the last in a cell of its own, and keyed requests that a cell remembers for `memory` ms.
-fn cells(memory: f64) -> (Program, Vec<Place>, Place) {
-    let mut settings = settings();
+fn cells(memory: f64) -> (FrontDoorProcess, Vec<TestListener>, TestListener) {
+    let mut settings = default_settings();
     settings["grades"][1]["group"] = "cell".into();
     settings["grades"][1]["memory_span"] = memory.into();
-    let (discovery, places) = (Place::new(), vec![Place::new(), Place::new(), Place::new()]);
+    let (discovery, places) = (
+        TestListener::new(),
+        vec![
+            TestListener::new(),
+            TestListener::new(),
+            TestListener::new(),
+        ],
+    );
     let hosts: Vec<Value> = (0..3)
         .map(|i| {
-            let mut host = member(&format!("s-{i}"), places[i].address(), "up");
+            let mut host = endpoint(&format!("s-{i}"), places[i].address(), "up");
             host["block"] = u32::from(i == 2).into();
             host
         })
         .collect();
-    let program = Program::start(settings, discovery.address(), members(7, true, &hosts));
+    let program = FrontDoorProcess::start(
+        settings,
+        discovery.address(),
+        endpoint_list(7, true, &hosts),
+    );
     (program, places, discovery)
 }
 
-type End = (&'static str, fn(Wire));
+type End = (&'static str, fn(ScriptedConnection));
 
 /// Ways in which an attempt that may have run ends.
 fn ends() -> [End; 3] {
     [
-        ("an error", |mut backend| backend.answer(500, "", "")),
+        ("an error", |mut backend| backend.respond(500, "", "")),
         ("an end without an answer", drop),
         ("an end within an answer", |mut backend| {
             backend.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
@@ -45,9 +56,10 @@
     for (name, end) in ends() {
         for memory in [8000.0, 50.0] {
             let (program, places, _discovery) = cells(memory);
-            let mut client = program.client();
-            client.write(request_of("keyed", "extend", "wide", LONG));
-            let (first, mut backend) = accept_any_or(&places, &client).expect("a first attempt");
+            let mut client = program.connect_client();
+            client.write(request_with("keyed", "extend", "wide", LONG));
+            let (first, mut backend) =
+                accept_any_unless_answered(&places, &client).expect("a first attempt");
             assert_eq!(backend.read().header("idempotency-key"), Some("5c0f6e1a"));
             let sent = Instant::now();
             if memory < 100.0 {
@@ -57,7 +69,7 @@
                 });
             }
             end(backend);
-            let next = accept_any_or(&places, &client);
+            let next = accept_any_unless_answered(&places, &client);
             if memory < 100.0 {
                 assert!(
                     next.is_none(),
@@ -75,7 +87,7 @@
             };
             assert_eq!(first == 2, second == 2, "{name}: sent from cell to cell");
             assert_eq!(backend.read().header("request-id"), Some("keyed"), "{name}");
-            backend.answer(200, "", "once");
+            backend.respond(200, "", "once");
             assert_eq!(client.read().body, b"once", "{name}");
         }
     }
@@ -83,13 +95,16 @@
 
 /// A backend that lets a connection come up only once `open` is called.
 struct Shut {
-    place: Place,
+    place: TestListener,
     fillers: usize,
 }
 
 impl Shut {
     fn new() -> Shut {
-        let (place, fillers) = crowded_place();
+        let FullBacklog {
+            listener: place,
+            fillers,
+        } = listener_with_full_backlog();
         // They wait in its line after their other ends have closed.
         Shut {
             place,
@@ -98,11 +113,11 @@
     }
 
     fn dialled(&self) -> bool {
-        dialling(self.place.address())
+        is_connecting(self.place.address())
     }
 
     /// The connection that waits to come up.
-    fn open(&mut self) -> Wire {
+    fn open(&mut self) -> ScriptedConnection {
         for _ in 0..std::mem::take(&mut self.fillers) {
             self.place.accept();
         }
@@ -122,27 +137,31 @@
 }
 
 fn begin_late(memory: f64) -> Late {
-    let mut settings = settings();
+    let mut settings = default_settings();
     settings["grades"][1]["memory_span"] = memory.into();
     settings["policy_limits"]["dial_timeout"] = 20_000.0.into();
-    let discovery = Place::new();
+    let discovery = TestListener::new();
     let mut backends = [Shut::new(), Shut::new()];
     let hosts: Vec<Value> = (0..2)
-        .map(|i| member(&format!("s-{i}"), backends[i].place.address(), "up"))
+        .map(|i| endpoint(&format!("s-{i}"), backends[i].place.address(), "up"))
         .collect();
-    let program = Program::start(settings, discovery.address(), members(7, true, &hosts));
-    let mut client = program.client();
-    client.write(request_of("keyed", "extend", "wide", LONG));
+    let program = FrontDoorProcess::start(
+        settings,
+        discovery.address(),
+        endpoint_list(7, true, &hosts),
+    );
+    let mut client = program.connect_client();
+    client.write(request_with("keyed", "extend", "wide", LONG));
     let first = wait_for("a first attempt", || {
         backends.iter().position(Shut::dialled)
     });
     let begun = Instant::now();
     let mut link = backends[first].open();
     assert_eq!(link.read().header("request-id"), Some("keyed"));
-    link.answer(500, "", "");
+    link.respond(500, "", "");
     let second = &mut backends[1 - first];
     wait_for("a further attempt or an answer", || {
-        (second.dialled() || client.speaks()).then_some(())
+        (second.dialled() || client.is_readable()).then_some(())
     });
     if !second.dialled() {
         return Late::NotTried;
@@ -151,7 +170,7 @@
         (begun.elapsed().as_secs_f64() * 1000.0 > memory).then_some(())
     });
     let late = second.open();
-    if late.speaks_before(&client) {
+    if late.is_readable_before(&client) {
         Late::Sent
     } else {
         Late::Answered(client.read().status())
--- a/tests/reuse.rs
+++ b/tests/reuse.rs
@@ -1,6 +1,6 @@
 //! Links between one request and the next, over loopback sockets: what comes behind an answer, and who gets a link when.
 
-use cometspool_fault_injection::hand::*;
+use cometspool_fault_injection::scripted_peers::*;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
@@ -11,26 +11,29 @@
 
 /// A front door with one backend, and a first request that has come to it over the one link there is.
 struct Begun {
-    program: Program,
-    backend: Place,
+    program: FrontDoorProcess,
+    backend: TestListener,
     /// Connections that fill the backend's waiting line, all of them accepted.
     fillers: Vec<TcpStream>,
-    first: Wire,
-    link: Wire,
-    _discovery: Place,
+    first: ScriptedConnection,
+    link: ScriptedConnection,
+    _discovery: TestListener,
 }
 
 impl Begun {
     fn new() -> Begun {
-        let discovery = Place::new();
-        let (backend, fillers) = crowded_place();
+        let discovery = TestListener::new();
+        let FullBacklog {
+            listener: backend,
+            fillers,
+        } = listener_with_full_backlog();
         for _ in &fillers {
             backend.accept();
         }
-        let list = members(7, true, &[member("s-0", backend.address(), "up")]);
-        let program = Program::start(settings(), discovery.address(), list);
-        let mut first = program.client();
-        first.write(request_of("first", "read", "wide", LONG));
+        let list = endpoint_list(7, true, &[endpoint("s-0", backend.address(), "up")]);
+        let program = FrontDoorProcess::start(default_settings(), discovery.address(), list);
+        let mut first = program.connect_client();
+        first.write(request_with("first", "read", "wide", LONG));
         let mut link = backend.accept();
         assert_eq!(link.read().header("request-id"), Some("first"));
         Begun {
@@ -57,20 +60,20 @@
             mut link,
             _discovery,
         } = Begun::new();
-        let mut second = program.client();
+        let mut second = program.connect_client();
         // No further connection comes up.
         let _fillers = refill(&fillers, &backend);
         if waits {
-            second.write(request_of("second", "read", "wide", LONG));
+            second.write(request_with("second", "read", "wide", LONG));
             wait_for("a dial that hangs", || {
-                dialling(backend.address()).then_some(())
+                is_connecting(backend.address()).then_some(())
             });
         }
         let answered = Instant::now();
-        link.answer(200, "", "one");
+        link.respond(200, "", "one");
         assert_eq!(first.read().body, b"one");
         if !waits {
-            second.write(request_of("second", "read", "wide", LONG));
+            second.write(request_with("second", "read", "wide", LONG));
         }
         assert_eq!(link.read().header("request-id"), Some("second"));
         assert!(
@@ -78,7 +81,7 @@
             "waits {waits}: after {:?}",
             answered.elapsed()
         );
-        link.answer(200, "", "two");
+        link.respond(200, "", "two");
         assert_eq!(second.read().body, b"two");
     }
 }
@@ -96,36 +99,36 @@
             mut link,
             _discovery,
         } = Begun::new();
-        let mut second = program.client();
+        let mut second = program.connect_client();
         let held = waits.then(|| refill(&fillers, &backend));
         if waits {
-            second.write(request_of("second", "read", "wide", LONG));
+            second.write(request_with("second", "read", "wide", LONG));
             wait_for("a dial that hangs", || {
-                dialling(backend.address()).then_some(())
+                is_connecting(backend.address()).then_some(())
             });
         }
         // In two writes, found in one turn of the loop.
         program.pause();
-        link.answer(200, "", "one");
-        link.answer(200, "", "stray");
+        link.respond(200, "", "one");
+        link.respond(200, "", "stray");
         program.resume();
         assert_eq!(first.read().body, b"one");
-        link.expect_end();
+        link.expect_close();
         if !waits {
-            second.write(request_of("second", "read", "wide", LONG));
+            second.write(request_with("second", "read", "wide", LONG));
         }
         for _ in held.iter().flatten() {
             backend.accept();
         }
         let mut own = backend.accept();
         assert_eq!(own.read().header("request-id"), Some("second"));
-        own.answer(200, "", "own");
+        own.respond(200, "", "own");
         assert_eq!(second.read().body, b"own", "waits {waits}");
     }
 }
 
 /// As many new connections as there were, which fill a waiting line again.
-fn refill(fillers: &[TcpStream], backend: &Place) -> Vec<TcpStream> {
+fn refill(fillers: &[TcpStream], backend: &TestListener) -> Vec<TcpStream> {
     fillers
         .iter()
         .map(|_| TcpStream::connect(backend.address()).expect("room for two"))
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -1,6 +1,6 @@
 //! Many front doors that start at once.
 
-use cometspool_fault_injection::hand::{wait_for, Wire};
+use cometspool_fault_injection::scripted_peers::{wait_for, ScriptedConnection};
 use cometspool_fault_injection::{Plan, Rig};
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
@@ -13,7 +13,7 @@
 /// Waits until a front door says that it is ready; it may not listen yet.
 fn await_ready(name: &str, at: SocketAddr) {
     wait_for(&format!("{name} ready"), || {
-        let mut client = Wire::new(TcpStream::connect(at).ok()?);
+        let mut client = ScriptedConnection::new(TcpStream::connect(at).ok()?);
         client.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
         (client.read().status() == 200).then_some(())
     });
--- a/tests/whole_answers.rs
+++ b/tests/whole_answers.rs
@@ -1,7 +1,7 @@
 //! When an answer of a backend is whole, over loopback sockets: one that tells its length or comes in chunks with its last
 //! byte, any other where its connection ends in order. What is cut or too long reaches no client as an answer.
 
-use cometspool_fault_injection::hand::*;
+use cometspool_fault_injection::scripted_peers::*;
 use std::io::Read;
 use std::time::{Duration, Instant};
 
@@ -10,23 +10,23 @@
 /// The head of an answer that ends with its connection.
 const HEAD: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\nApi-Usage: 12\r\n\r\n";
 
-fn reset(wire: Wire) {
+fn reset(wire: ScriptedConnection) {
     wire.reset_on_close();
 }
 
 /// A client's request that has reached the only backend whole.
-fn begun(scene: &Scene, id: &str, class: &str) -> (Wire, Wire) {
-    let mut client = scene.program.client();
-    client.write(request_of(id, class, "wide", LONG));
-    let mut backend = scene.backends[0].accept();
+fn begun(fixture: &TestFixture, id: &str, class: &str) -> (ScriptedConnection, ScriptedConnection) {
+    let mut client = fixture.program.connect_client();
+    client.write(request_with(id, class, "wide", LONG));
+    let mut backend = fixture.backends[0].accept();
     assert_eq!(backend.read().header("request-id"), Some(id));
     (client, backend)
 }
 
 /// Returns once the front door has served another request: what had come before it has been read by then.
-fn serve_another(scene: &Scene, id: &str) {
-    let (mut client, mut backend) = begun(scene, id, "read");
-    backend.answer(200, "Connection: close\r\n", "another");
+fn serve_another(fixture: &TestFixture, id: &str) {
+    let (mut client, mut backend) = begun(fixture, id, "read");
+    backend.respond(200, "Connection: close\r\n", "another");
     assert_eq!(client.read().body, b"another");
 }
 
@@ -41,14 +41,14 @@
         vec!["in ", "two"],
         vec![long.as_str(), "and more"],
     ] {
-        let scene = Scene::new(1);
-        let (mut client, mut backend) = begun(&scene, "id-1", "charge");
+        let fixture = TestFixture::new(1);
+        let (mut client, mut backend) = begun(&fixture, "id-1", "charge");
         backend.write(HEAD);
         for (number, piece) in pieces.iter().enumerate() {
             backend.write(piece);
-            serve_another(&scene, &format!("between-{number}"));
+            serve_another(&fixture, &format!("between-{number}"));
             assert!(
-                !client.speaks() && !backend.speaks(),
+                !client.is_readable() && !backend.is_readable(),
                 "ended before the backend did"
             );
         }
@@ -62,7 +62,7 @@
         );
         assert!(answer.header("content-length").is_some());
         // Its connection carries nothing more.
-        serve_another(&scene, "next");
+        serve_another(&fixture, "next");
     }
 }
 
@@ -70,24 +70,24 @@
 #[test]
 fn a_reset_cuts_an_answer_without_a_length() {
     for said in ["", "half"] {
-        let scene = Scene::new(1);
-        let (mut client, mut backend) = begun(&scene, "id-1", "charge");
+        let fixture = TestFixture::new(1);
+        let (mut client, mut backend) = begun(&fixture, "id-1", "charge");
         backend.write(format!("{HEAD}{said}"));
-        serve_another(&scene, "between");
+        serve_another(&fixture, "between");
         reset(backend);
         assert_eq!(client.read().status(), 502, "{said:?}");
         assert!(
-            scene.nobody_called(),
+            fixture.no_backend_contacted(),
             "{said:?}: an unsafe request that may have run was sent again"
         );
         // What may be repeated is served elsewhere.
-        let (mut client, mut backend) = begun(&scene, "id-2", "read");
+        let (mut client, mut backend) = begun(&fixture, "id-2", "read");
         backend.write(format!("{HEAD}{said}"));
-        serve_another(&scene, "between-2");
+        serve_another(&fixture, "between-2");
         reset(backend);
-        let mut backend = scene.backends[0].accept();
+        let mut backend = fixture.backends[0].accept();
         assert_eq!(backend.read().header("request-id"), Some("id-2"));
-        backend.answer(200, "", "again");
+        backend.respond(200, "", "again");
         assert_eq!(client.read().body, b"again", "{said:?}");
     }
 }
@@ -95,14 +95,14 @@
 /// Guards a request's time: an answer without a length that does not end is given up with the request.
 #[test]
 fn an_answer_without_an_end_is_given_up_in_time() {
-    let scene = Scene::new(1);
-    let mut client = scene.program.client();
-    client.write(request_of("id-1", "charge", "wide", "1.5"));
-    let mut backend = scene.backends[0].accept();
+    let fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-1", "charge", "wide", "1.5"));
+    let mut backend = fixture.backends[0].accept();
     backend.read();
     backend.write(format!("{HEAD}half"));
     assert_eq!(client.read().status(), 502);
-    backend.expect_end();
+    backend.expect_close();
 }
 
 /// Guards memory: an answer without a length, or in chunks, is given up once it is longer than any answer may be.
@@ -116,12 +116,12 @@
             format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\n{megabyte}x"),
         ),
     ] {
-        let scene = Scene::new(1);
-        let (mut client, mut backend) = begun(&scene, "id-1", "charge");
+        let fixture = TestFixture::new(1);
+        let (mut client, mut backend) = begun(&fixture, "id-1", "charge");
         // The front door may close before all is written.
         let _ = std::io::Write::write_all(backend.reader.get_mut(), begin.as_bytes());
         assert_eq!(client.read().status(), 502, "{name}");
-        backend.expect_end();
+        backend.expect_close();
     }
 }
 
@@ -138,26 +138,34 @@
         ),
     ];
     let (discovery, backends) = (
-        Place::new(),
-        (0..10).map(|_| Place::new()).collect::<Vec<Place>>(),
+        TestListener::new(),
+        (0..10)
+            .map(|_| TestListener::new())
+            .collect::<Vec<TestListener>>(),
     );
     let hosts: Vec<_> = backends
         .iter()
         .enumerate()
-        .map(|(i, place)| member(&format!("s-{i}"), place.address(), "up"))
+        .map(|(i, place)| endpoint(&format!("s-{i}"), place.address(), "up"))
         .collect();
     // 32 MB leave 8 MB for long answers.
-    let program = Program::start_with_memory(
+    let program = FrontDoorProcess::start_with_memory_limit(
         32,
-        settings(),
+        default_settings(),
         discovery.address(),
-        members(7, true, &hosts),
+        endpoint_list(7, true, &hosts),
     );
     let mut open = Vec::new();
     for number in 0..16 {
-        let mut client = program.client();
-        client.write(request_of(&format!("id-{number}"), "charge", "wide", LONG));
-        let (_, mut wire) = accept_any_or(&backends, &client).expect("a request that is sent on");
+        let mut client = program.connect_client();
+        client.write(request_with(
+            &format!("id-{number}"),
+            "charge",
+            "wide",
+            LONG,
+        ));
+        let (_, mut wire) =
+            accept_any_unless_answered(&backends, &client).expect("a request that is sent on");
         wire.read();
         wire.write(format!("{}{body}", heads[number % 2]));
         open.push((client, wire));
@@ -181,20 +189,20 @@
 /// is just over. Whether all of them then come whole; nothing if the machine was too slow to tell.
 fn read_just_after_the_deadline() -> Option<bool> {
     let timeout = Duration::from_millis(1500);
-    let scene = Scene::new(1);
-    let mut client = scene.program.client();
+    let fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
     let mut ask =
-        |id: usize| client.write(request_of(&format!("id-{id}"), "charge", "wide", "1.5"));
+        |id: usize| client.write(request_with(&format!("id-{id}"), "charge", "wide", "1.5"));
     ask(0);
-    let mut backend = scene.backends[0].accept();
+    let mut backend = fixture.backends[0].accept();
     let body = "0123456789abcdef".repeat(60_000);
     let mut answered = 0;
     let mut last = Instant::now();
     // The system takes some MB for a reader that does not read; what is beyond waits in the front door.
-    while backend.hears(Duration::from_millis(300)) {
+    while backend.receives_within(Duration::from_millis(300)) {
         last = Instant::now();
         backend.read();
-        backend.answer(200, "", &body);
+        backend.respond(200, "", &body);
         answered += 1;
         ask(answered);
     }
