--- a/crates/fault-injection/src/check.rs
+++ b/crates/fault-injection/src/check.rs
@@ -1,183 +1,224 @@
-//! Checkers: what must hold of a history, whoever wrote it. None looks at a limit of time: a slow machine changes no verdict.
+//! Checkers: rules that must hold of every history, whoever recorded it. None depends on a time limit, so that a slow
+//! machine changes no verdict.
 
-use crate::history::Event;
+use crate::history::{Event, CLIENTS, CLUSTER};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// Something in a history that must not be.
+/// A rule that a history breaks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// The rule.
     pub rule: &'static str,
     /// What broke it.
-    pub what: String,
-    /// When it was seen.
+    pub description: String,
+    /// When it was observed, µs of the history's clock.
     pub at_us: u64,
 }
 
 impl fmt::Display for Violation {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "{} at {} us: {}", self.rule, self.at_us, self.what)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            formatter,
+            "{} at {} us: {}",
+            self.rule, self.at_us, self.description
+        )
     }
 }
 
-/// A checker.
+/// A function that finds the violations of one rule.
 pub type Checker = fn(&[Event]) -> Vec<Violation>;
 
-/// All checkers by name.
-pub const ALL: [(&str, Checker); 3] = [
-    ("final answers", final_answers),
-    ("unsafe once", unsafe_once),
-    ("no crash", no_crash),
+/// All checkers, by the names of their rules.
+pub const CHECKERS: [(&str, Checker); 3] = [
+    (FINAL_RESPONSES, final_responses),
+    (NON_IDEMPOTENT_ONCE, non_idempotent_once),
+    (NO_CRASH, no_crash),
 ];
 
-/// All that any checker finds.
-pub fn all(events: &[Event]) -> Vec<Violation> {
-    ALL.iter().flat_map(|(_, check)| check(events)).collect()
+// The names under which violations are reported.
+const FINAL_RESPONSES: &str = "final answers";
+const NON_IDEMPOTENT_ONCE: &str = "unsafe once";
+const NO_CRASH: &str = "no crash";
+
+/// The violations of all rules.
+pub fn check_all(events: &[Event]) -> Vec<Violation> {
+    CHECKERS
+        .iter()
+        .flat_map(|(_, check)| check(events))
+        .collect()
 }
 
-/// When processes were not to be relied on to answer: killed, stopped or told to end, until they were started or went on.
-struct Troubled<'a>(HashMap<&'a str, Vec<(u64, u64)>>);
-
-impl<'a> Troubled<'a> {
-    fn of(events: &'a [Event]) -> Troubled<'a> {
-        let mut spells: HashMap<&str, Vec<(u64, u64)>> = HashMap::new();
-        for event in events.iter().filter(|event| event.who == "rig") {
-            let spells = spells.entry(event.text("process")).or_default();
-            match (event.what.as_str(), event.text("signal")) {
-                ("signal", "SIGKILL" | "SIGSTOP" | "SIGTERM") => {
-                    spells.push((event.at_us, u64::MAX));
-                }
+/// A period in which a process may lose requests, µs.
+struct Period {
+    start_us: u64,
+    /// [`u64::MAX`] while the period has not ended.
+    end_us: u64,
+}
+
+/// When processes may lose requests: from a signal that kills, stops or terminates them until they are started or resumed.
+struct Unavailable<'a> {
+    periods: HashMap<&'a str, Vec<Period>>,
+}
+
+impl<'a> Unavailable<'a> {
+    fn from_events(events: &'a [Event]) -> Unavailable<'a> {
+        let mut unavailable = Unavailable {
+            periods: HashMap::new(),
+        };
+        for event in events.iter().filter(|event| event.source == CLUSTER) {
+            let periods = unavailable
+                .periods
+                .entry(event.text("process"))
+                .or_default();
+            match (event.kind.as_str(), event.text("signal")) {
+                ("signal", "SIGKILL" | "SIGSTOP" | "SIGTERM") => periods.push(Period {
+                    start_us: event.at_us,
+                    end_us: u64::MAX,
+                }),
                 ("start", _) | ("signal", "SIGCONT") => {
-                    spells
+                    for period in periods
                         .iter_mut()
-                        .filter(|spell| spell.1 == u64::MAX)
-                        .for_each(|spell| spell.1 = event.at_us);
+                        .filter(|period| period.end_us == u64::MAX)
+                    {
+                        period.end_us = event.at_us;
+                    }
                 }
                 _ => {}
             }
         }
-        Troubled(spells)
+        unavailable
     }
 
-    fn within(&self, process: &str, from: u64, to: u64) -> bool {
-        self.0
-            .get(process)
-            .is_some_and(|spells| spells.iter().any(|spell| spell.0 <= to && spell.1 >= from))
+    /// Whether a process was unavailable at any time between these two, µs.
+    fn overlaps(&self, process: &str, start_us: u64, end_us: u64) -> bool {
+        self.periods.get(process).is_some_and(|periods| {
+            periods
+                .iter()
+                .any(|period| period.start_us <= end_us && period.end_us >= start_us)
+        })
     }
 }
 
-/// Every request that a front door took is answered, once, and what is served is its own answer. One that was killed or
-/// stopped meanwhile may have lost it; the rule asks nothing of a client that asks past the end of the history.
-pub fn final_answers(events: &[Event]) -> Vec<Violation> {
-    let troubled = Troubled::of(events);
-    let mut asked: HashMap<&str, &Event> = HashMap::new();
-    let mut found = Vec::new();
-    let mut broken = |what: String, event: &Event| {
-        found.push(Violation {
-            rule: "final answers",
-            what,
-            at_us: event.at_us,
-        });
-    };
-    for event in events.iter().filter(|event| event.who == "clients") {
+/// Every request that a front door accepted has exactly one response, and a successful response is that of the request
+/// itself. A process that was unavailable meanwhile may have lost the request. A request without a response at the end of
+/// the history breaks no rule.
+pub fn final_responses(events: &[Event]) -> Vec<Violation> {
+    let unavailable = Unavailable::from_events(events);
+    let mut sent: HashMap<&str, &Event> = HashMap::new();
+    let mut violations = Vec::new();
+    for event in events.iter().filter(|event| event.source == CLIENTS) {
         let id = event.text("id");
-        match event.what.as_str() {
+        match event.kind.as_str() {
             "asked" => {
-                asked.insert(id, event);
+                sent.insert(id, event);
             }
             "answered" | "unanswered" => {
-                let Some(ask) = asked.remove(id) else {
-                    broken(
-                        format!("{id} was answered without having been asked, or twice"),
-                        event,
-                    );
-                    continue;
+                let descriptions = match sent.remove(id) {
+                    Some(request) => response_violations(request, event, &unavailable),
+                    None => vec![format!(
+                        "{id} was answered without having been asked, or twice"
+                    )],
                 };
-                let served = event.number("status") == Some(200);
-                if served && event.more.get("own") != Some(&true.into()) {
-                    broken(
-                        format!("{id} was served with somebody else's answer"),
-                        event,
-                    );
-                }
-                let lost = event.what == "unanswered" && event.text("why") != "not-taken";
-                if lost && !troubled.within(event.text("process"), ask.at_us, event.at_us) {
-                    broken(
-                        format!(
-                            "{id} was lost by {}: {}",
-                            event.text("process"),
-                            event.text("why")
-                        ),
-                        event,
-                    );
-                }
+                let found = descriptions.into_iter().map(|description| Violation {
+                    rule: FINAL_RESPONSES,
+                    description,
+                    at_us: event.at_us,
+                });
+                violations.extend(found);
             }
             _ => {}
         }
     }
-    found
+    violations
+}
+
+/// What is wrong with how a request ended.
+fn response_violations(
+    request: &Event,
+    response: &Event,
+    unavailable: &Unavailable<'_>,
+) -> Vec<String> {
+    let id = response.text("id");
+    let process = response.text("process");
+    let reason = response.text("why");
+    let mut descriptions = Vec::new();
+    let succeeded = response.number("status") == Some(200);
+    if succeeded && response.fields.get("own") != Some(&true.into()) {
+        descriptions.push(format!("{id} was served with somebody else's answer"));
+    }
+    let lost = response.kind == "unanswered" && reason != "not-taken";
+    if lost && !unavailable.overlaps(process, request.at_us, response.at_us) {
+        descriptions.push(format!("{id} was lost by {process}: {reason}"));
+    }
+    descriptions
+}
+
+/// What is known of a non-idempotent request.
+#[derive(Default)]
+struct Executions {
+    count: u32,
+    /// Whether a response said that the request did not run and is safe to send again.
+    rejected: bool,
 }
 
-/// A request that must not run twice does not, and what is refused as harmless to repeat did not run.
-pub fn unsafe_once(events: &[Event]) -> Vec<Violation> {
-    let effect = |event: &Event| event.what == "asked" && event.text("effect") == "unsafe";
-    let mut runs: BTreeMap<&str, (u32, Option<u64>)> = events
+/// A non-idempotent request runs at most once, and not at all if it was rejected as safe to send again.
+pub fn non_idempotent_once(events: &[Event]) -> Vec<Violation> {
+    let mut requests: BTreeMap<&str, Executions> = events
         .iter()
-        .filter(|event| effect(event))
-        .map(|event| (event.text("id"), (0, None)))
+        .filter(|event| event.kind == "asked" && event.text("effect") == "unsafe")
+        .map(|event| (event.text("id"), Executions::default()))
         .collect();
-    let mut found = Vec::new();
+    let mut violations = Vec::new();
     for event in events {
-        let Some((ran, refused)) = runs.get_mut(event.text("id")) else {
+        let Some(request) = requests.get_mut(event.text("id")) else {
             continue;
         };
-        match event.what.as_str() {
-            "ran" => *ran += 1,
+        match event.kind.as_str() {
+            "ran" => request.count += 1,
             "answered" if matches!(event.number("status"), Some(429 | 503)) => {
-                *refused = Some(event.at_us);
+                request.rejected = true;
             }
             _ => continue,
         }
-        let what = match (*ran, *refused) {
+        let description = match (request.count, request.rejected) {
             (2.., _) => "ran twice",
-            (1, Some(_)) => "was refused as harmless to repeat, and ran",
+            (1, true) => "was refused as harmless to repeat, and ran",
             _ => continue,
         };
-        found.push(Violation {
-            rule: "unsafe once",
-            what: format!("{} {what}", event.text("id")),
+        violations.push(Violation {
+            rule: NON_IDEMPOTENT_ONCE,
+            description: format!("{} {description}", event.text("id")),
             at_us: event.at_us,
         });
     }
-    found
+    violations
 }
 
-/// No process ends but by a signal that the rig sent, or in good order after SIGTERM.
+/// No process ends except by a signal that the cluster sent, and after SIGTERM only with exit status 0.
 pub fn no_crash(events: &[Event]) -> Vec<Violation> {
-    let mut told: HashMap<&str, &str> = HashMap::new();
-    let mut found = Vec::new();
-    for event in events.iter().filter(|event| event.who == "rig") {
+    let mut last_signals: HashMap<&str, &str> = HashMap::new();
+    let mut violations = Vec::new();
+    for event in events.iter().filter(|event| event.source == CLUSTER) {
         let process = event.text("process");
-        match event.what.as_str() {
+        match event.kind.as_str() {
             "start" => {
-                told.remove(process);
+                last_signals.remove(process);
             }
             "signal" if matches!(event.text("signal"), "SIGKILL" | "SIGTERM") => {
-                told.insert(process, event.text("signal"));
+                last_signals.insert(process, event.text("signal"));
             }
             "ended" => {
                 let status = event.text("status");
-                let fine = match told.get(process) {
+                let expected = match last_signals.get(process) {
                     Some(&"SIGKILL") => true,
                     Some(_) => status == "exit status: 0",
                     None => false,
                 };
-                if !fine {
-                    let what = format!("{process} ended by itself: {status}");
-                    found.push(Violation {
-                        rule: "no crash",
-                        what,
+                if !expected {
+                    violations.push(Violation {
+                        rule: NO_CRASH,
+                        description: format!("{process} ended by itself: {status}"),
                         at_us: event.at_us,
                     });
                 }
@@ -185,5 +226,5 @@
             _ => {}
         }
     }
-    found
+    violations
 }
--- a/crates/fault-injection/src/cost.rs
+++ b/crates/fault-injection/src/cost.rs
@@ -1,10 +1,12 @@
-//! What the rig itself costs, so that figures taken with it can be read.
+//! What the fault injection itself costs, so that figures taken with it can be read, and what a request costs a front door.
 
-use crate::ground::Ground;
-use crate::link::{Direction, Link};
-use crate::rig::{Plan, Rig};
+use crate::address_block::AddressBlock;
+use crate::cluster::{process_name, Cluster, ClusterConfig};
+use crate::history::Event;
+use crate::link::Direction;
+use crate::proxy::Proxy;
 use crate::scripted_peers::{request_with, ScriptedConnection};
-use crate::standins::Manner;
+use crate::stub_services::BackendBehavior;
 use nix::sys::resource::{getrusage, UsageWho};
 use nix::sys::signal::{kill, Signal};
 use nix::sys::time::TimeValLike;
@@ -17,29 +19,24 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Round trips measured each way.
-const ROUNDS: usize = 2000;
+const ROUND_TRIPS: usize = 2000;
+/// Bytes of a message of a round trip.
+const MESSAGE_BYTES: usize = 64;
+/// The time in which datagrams of the membership protocol are counted.
+const MEMBERSHIP_PERIOD: Duration = Duration::from_secs(30);
+/// The time that a fleet has to settle before instructions are counted.
+const SETTLING_TIME: Duration = Duration::from_secs(5);
+/// The time that `perf` has to attach itself.
+const PERF_START_TIME: Duration = Duration::from_millis(500);
 
-/// A table of starts and of a link's cost.
-pub fn table(processes: usize) -> io::Result<String> {
-    let begun = Instant::now();
-    let mut rig = Rig::new(&Plan {
-        processes,
-        ..Plan::default()
-    })?;
-    let laid = begun.elapsed();
-    (0..processes).try_for_each(|i| rig.start_one(i))?;
-    rig.await_serving();
-    let serving = begun.elapsed();
-    rig.agree(
-        &(0..processes).collect::<Vec<_>>(),
-        "a fleet that knows itself",
-    );
-    let agreed = begun.elapsed();
-    let steady = members(&mut rig, processes);
-    let ended_from = begun.elapsed();
-    drop(rig);
-    let ended = begun.elapsed() - ended_from;
-    let (direct, through) = latency()?;
+/// Measures the start of a cluster, its membership protocol, and the latency of a link. The result is a Markdown table.
+///
+/// # Errors
+///
+/// Returns the error of a file, socket or process that cannot be opened or started.
+pub fn cost_table(processes: usize) -> io::Result<String> {
+    let startup = measure_startup(processes)?;
+    let links = measure_links()?;
     let ms = |time: Duration| time.as_secs_f64() * 1000.0;
     Ok(format!(
         "| what | figure |\n| --- | --- |\n\
@@ -51,222 +48,299 @@
          | round trip of 64 bytes, direct: median, 99th | {:.0} us, {:.0} us |\n\
          | the same through a link | {:.0} us, {:.0} us |\n\
          | processor time of a round trip, direct, and of a link besides | {:.1} us, {:.1} us |",
-        ms(laid),
-        ms(serving),
-        ms(agreed),
-        ms(ended),
-        steady.datagrams,
-        steady.bytes,
-        steady.first.as_secs_f64(),
-        steady.all.as_secs_f64(),
-        steady.wrong,
-        direct.median,
-        direct.late,
-        through.median,
-        through.late,
-        direct.spent,
-        through.spent - direct.spent
+        ms(startup.prepared),
+        ms(startup.serving),
+        ms(startup.agreed),
+        ms(startup.shutdown),
+        startup.membership.datagrams_per_s,
+        startup.membership.bytes_per_s,
+        startup.membership.first_detection.as_secs_f64(),
+        startup.membership.last_detection.as_secs_f64(),
+        startup.membership.false_detections,
+        links.direct.median_us,
+        links.direct.p99_us,
+        links.proxied.median_us,
+        links.proxied.p99_us,
+        links.direct.processor_us,
+        links.proxied.processor_us - links.direct.processor_us
     ))
 }
 
-/// What membership costs each process, and how soon a death is known.
-struct Members {
-    datagrams: f64,
-    bytes: f64,
-    first: Duration,
-    all: Duration,
-    wrong: usize,
+/// How long the phases of a cluster's life took.
+struct StartupCost {
+    /// From the beginning until proxies and stub services were started.
+    prepared: Duration,
+    /// From the beginning until all processes served.
+    serving: Duration,
+    /// From the beginning until all processes agreed on the members.
+    agreed: Duration,
+    /// The end of all processes.
+    shutdown: Duration,
+    membership: MembershipCost,
 }
 
-/// Time in which datagrams are counted.
-const STEADY: Duration = Duration::from_secs(30);
+fn measure_startup(processes: usize) -> io::Result<StartupCost> {
+    let start = Instant::now();
+    let mut cluster = Cluster::new(&ClusterConfig {
+        processes,
+        ..ClusterConfig::default()
+    })?;
+    let prepared = start.elapsed();
+    (0..processes).try_for_each(|process| cluster.start_process(process))?;
+    cluster.wait_until_serving();
+    let serving = start.elapsed();
+    let all: Vec<usize> = (0..processes).collect();
+    cluster.wait_for_agreement(&all, "agreement of all processes");
+    let agreed = start.elapsed();
+    let membership = measure_membership(&mut cluster, processes);
+    let shutdown_start = start.elapsed();
+    drop(cluster);
+    Ok(StartupCost {
+        prepared,
+        serving,
+        agreed,
+        shutdown: start.elapsed() - shutdown_start,
+        membership,
+    })
+}
 
-fn members(rig: &mut Rig, processes: usize) -> Members {
-    let sums = |rig: &Rig| {
-        let of = |i, name: &str| {
-            rig.told(i)
-                .and_then(|event| event.more["members"]["counts"][name].as_u64())
-                .unwrap_or(0)
-        };
-        (0..processes).fold((0, 0), |sum, i| {
-            (sum.0 + of(i, "sent"), sum.1 + of(i, "sent_bytes"))
-        })
+/// What the membership protocol costs each process, and how soon a failure is detected.
+struct MembershipCost {
+    datagrams_per_s: f64,
+    bytes_per_s: f64,
+    /// After a process was killed.
+    first_detection: Duration,
+    /// After a process was killed.
+    last_detection: Duration,
+    /// Detected failures of processes that were running.
+    false_detections: usize,
+}
+
+/// The sum over all processes of what they have sent for the membership protocol.
+#[derive(Default)]
+struct MembershipTraffic {
+    datagrams: u64,
+    bytes: u64,
+}
+
+fn membership_traffic(cluster: &Cluster, processes: usize) -> MembershipTraffic {
+    let count = |process, name: &str| {
+        cluster
+            .last_fleet_report(process)
+            .and_then(|event| event.fields["members"]["counts"][name].as_u64())
+            .unwrap_or(0)
     };
-    // What the start set in motion is let come to rest.
-    std::thread::sleep(STEADY / 3);
-    let (begun, before) = (Instant::now(), sums(rig));
-    std::thread::sleep(STEADY);
-    let (after, seconds) = (sums(rig), begun.elapsed().as_secs_f64() * processes as f64);
-    let dead = crate::rig::name(processes - 1);
-    rig.processes[processes - 1].kill();
+    let mut traffic = MembershipTraffic::default();
+    for process in 0..processes {
+        traffic.datagrams += count(process, "sent");
+        traffic.bytes += count(process, "sent_bytes");
+    }
+    traffic
+}
+
+fn measure_membership(cluster: &mut Cluster, processes: usize) -> MembershipCost {
+    // The traffic that the start caused ends first.
+    std::thread::sleep(MEMBERSHIP_PERIOD / 3);
+    let start = Instant::now();
+    let before = membership_traffic(cluster, processes);
+    std::thread::sleep(MEMBERSHIP_PERIOD);
+    let after = membership_traffic(cluster, processes);
+    let process_seconds = start.elapsed().as_secs_f64() * processes as f64;
+    let victim = processes - 1;
+    let victim_name = process_name(victim);
+    cluster.processes[victim].kill();
     let killed = Instant::now();
-    let missed = |rig: &Rig| {
-        let saw = |event: &&crate::history::Event| {
-            event.what == "member"
-                && event.text("change") == "failed"
-                && event.text("member") == dead
-        };
-        rig.history.read(|events| events.iter().filter(saw).count())
+    let failure = |event: &&Event| event.kind == "member" && event.text("change") == "failed";
+    let detections = |cluster: &Cluster| {
+        cluster.history.read(|events| {
+            events
+                .iter()
+                .filter(failure)
+                .filter(|event| event.text("member") == victim_name)
+                .count()
+        })
     };
-    rig.wait("somebody who misses it", |rig| {
-        (missed(rig) > 0).then_some(())
+    cluster.wait_for("the first detection", |cluster| {
+        (detections(cluster) > 0).then_some(())
     });
-    let first = killed.elapsed();
-    rig.wait("all to miss it", |rig| {
-        (missed(rig) >= processes - 1).then_some(())
+    let first_detection = killed.elapsed();
+    cluster.wait_for("detection by all", |cluster| {
+        (detections(cluster) >= processes - 1).then_some(())
     });
-    let all = killed.elapsed();
-    let failed =
-        |event: &&crate::history::Event| event.what == "member" && event.text("change") == "failed";
-    let wrong = rig.history.read(|events| {
+    let last_detection = killed.elapsed();
+    let false_detections = cluster.history.read(|events| {
         events
             .iter()
-            .filter(failed)
-            .filter(|event| event.text("member") != dead)
+            .filter(failure)
+            .filter(|event| event.text("member") != victim_name)
             .count()
     });
-    Members {
-        datagrams: (after.0 - before.0) as f64 / seconds,
-        bytes: (after.1 - before.1) as f64 / seconds,
-        first,
-        all,
-        wrong,
+    MembershipCost {
+        datagrams_per_s: (after.datagrams - before.datagrams) as f64 / process_seconds,
+        bytes_per_s: (after.bytes - before.bytes) as f64 / process_seconds,
+        first_detection,
+        last_detection,
+        false_detections,
     }
 }
 
-/// What round trips took, us.
-struct Trips {
-    median: f64,
-    late: f64,
+/// Latency and processor time of round trips, µs.
+struct RoundTrips {
+    median_us: f64,
+    p99_us: f64,
     /// Processor time of this process for each.
-    spent: f64,
+    processor_us: f64,
+}
+
+/// Round trips without and with a proxy between.
+struct LinkCost {
+    direct: RoundTrips,
+    proxied: RoundTrips,
 }
 
-/// Round trips direct, and through a link.
-fn latency() -> io::Result<(Trips, Trips)> {
+fn measure_links() -> io::Result<LinkCost> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()?;
     runtime.block_on(async {
-        let ground = Ground::take()?;
-        let (to, at) = (ground.fleet(1), ground.link(0, 1));
-        Link {
-            at,
-            to,
-            forth: Direction::new(1),
-            back: Direction::new(2),
+        let addresses = AddressBlock::acquire()?;
+        let target = addresses.fleet_address(1);
+        let proxy = addresses.link_address(0, 1);
+        Proxy {
+            listen_address: proxy,
+            target_address: target,
+            outbound: Direction::new(1),
+            inbound: Direction::new(2),
         }
-        .open()
+        .start()
         .await?;
-        let listener = TcpListener::bind(to).await?;
+        let listener = TcpListener::bind(target).await?;
         tokio::spawn(async move {
-            while let Ok((mut stream, _)) = listener.accept().await {
-                // Without it answers are late, and it is their time that is measured; an error shows there.
-                let _ = stream.set_nodelay(true);
-                let mut bytes = [0; 64];
-                while stream.read_exact(&mut bytes).await.is_ok()
-                    && stream.write_all(&bytes).await.is_ok()
-                {}
+            while let Ok((stream, _)) = listener.accept().await {
+                echo(stream).await;
             }
         });
-        Ok((
-            rounds(TcpStream::connect(to).await?).await?,
-            rounds(TcpStream::connect(at).await?).await?,
-        ))
+        Ok(LinkCost {
+            direct: measure_round_trips(TcpStream::connect(target).await?).await?,
+            proxied: measure_round_trips(TcpStream::connect(proxy).await?).await?,
+        })
     })
 }
 
-/// Processor time that this process has spent so far, us over the rounds.
-fn spent() -> io::Result<f64> {
+/// Sends each message back until the connection ends.
+async fn echo(mut stream: TcpStream) {
+    // Without this option responses are late; the measured times show an error.
+    let _ = stream.set_nodelay(true);
+    let mut message = [0; MESSAGE_BYTES];
+    while stream.read_exact(&mut message).await.is_ok() && stream.write_all(&message).await.is_ok()
+    {
+    }
+}
+
+/// The processor time that this process has spent so far, µs, divided by the number of round trips.
+fn processor_us() -> io::Result<f64> {
     let usage = getrusage(UsageWho::RUSAGE_SELF)?;
     let sum = usage.user_time() + usage.system_time();
-    Ok(sum.num_microseconds() as f64 / ROUNDS as f64)
+    Ok(sum.num_microseconds() as f64 / ROUND_TRIPS as f64)
 }
 
-async fn rounds(mut stream: TcpStream) -> io::Result<Trips> {
+async fn measure_round_trips(mut stream: TcpStream) -> io::Result<RoundTrips> {
     stream.set_nodelay(true)?;
-    let before = spent()?;
-    let mut times = Vec::with_capacity(ROUNDS);
-    let mut bytes = [7; 64];
-    for _ in 0..ROUNDS {
-        let begun = Instant::now();
-        stream.write_all(&bytes).await?;
-        stream.read_exact(&mut bytes).await?;
-        times.push(begun.elapsed().as_secs_f64() * 1e6);
+    let before = processor_us()?;
+    let mut times_us = Vec::with_capacity(ROUND_TRIPS);
+    let mut message = [7; MESSAGE_BYTES];
+    for _ in 0..ROUND_TRIPS {
+        let start = Instant::now();
+        stream.write_all(&message).await?;
+        stream.read_exact(&mut message).await?;
+        times_us.push(start.elapsed().as_secs_f64() * 1e6);
     }
-    let spent = spent()? - before;
-    times.sort_by(f64::total_cmp);
-    Ok(Trips {
-        median: times[ROUNDS / 2],
-        late: times[ROUNDS * 99 / 100],
-        spent,
+    let processor_us = processor_us()? - before;
+    times_us.sort_by(f64::total_cmp);
+    Ok(RoundTrips {
+        median_us: times_us[ROUND_TRIPS / 2],
+        p99_us: times_us[ROUND_TRIPS * 99 / 100],
+        processor_us,
     })
 }
 
-/// Instructions that one front door runs for each request, as `perf stat` counts them; with a fleet block that names so many
-/// others (nobody answers for those beyond `processes`), or without one.
-pub fn instructions(count: usize, fleet: Option<usize>, processes: usize) -> io::Result<f64> {
-    let plan = Plan {
+/// The user-space instructions that one front door executes for each request, as `perf stat` counts them over `count`
+/// requests. The front door has a fleet section with so many others (those beyond `processes` are not running), or none.
+///
+/// # Errors
+///
+/// Returns the error of a file, socket or process that cannot be opened or started, or the output of `perf` if it holds no
+/// count.
+pub fn instructions_per_request(
+    count: usize,
+    fleet: Option<usize>,
+    processes: usize,
+) -> io::Result<f64> {
+    let cluster = start_measured_cluster(fleet, processes)?;
+    let address = cluster.processes[0].config["listen"]
+        .as_str()
+        .and_then(|address| address.parse().ok());
+    let mut client = ScriptedConnection::connect(address.ok_or(io::ErrorKind::InvalidInput)?);
+    // What happens once, and the traffic by which a fleet finds itself, is not counted.
+    let warmed_up = send_requests(&mut client, 0, count / 4);
+    std::thread::sleep(SETTLING_TIME);
+    let id = cluster.processes[0].id().unwrap_or_default().to_string();
+    let mut perf = Command::new("perf");
+    perf.args(["stat", "-x", ",", "-e", "instructions:u", "-p", &id])
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
+    let perf = perf.spawn()?;
+    std::thread::sleep(PERF_START_TIME);
+    let served = send_requests(&mut client, count, count);
+    // If it has ended by itself, its output says why.
+    let _ = kill(Pid::from_raw(perf.id() as i32), Signal::SIGINT);
+    let output = String::from_utf8_lossy(&perf.wait_with_output()?.stderr).into_owned();
+    let instructions = output
+        .lines()
+        .find_map(|line| line.split(',').next()?.parse::<f64>().ok());
+    match instructions.filter(|_| warmed_up && served) {
+        Some(instructions) => Ok(instructions / count as f64),
+        None => Err(io::Error::other(format!("no count: {}", output.trim()))),
+    }
+}
+
+/// Starts a cluster whose processes have the settings of a fleet of one, however many others they are configured with.
+fn start_measured_cluster(fleet: Option<usize>, processes: usize) -> io::Result<Cluster> {
+    let mut cluster = Cluster::new(&ClusterConfig {
         processes,
         backends: 1,
         fleet: fleet.map(|_| json!({})),
-        ..Plan::default()
+        ..ClusterConfig::default()
+    })?;
+    let immediate = BackendBehavior {
+        work_ms: 0.0,
+        ..BackendBehavior::default()
     };
-    let mut rig = Rig::new(&plan)?;
-    rig.act(
-        0,
-        Manner {
-            work_ms: 0.0,
-            ..Manner::default()
-        },
-    );
-    for i in 0..processes {
-        // All play at a fleet of one size by the settings, whatever they are told of others.
-        rig.processes[i].config["settings"]["fleet_size"] = 1.into();
-        rig.processes[i].config["settings"]["me"] = 0.into();
-        if let Some(peers) = rig.processes[i]
-            .config
+    cluster.set_backend_behavior(0, immediate);
+    for process in 0..processes {
+        let config = &mut cluster.processes[process].config;
+        config["settings"]["fleet_size"] = 1.into();
+        config["settings"]["me"] = 0.into();
+        if let Some(peers) = config
             .pointer_mut("/fleet/peers")
             .and_then(Value::as_array_mut)
         {
-            let more = peers.len()..fleet.unwrap_or_default();
+            let absent = peers.len()..fleet.unwrap_or_default();
             peers.extend(
-                more.map(|j| json!({"name": format!("absent-{j}"), "dial": "127.0.0.1:9"})),
+                absent.map(|peer| json!({"name": format!("absent-{peer}"), "dial": "127.0.0.1:9"})),
             );
         }
-        rig.start_one(i)?;
-    }
-    rig.await_serving();
-    let at = rig.processes[0].config["listen"]
-        .as_str()
-        .and_then(|at| at.parse().ok());
-    let mut client = ScriptedConnection::connect(at.ok_or(io::ErrorKind::InvalidInput)?);
-    let mut ask = |from: usize, count: usize| {
-        (from..from + count).all(|i| {
-            client.write(request_with(&format!("id-{i}"), "read", "wide", "8"));
-            client.read().status() == 200
-        })
-    };
-    // What is done once, and what a fleet does to find itself, is not counted.
-    let warm = ask(0, count / 4);
-    std::thread::sleep(Duration::from_secs(5));
-    let id = rig.processes[0].id().unwrap_or_default().to_string();
-    let mut perf = Command::new("perf");
-    perf.args(["stat", "-x", ",", "-e", "instructions:u", "-p", &id])
-        .stdout(Stdio::null())
-        .stderr(Stdio::piped());
-    let perf = perf.spawn()?;
-    std::thread::sleep(Duration::from_millis(500));
-    let served = ask(count, count);
-    // It may have ended by itself: then it has said why.
-    let _ = kill(Pid::from_raw(perf.id() as i32), Signal::SIGINT);
-    let said = String::from_utf8_lossy(&perf.wait_with_output()?.stderr).into_owned();
-    let counted = said
-        .lines()
-        .find_map(|line| line.split(',').next()?.parse::<f64>().ok());
-    match counted.filter(|_| warm && served) {
-        Some(counted) => Ok(counted / count as f64),
-        None => Err(io::Error::other(format!("no count: {}", said.trim()))),
+        cluster.start_process(process)?;
     }
+    cluster.wait_until_serving();
+    Ok(cluster)
+}
+
+/// Sends requests one after another, with numbers from `first` on; whether all had status 200.
+fn send_requests(client: &mut ScriptedConnection, first: usize, count: usize) -> bool {
+    (first..first + count).all(|number| {
+        client.write(request_with(&format!("id-{number}"), "read", "wide", "8"));
+        client.read().status() == 200
+    })
 }
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -1,8 +1,8 @@
-//! What everybody did and saw, in one order, by one steady clock of the machine.
+//! What all participants did and observed, in one order, by one monotonic clock of the machine.
 //!
 //! An event is one JSON line: when (`at_us`, microseconds of the system's monotonic clock, the same in every process of
-//! the machine), who, what, and whatever else belongs to it. Checkers read a history and know nothing of how it came
-//! about: the rig's and a simulation's look alike.
+//! the machine), who observed it, what kind of event it is, and further fields that depend on the kind. Checkers read a
+//! history without knowing how it came about: that of a cluster and that of a simulation have the same form.
 
 use nix::time::{clock_gettime, ClockId};
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,12 @@
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
 use std::path::Path;
-use std::sync::Mutex;
+use std::sync::{Mutex, MutexGuard};
+
+/// The source of events that the cluster itself records: starts, signals, faults.
+pub const CLUSTER: &str = "rig";
+/// The source of events that the scripted clients record.
+pub const CLIENTS: &str = "clients";
 
 /// Microseconds of the system's monotonic clock.
 pub fn now_us() -> u64 {
@@ -21,82 +26,108 @@
 /// One thing that happened.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// When it was seen, µs of the monotonic clock.
+    /// When it was observed, µs of the monotonic clock.
     pub at_us: u64,
-    /// Who did or saw it: `rig`, a process, or a stand-in by name.
-    pub who: String,
-    /// What it is; the rest of the fields hang on it.
-    pub what: String,
-    /// The rest.
+    /// Who observed it: [`CLUSTER`], [`CLIENTS`], or a process or stub service by name.
+    #[serde(rename = "who")]
+    pub source: String,
+    /// What kind of event it is; the other fields depend on it.
+    #[serde(rename = "what")]
+    pub kind: String,
+    /// The other fields.
     #[serde(flatten)]
-    pub more: Map<String, Value>,
+    pub fields: Map<String, Value>,
 }
 
 impl Event {
-    /// A text among the rest of the fields.
+    /// A text among the other fields, or nothing.
     pub fn text(&self, key: &str) -> &str {
-        self.more
+        self.fields
             .get(key)
             .and_then(Value::as_str)
             .unwrap_or_default()
     }
 
-    /// A whole number among the rest.
+    /// A whole number among the other fields.
     pub fn number(&self, key: &str) -> Option<u64> {
-        self.more.get(key).and_then(Value::as_u64)
+        self.fields.get(key).and_then(Value::as_u64)
     }
 }
 
+/// Why a stored history cannot be read.
+#[derive(Debug, thiserror::Error)]
+pub enum HistoryError {
+    /// A line is not a JSON object of an event.
+    #[error("line {line}: {source}")]
+    Line {
+        /// The number of the line, from 1 on.
+        line: usize,
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+}
+
 #[derive(Debug, Default)]
-struct Inner {
+struct Recorded {
     events: Vec<Event>,
     file: Option<BufWriter<File>>,
 }
 
-/// A history that grows, and that is also written to a file if it has one.
+/// The events so far, which are also written to a file if there is one.
 #[derive(Debug, Default)]
-pub struct History(Mutex<Inner>);
+pub struct History {
+    recorded: Mutex<Recorded>,
+}
 
 impl History {
-    /// One that is also written to this file.
-    pub fn to(path: &Path) -> io::Result<History> {
-        let file = Some(BufWriter::new(File::create(path)?));
-        Ok(History(Mutex::new(Inner {
-            events: Vec::new(),
-            file,
-        })))
+    /// A history that is also written to this file, as JSON lines.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of a file that cannot be created.
+    pub fn with_file(path: &Path) -> io::Result<History> {
+        let file = BufWriter::new(File::create(path)?);
+        Ok(History {
+            recorded: Mutex::new(Recorded {
+                events: Vec::new(),
+                file: Some(file),
+            }),
+        })
     }
 
-    /// Notes what happened just now; `more` is an object, or null.
-    pub fn note(&self, who: &str, what: &str, more: Value) {
-        let more = match more {
+    fn lock(&self) -> MutexGuard<'_, Recorded> {
+        self.recorded
+            .lock()
+            .expect("no panic while the history is locked")
+    }
+
+    /// Records an event that happened just now. `fields` is an object, or null for no fields.
+    pub fn record(&self, source: &str, kind: &str, fields: Value) {
+        let fields = match fields {
             Value::Object(map) => map,
             Value::Null => Map::new(),
             other => Map::from_iter([("value".to_owned(), other)]),
         };
-        // The time is taken under the lock, so that times never go back along the history.
-        let mut inner = self.0.lock().expect("no panic");
+        // The clock is read under the lock, so that times never decrease along the history.
+        let mut recorded = self.lock();
         let event = Event {
             at_us: now_us(),
-            who: who.to_owned(),
-            what: what.to_owned(),
-            more,
+            source: source.to_owned(),
+            kind: kind.to_owned(),
+            fields,
         };
-        if let Some(file) = &mut inner.file {
-            if let Err(error) = serde_json::to_writer(&mut *file, &event)
-                .map_err(io::Error::from)
-                .and_then(|()| file.write_all(b"\n"))
-            {
+        if let Some(file) = &mut recorded.file {
+            if let Err(error) = write_line(file, &event) {
                 eprintln!("history: {error}: no more of it is written");
-                inner.file = None;
+                recorded.file = None;
             }
         }
-        inner.events.push(event);
+        recorded.events.push(event);
     }
 
-    /// What `look` finds in the events so far.
-    pub fn read<T>(&self, look: impl FnOnce(&[Event]) -> T) -> T {
-        look(&self.0.lock().expect("no panic").events)
+    /// What `query` finds in the events so far.
+    pub fn read<T>(&self, query: impl FnOnce(&[Event]) -> T) -> T {
+        query(&self.lock().events)
     }
 
     /// All events so far.
@@ -104,19 +135,33 @@
         self.read(<[Event]>::to_vec)
     }
 
-    /// Writes through to the file what is still buffered.
+    /// Writes what is still buffered to the file.
     pub fn flush(&self) {
-        if let Some(file) = &mut self.0.lock().expect("no panic").file {
-            // What can't be written was told when it failed first, or is told by its reader.
+        if let Some(file) = &mut self.lock().file {
+            // A failed write was reported when it failed first, or a reader of the file finds it incomplete.
             let _ = file.flush();
         }
     }
 }
 
-/// Reads a history that was written; a line that is none is an error with its number.
-pub fn read(text: &str) -> Result<Vec<Event>, String> {
-    let line = |(number, line)| {
-        serde_json::from_str(line).map_err(|error| format!("line {}: {error}", number + 1))
-    };
-    text.lines().enumerate().map(line).collect()
+fn write_line(file: &mut BufWriter<File>, event: &Event) -> io::Result<()> {
+    serde_json::to_writer(&mut *file, event)?;
+    file.write_all(b"\n")
+}
+
+/// Reads a stored history.
+///
+/// # Errors
+///
+/// Returns the first line that is not an event, with its number.
+pub fn read(text: &str) -> Result<Vec<Event>, HistoryError> {
+    text.lines()
+        .enumerate()
+        .map(|(index, line)| {
+            serde_json::from_str(line).map_err(|source| HistoryError::Line {
+                line: index + 1,
+                source,
+            })
+        })
+        .collect()
 }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,19 +1,26 @@
-//! The rig: several processes of the program, the stand-ins they need, and faults between them.
+//! Fault injection for front doors, which the names here call gateways: a cluster of processes of the built program, stub
+//! services around them, and proxies that put faults on the links between them.
 //!
-//! `docs/FAULT_INJECTION.md` tells how to use it. Nothing here is part of the product, and nothing of it leaves loopback.
+//! [`Cluster`] starts all of it, records what happens in a [`history::History`], and [`check`] holds the history against
+//! the rules that must never be broken. [`schedule`] describes a series of faults, generates one from a seed, runs it and
+//! shrinks it. [`scripted_peers`] is for tests of a single front door whose peers a test plays message by message.
+//!
+//! `docs/FAULT_INJECTION.md` tells how to use it. Nothing here is part of the product, and all traffic stays on loopback.
 
 #![forbid(unsafe_code)]
 
+pub mod address_block;
 pub mod check;
+pub mod cluster;
 pub mod cost;
-pub mod ground;
+mod gateway_client;
 pub mod history;
 pub mod link;
-pub mod load;
+pub mod load_generator;
 pub mod process;
-pub mod rig;
+pub mod proxy;
 pub mod schedule;
 pub mod scripted_peers;
-pub mod standins;
+pub mod stub_services;
 
-pub use rig::{Plan, Rig};
+pub use cluster::{Cluster, ClusterConfig};
--- a/crates/fault-injection/src/link.rs
+++ b/crates/fault-injection/src/link.rs
@@ -1,75 +1,74 @@
-//! A link: what one process dials to reach another, with faults on it.
+//! The conditions on each direction of a link between two processes, and counters of what they did.
 //!
-//! A link carries TCP and UDP from an address of its own to the address of the process behind it. Each direction has a
-//! [`Quality`] of its own, shared by all that flows that way, whoever dialled. On TCP nothing is ever lost or reordered,
-//! as the system's own resending hides that: a lost packet shows as a delay ([`RESENT`]).
-//!
-//! What a link cannot play: a dial into a cut comes up, since the system answers it before the rig sees it, and then
-//! stays silent; a process that is not there shows as a reset right after the dial.
+//! A link has two [`Direction`]s, each with [`LinkConditions`] of its own that apply to all traffic in that direction,
+//! whichever side opened the connection. On TCP nothing is ever lost or reordered, since the system's retransmission
+//! hides that: a lost packet shows as a delay ([`RETRANSMISSION`]). [`crate::proxy`] forwards the traffic.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde::{Deserialize, Serialize};
-use std::io;
-use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{tcp, TcpListener, TcpStream, UdpSocket};
-use tokio::sync::{mpsc, watch};
-use tokio::time::{sleep, sleep_until, Instant};
+use tokio::sync::watch;
+use tokio::time::Instant;
 
-/// What a lost packet costs a TCP stream: the least time after which Linux sends one again (RFC 6298, its `RTO_MIN`).
-const RESENT: Duration = Duration::from_millis(200);
-/// Bytes read at once.
-const CHUNK: usize = 16 * 1024;
-/// Chunks of one direction of a connection that are under way at most; beyond that the sender is made to wait.
-const UNDER_WAY: usize = 64;
-/// Longest datagram that there is, and a little more.
-const LONGEST_DATAGRAM: usize = 64 * 1024;
-/// Datagrams of a link that are under way at most; further ones are lost.
-const DATAGRAMS: u64 = 4096;
-/// Longest queue, in time, in front of a rate limit; datagrams beyond it are lost.
-const QUEUE: Duration = Duration::from_secs(1);
+/// What a lost packet costs a TCP stream: the least time after which Linux retransmits (RFC 6298, its `RTO_MIN`).
+pub const RETRANSMISSION: Duration = Duration::from_millis(200);
+/// The longest queue in front of a rate limit, as a time; datagrams beyond it are lost.
+const MAX_QUEUE: Duration = Duration::from_secs(1);
+/// The value of [`Direction::truncate_after`] while no connection is to be truncated.
+const NO_TRUNCATION: u64 = u64::MAX;
 
-/// How well one direction of a link carries. The default carries all at once.
+/// The conditions on one direction of a link. The default forwards everything at once.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Quality {
-    /// Nothing passes and nobody is told. What TCP holds passes when the cut ends.
-    pub cut: bool,
-    /// Dials are refused, and what is open is reset.
-    pub refuse: bool,
-    /// One way, ms.
+pub struct LinkConditions {
+    /// Nothing passes, and neither side is notified. What TCP has buffered passes once this ends.
+    #[serde(rename = "cut")]
+    pub blackhole: bool,
+    /// Connection attempts are refused, and open connections are reset.
+    #[serde(rename = "refuse")]
+    pub reject_connections: bool,
+    /// The delay in one direction, ms.
     pub delay_ms: f64,
-    /// Added evenly from nought to this, ms. Datagrams overtake each other by it.
-    pub spread_ms: f64,
-    /// Part of the datagrams that is lost; of the chunks on TCP that come late by [`RESENT`].
+    /// An additional delay, uniform between zero and this, ms. Datagrams overtake each other by it.
+    #[serde(rename = "spread_ms")]
+    pub jitter_ms: f64,
+    /// The fraction of datagrams that are lost; on TCP, of chunks that are delayed by [`RETRANSMISSION`].
     pub loss: f64,
-    /// Part of the datagrams that comes twice.
+    /// The fraction of datagrams that are delivered twice.
     pub duplicate: f64,
-    /// Part of the datagrams that comes later than it should, by up to four delays and 20 ms.
+    /// The fraction of datagrams that are delivered out of order, up to four delays and 20 ms late.
     pub reorder: f64,
-    /// Part of the datagrams and chunks in which one byte is changed.
-    pub damage: f64,
-    /// Bytes a second at most.
+    /// The fraction of datagrams and TCP chunks in which one bit is changed.
+    #[serde(rename = "damage")]
+    pub corrupt: f64,
+    /// The rate limit, bytes per second; `None` for no limit.
     pub bytes_per_s: Option<f64>,
 }
 
-impl Quality {
-    /// How a direction carries with both of these on it.
-    pub fn and(&self, other: &Quality) -> Quality {
+impl LinkConditions {
+    /// Conditions under which nothing passes.
+    pub fn blackhole() -> LinkConditions {
+        LinkConditions {
+            blackhole: true,
+            ..LinkConditions::default()
+        }
+    }
+
+    /// The conditions of a direction on which both of these are in force.
+    pub fn combined_with(&self, other: &LinkConditions) -> LinkConditions {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
-        Quality {
-            cut: self.cut || other.cut,
-            refuse: self.refuse || other.refuse,
+        LinkConditions {
+            blackhole: self.blackhole || other.blackhole,
+            reject_connections: self.reject_connections || other.reject_connections,
             delay_ms: self.delay_ms + other.delay_ms,
-            spread_ms: self.spread_ms + other.spread_ms,
+            jitter_ms: self.jitter_ms + other.jitter_ms,
             loss: either(self.loss, other.loss),
             duplicate: either(self.duplicate, other.duplicate),
             reorder: either(self.reorder, other.reorder),
-            damage: either(self.damage, other.damage),
+            corrupt: either(self.corrupt, other.corrupt),
             bytes_per_s: match (self.bytes_per_s, other.bytes_per_s) {
                 (Some(a), Some(b)) => Some(a.min(b)),
                 (a, b) => a.or(b),
@@ -78,400 +77,217 @@
     }
 }
 
-/// What a direction of a link has done, so that a fault can be seen to have acted.
+/// Counters of one direction of a link, by which a fault can be seen to have acted.
 #[derive(Debug, Default)]
-pub struct Acted {
+pub struct LinkCounters {
     /// Bytes that passed on TCP.
     pub bytes: AtomicU64,
     /// Datagrams that passed.
     pub datagrams: AtomicU64,
-    /// Bytes of these.
+    /// Bytes of the datagrams that passed.
     pub datagram_bytes: AtomicU64,
-    /// Datagrams lost by chance, to a cut, or to a full queue.
+    /// Datagrams lost by chance, to a blackhole, or to a full queue.
     pub lost: AtomicU64,
-    /// Chunks held by a cut.
-    pub held: AtomicU64,
-    /// Datagrams that came twice.
+    /// TCP chunks that a blackhole kept back.
+    pub stalled: AtomicU64,
+    /// Datagrams delivered twice.
     pub duplicated: AtomicU64,
-    /// Datagrams put back.
+    /// Datagrams delivered out of order.
     pub reordered: AtomicU64,
-    /// Datagrams and chunks with a changed byte.
-    pub damaged: AtomicU64,
-    /// Chunks and datagrams that waited for a delay or a rate.
+    /// Datagrams and TCP chunks with a changed bit.
+    pub corrupted: AtomicU64,
+    /// TCP chunks and datagrams that a delay or a rate limit kept back.
     pub delayed: AtomicU64,
-    /// Connections that were reset or halved.
-    pub ended: AtomicU64,
-    /// Spells in which dials were refused.
-    pub refusals: AtomicU64,
+    /// Connections that were reset or truncated.
+    pub closed: AtomicU64,
+    /// Periods in which connection attempts were refused.
+    pub rejecting_periods: AtomicU64,
 }
 
-impl Acted {
-    /// The figures by name.
-    pub fn figures(&self) -> serde_json::Value {
-        let of = |figure: &AtomicU64| figure.load(Ordering::Relaxed);
+impl LinkCounters {
+    /// The counters by the names under which they are reported.
+    pub fn to_json(&self) -> serde_json::Value {
+        let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         serde_json::json!({
-            "bytes": of(&self.bytes), "datagrams": of(&self.datagrams), "datagram_bytes": of(&self.datagram_bytes),
-            "lost": of(&self.lost), "held": of(&self.held), "duplicated": of(&self.duplicated),
-            "reordered": of(&self.reordered), "damaged": of(&self.damaged), "delayed": of(&self.delayed),
-            "ended": of(&self.ended), "refusals": of(&self.refusals),
+            "bytes": value(&self.bytes), "datagrams": value(&self.datagrams), "datagram_bytes": value(&self.datagram_bytes),
+            "lost": value(&self.lost), "held": value(&self.stalled), "duplicated": value(&self.duplicated),
+            "reordered": value(&self.reordered), "damaged": value(&self.corrupted), "delayed": value(&self.delayed),
+            "ended": value(&self.closed), "refusals": value(&self.rejecting_periods),
         })
     }
 }
 
-fn count(figure: &AtomicU64) {
-    figure.fetch_add(1, Ordering::Relaxed);
+/// Adds one to a counter.
+pub(crate) fn increment(counter: &AtomicU64) {
+    counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// One direction between two processes.
+/// One direction of a link between two processes.
 pub struct Direction {
-    quality: watch::Sender<Quality>,
-    /// Counts the resets that were asked for.
+    conditions: watch::Sender<LinkConditions>,
+    /// Counts the resets that were requested.
     resets: watch::Sender<u64>,
-    /// Bytes after which the connection that next carries some is cut short; none is [`u64::MAX`].
-    half: AtomicU64,
-    chance: Mutex<StdRng>,
+    /// The bytes after which the next connection that carries any is truncated, or [`NO_TRUNCATION`].
+    truncate_after: AtomicU64,
+    rng: Mutex<StdRng>,
     /// When the rate limit has passed on all that it was given.
-    free: Mutex<Instant>,
-    /// What it has done.
-    pub acted: Acted,
+    rate_limit_free_at: Mutex<Instant>,
+    /// What the direction has done so far.
+    pub counters: LinkCounters,
 }
 
-/// What becomes of a datagram.
-struct Fate {
-    /// When each copy of it is passed on.
-    copies: Vec<Duration>,
-    damaged: bool,
+/// What happens to one datagram.
+pub(crate) struct DatagramDelivery {
+    /// The delay after which each copy is passed on; empty if the datagram is lost.
+    pub(crate) copy_delays: Vec<Duration>,
+    /// Whether one bit of it is changed.
+    pub(crate) corrupted: bool,
 }
 
 impl Direction {
-    /// A direction without faults whose chance comes from `seed`.
+    /// A direction without faults. Its random draws come from `seed`.
     pub fn new(seed: u64) -> Arc<Direction> {
         Arc::new(Direction {
-            quality: watch::Sender::new(Quality::default()),
+            conditions: watch::Sender::new(LinkConditions::default()),
             resets: watch::Sender::new(0),
-            half: AtomicU64::new(u64::MAX),
-            chance: Mutex::new(StdRng::seed_from_u64(seed)),
-            free: Mutex::new(Instant::now()),
-            acted: Acted::default(),
+            truncate_after: AtomicU64::new(NO_TRUNCATION),
+            rng: Mutex::new(StdRng::seed_from_u64(seed)),
+            rate_limit_free_at: Mutex::new(Instant::now()),
+            counters: LinkCounters::default(),
         })
     }
 
-    /// Changes how it carries, from now on.
-    pub fn set(&self, quality: Quality) {
-        if quality.refuse {
-            self.reset();
+    /// Changes the conditions from now on.
+    pub fn set_conditions(&self, conditions: LinkConditions) {
+        if conditions.reject_connections {
+            self.reset_connections();
         }
-        self.quality.send_replace(quality);
+        self.conditions.send_replace(conditions);
     }
 
-    /// How it carries now.
-    pub fn quality(&self) -> Quality {
-        self.quality.borrow().clone()
+    /// The conditions in force.
+    pub fn conditions(&self) -> LinkConditions {
+        self.conditions.borrow().clone()
     }
 
-    /// Resets every connection that is open.
-    pub fn reset(&self) {
+    /// Resets every open connection.
+    pub fn reset_connections(&self) {
         self.resets.send_modify(|count| *count += 1);
     }
 
-    /// Lets `bytes` more pass on the connection that next carries some, and ends it there.
-    pub fn halve(&self, bytes: u64) {
-        self.half.store(bytes, Ordering::Relaxed);
+    /// Lets `bytes` more pass on the connection that next carries any, and resets it there.
+    pub fn truncate_connection(&self, bytes: u64) {
+        self.truncate_after.store(bytes, Ordering::Relaxed);
+    }
+
+    /// Changes of the conditions.
+    pub(crate) fn watch_conditions(&self) -> watch::Receiver<LinkConditions> {
+        self.conditions.subscribe()
+    }
+
+    /// Requests to reset connections.
+    pub(crate) fn watch_resets(&self) -> watch::Receiver<u64> {
+        self.resets.subscribe()
+    }
+
+    /// Counts `bytes` against a truncation that is due; returns how many of them still pass if it is due within them.
+    pub(crate) fn truncate_within(&self, bytes: usize) -> Option<usize> {
+        let remaining = self.truncate_after.load(Ordering::Relaxed);
+        if remaining <= bytes as u64 {
+            self.truncate_after.store(NO_TRUNCATION, Ordering::Relaxed);
+            return Some(remaining as usize);
+        }
+        if remaining != NO_TRUNCATION {
+            self.truncate_after
+                .store(remaining - bytes as u64, Ordering::Relaxed);
+        }
+        None
+    }
+
+    fn rng(&self) -> MutexGuard<'_, StdRng> {
+        self.rng
+            .lock()
+            .expect("no panic while the generator is locked")
     }
 
-    fn chance(&self, part: f64) -> bool {
-        part > 0.0
-            && self
-                .chance
-                .lock()
-                .expect("no panic")
-                .random_bool(part.clamp(0.0, 1.0))
+    /// `true` with this probability; a probability of zero takes no random draw.
+    pub(crate) fn occurs(&self, probability: f64) -> bool {
+        probability > 0.0 && self.rng().random_bool(probability.clamp(0.0, 1.0))
     }
 
-    /// A time of `base` ms and evenly up to `spread` ms more.
-    fn time(&self, base: f64, spread: f64) -> Duration {
-        let more = if spread > 0.0 {
-            self.chance
-                .lock()
-                .expect("no panic")
-                .random_range(0.0..spread)
+    /// A time of `base_ms` and uniformly up to `jitter_ms` more.
+    pub(crate) fn random_delay(&self, base_ms: f64, jitter_ms: f64) -> Duration {
+        let jitter = if jitter_ms > 0.0 {
+            self.rng().random_range(0.0..jitter_ms)
         } else {
             0.0
         };
-        Duration::try_from_secs_f64((base + more) / 1000.0).unwrap_or_default()
+        Duration::try_from_secs_f64((base_ms + jitter) / 1000.0).unwrap_or_default()
     }
 
-    /// How long this many bytes wait at the rate limit; `None` if its queue is too long for a datagram.
-    fn rated(&self, quality: &Quality, bytes: usize, may_drop: bool) -> Option<Duration> {
-        let Some(rate) = quality.bytes_per_s.filter(|rate| *rate > 0.0) else {
+    /// How long this many bytes wait at the rate limit; `None` if they may be dropped and its queue is too long for them.
+    pub(crate) fn rate_limit_delay(
+        &self,
+        conditions: &LinkConditions,
+        bytes: usize,
+        may_drop: bool,
+    ) -> Option<Duration> {
+        let Some(rate) = conditions.bytes_per_s.filter(|rate| *rate > 0.0) else {
             return Some(Duration::ZERO);
         };
         let now = Instant::now();
-        let mut free = self.free.lock().expect("no panic");
-        let from = (*free).max(now);
-        if may_drop && from - now > QUEUE {
+        let mut free_at = self
+            .rate_limit_free_at
+            .lock()
+            .expect("no panic while the rate limit is locked");
+        let start = (*free_at).max(now);
+        if may_drop && start - now > MAX_QUEUE {
             return None;
         }
-        *free = from + Duration::try_from_secs_f64(bytes as f64 / rate).unwrap_or(QUEUE);
-        Some(*free - now)
+        *free_at = start + Duration::try_from_secs_f64(bytes as f64 / rate).unwrap_or(MAX_QUEUE);
+        Some(*free_at - now)
     }
 
-    fn damage(&self, bytes: &mut [u8]) {
+    /// Changes one bit of one byte, if there is any.
+    pub(crate) fn corrupt(&self, bytes: &mut [u8]) {
         if bytes.is_empty() {
             return;
         }
-        let mut chance = self.chance.lock().expect("no panic");
-        let place = chance.random_range(0..bytes.len());
-        bytes[place] ^= 1 << chance.random_range(0..8u32);
-        count(&self.acted.damaged);
+        let mut rng = self.rng();
+        let position = rng.random_range(0..bytes.len());
+        bytes[position] ^= 1 << rng.random_range(0..8u32);
+        increment(&self.counters.corrupted);
     }
 
-    fn fate(&self, bytes: usize) -> Fate {
-        let quality = self.quality();
-        let lost = quality.cut || quality.refuse || self.chance(quality.loss);
-        let Some(queued) = self.rated(&quality, bytes, true).filter(|_| !lost) else {
-            count(&self.acted.lost);
-            return Fate {
-                copies: Vec::new(),
-                damaged: false,
+    /// Decides what happens to a datagram of this many bytes under the present conditions.
+    pub(crate) fn plan_datagram(&self, bytes: usize) -> DatagramDelivery {
+        let conditions = self.conditions();
+        let lost =
+            conditions.blackhole || conditions.reject_connections || self.occurs(conditions.loss);
+        let queued = self.rate_limit_delay(&conditions, bytes, true);
+        let Some(queued) = queued.filter(|_| !lost) else {
+            increment(&self.counters.lost);
+            return DatagramDelivery {
+                copy_delays: Vec::new(),
+                corrupted: false,
             };
         };
-        let mut first = queued + self.time(quality.delay_ms, quality.spread_ms);
-        if self.chance(quality.reorder) {
-            count(&self.acted.reordered);
-            first += self.time(1.0, 4.0 * quality.delay_ms + 20.0);
+        let mut first = queued + self.random_delay(conditions.delay_ms, conditions.jitter_ms);
+        if self.occurs(conditions.reorder) {
+            increment(&self.counters.reordered);
+            first += self.random_delay(1.0, 4.0 * conditions.delay_ms + 20.0);
         }
-        let mut copies = vec![first];
-        if self.chance(quality.duplicate) {
-            count(&self.acted.duplicated);
-            copies.push(first + self.time(0.0, quality.delay_ms + 5.0));
+        let mut copy_delays = vec![first];
+        if self.occurs(conditions.duplicate) {
+            increment(&self.counters.duplicated);
+            copy_delays.push(first + self.random_delay(0.0, conditions.delay_ms + 5.0));
         }
         if first > Duration::ZERO {
-            count(&self.acted.delayed);
-        }
-        Fate {
-            copies,
-            damaged: self.chance(quality.damage),
+            increment(&self.counters.delayed);
         }
-    }
-}
-
-/// A link: both directions, and where it leads.
-pub struct Link {
-    /// Its own address, that the dialling process is told.
-    pub at: SocketAddr,
-    /// Where the process behind it listens.
-    pub to: SocketAddr,
-    /// From the one that dials.
-    pub forth: Arc<Direction>,
-    /// To the one that dials.
-    pub back: Arc<Direction>,
-}
-
-impl Link {
-    /// Binds the link's address and carries until the runtime ends.
-    pub async fn open(self) -> io::Result<()> {
-        let (listener, socket) = (listen(self.at)?, UdpSocket::bind(self.at).await?);
-        let link = Arc::new(self);
-        tokio::spawn(link.clone().streams(listener));
-        tokio::spawn(link.datagrams(Arc::new(socket)));
-        Ok(())
-    }
-
-    async fn streams(self: Arc<Self>, mut listener: TcpListener) {
-        let mut quality = self.forth.quality.subscribe();
-        loop {
-            if quality.borrow_and_update().refuse {
-                count(&self.forth.acted.refusals);
-                drop(listener);
-                if quality.wait_for(|quality| !quality.refuse).await.is_err() {
-                    return;
-                }
-                listener = loop {
-                    match listen(self.at) {
-                        Ok(listener) => break listener,
-                        Err(_) => sleep(Duration::from_millis(5)).await,
-                    }
-                };
-            }
-            tokio::select! {
-                accepted = listener.accept() => match accepted {
-                    Ok((stream, _)) => { tokio::spawn(self.clone().stream(stream)); }
-                    Err(_) => sleep(Duration::from_millis(5)).await,
-                },
-                changed = quality.changed() => if changed.is_err() { return },
-            }
+        DatagramDelivery {
+            copy_delays,
+            corrupted: self.occurs(conditions.corrupt),
         }
     }
-
-    async fn stream(self: Arc<Self>, mut near: TcpStream) {
-        let (mut resets_forth, mut resets_back) =
-            (self.forth.resets.subscribe(), self.back.resets.subscribe());
-        let Ok(mut far) = TcpStream::connect(self.to).await else {
-            abort(&near);
-            return;
-        };
-        for stream in [&near, &far] {
-            // Without it chunks come later, not wrong.
-            let _ = stream.set_nodelay(true);
-        }
-        let cut_short = {
-            let (near_in, near_out) = near.split();
-            let (far_in, far_out) = far.split();
-            let both = async {
-                tokio::try_join!(
-                    pump(near_in, far_out, &self.forth),
-                    pump(far_in, near_out, &self.back)
-                )
-            };
-            tokio::select! {
-                ended = both => ended.is_err(),
-                _ = resets_forth.changed() => true,
-                _ = resets_back.changed() => true,
-            }
-        };
-        if cut_short {
-            count(&self.forth.acted.ended);
-            abort(&near);
-            abort(&far);
-        }
-    }
-
-    async fn datagrams(self: Arc<Self>, socket: Arc<UdpSocket>) {
-        let under_way = Arc::new(AtomicU64::new(0));
-        // Most links of a large fleet carry no datagram: room for one is taken with the first.
-        if socket.readable().await.is_err() {
-            return;
-        }
-        let mut buffer = vec![0; LONGEST_DATAGRAM];
-        loop {
-            // An error is the echo of an earlier datagram that nobody was there to hear.
-            let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
-                continue;
-            };
-            let fate = self.forth.fate(length);
-            let mut bytes = buffer[..length].to_vec();
-            if fate.damaged {
-                self.forth.damage(&mut bytes);
-            }
-            for after in fate.copies {
-                if after.is_zero() {
-                    pass(&socket, &bytes, self.to, &self.forth).await;
-                } else if under_way.fetch_add(1, Ordering::Relaxed) >= DATAGRAMS {
-                    under_way.fetch_sub(1, Ordering::Relaxed);
-                    count(&self.forth.acted.lost);
-                } else {
-                    let (link, socket, bytes) = (self.clone(), socket.clone(), bytes.clone());
-                    let under_way = under_way.clone();
-                    tokio::spawn(async move {
-                        sleep(after).await;
-                        pass(&socket, &bytes, link.to, &link.forth).await;
-                        under_way.fetch_sub(1, Ordering::Relaxed);
-                    });
-                }
-            }
-        }
-    }
-}
-
-async fn pass(socket: &UdpSocket, bytes: &[u8], to: SocketAddr, direction: &Direction) {
-    // Nobody may be there: a datagram to nobody is lost, as on any network.
-    if socket.send_to(bytes, to).await.is_ok() {
-        count(&direction.acted.datagrams);
-        direction
-            .acted
-            .datagram_bytes
-            .fetch_add(bytes.len() as u64, Ordering::Relaxed);
-    }
-}
-
-fn listen(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = tokio::net::TcpSocket::new_v4()?;
-    socket.set_reuseaddr(true)?;
-    socket.bind(at)?;
-    socket.listen(128)
-}
-
-/// Makes the end of a stream a reset.
-fn abort(stream: &TcpStream) {
-    // One that is gone already has no end to be changed.
-    let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
-}
-
-/// Carries one direction of a connection to its end; an error means that both sides are to be reset.
-async fn pump(
-    mut from: tcp::ReadHalf<'_>,
-    mut to: tcp::WriteHalf<'_>,
-    direction: &Direction,
-) -> io::Result<()> {
-    let (sender, mut receiver) = mpsc::channel::<(Instant, io::Result<Vec<u8>>)>(UNDER_WAY);
-    let read = async move {
-        let mut due = Instant::now();
-        loop {
-            let mut bytes = vec![0; CHUNK];
-            let came = from.read(&mut bytes).await.map(|length| {
-                bytes.truncate(length);
-                bytes
-            });
-            let length = came.as_ref().map_or(0, Vec::len);
-            let quality = direction.quality();
-            let late = direction.chance(quality.loss);
-            let mut wait = direction.time(quality.delay_ms, quality.spread_ms);
-            wait += direction.rated(&quality, length, false).unwrap_or_default();
-            if late {
-                count(&direction.acted.lost);
-                wait += RESENT;
-            }
-            if wait > Duration::ZERO {
-                count(&direction.acted.delayed);
-            }
-            due = due.max(Instant::now() + wait);
-            let over = length == 0;
-            if sender.send((due, came)).await.is_err() || over {
-                return Ok(());
-            }
-        }
-    };
-    let write = async move {
-        let mut quality = direction.quality.subscribe();
-        while let Some((due, came)) = receiver.recv().await {
-            if due > Instant::now() {
-                sleep_until(due).await;
-            }
-            if quality.borrow_and_update().cut {
-                count(&direction.acted.held);
-                // The direction outlives its connections.
-                let _ = quality.wait_for(|quality| !quality.cut).await;
-            }
-            let mut bytes = came?;
-            if bytes.is_empty() {
-                return to.shutdown().await;
-            }
-            let part = quality.borrow().damage;
-            if direction.chance(part) {
-                direction.damage(&mut bytes);
-            }
-            let half = direction.half.load(Ordering::Relaxed);
-            if half <= bytes.len() as u64 {
-                direction.half.store(u64::MAX, Ordering::Relaxed);
-                to.write_all(&bytes[..half as usize]).await?;
-                to.flush().await?;
-                // What was let through is to be read before the reset takes it away.
-                sleep(Duration::from_millis(50)).await;
-                return Err(io::ErrorKind::ConnectionReset.into());
-            }
-            if half != u64::MAX {
-                direction
-                    .half
-                    .store(half - bytes.len() as u64, Ordering::Relaxed);
-            }
-            to.write_all(&bytes).await?;
-            direction
-                .acted
-                .bytes
-                .fetch_add(bytes.len() as u64, Ordering::Relaxed);
-        }
-        Ok(())
-    };
-    tokio::try_join!(read, write).map(|_| ())
 }
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -1,48 +1,52 @@
-//! `cometspool-fault-injection`: plays, draws, cuts down and checks from the command line.
+//! `cometspool-fault-injection`: runs, generates and shrinks schedules of faults, and checks histories.
 
 use clap::{Args, Parser, Subcommand};
-use cometspool_fault_injection::schedule::{play, shrink, Outcome, Schedule};
-use cometspool_fault_injection::{check, cost, history, rig};
-use std::path::PathBuf;
+use cometspool_fault_injection::schedule::{run, shrink, RunOutcome, Schedule};
+use cometspool_fault_injection::{check, cluster, cost, history};
+use std::collections::BTreeMap;
+use std::error::Error;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// Several front doors with faults between them.
 #[derive(Parser)]
 #[command(version)]
-struct Call {
+struct Arguments {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Plays a schedule from a file, or those drawn from seeds; ends with 1 if a rule is broken.
-    Play {
-        /// A schedule in TOML; drawn ones unless told.
+enum Command {
+    /// Runs a schedule from a file, or schedules generated from seeds; exits with 1 if a rule is broken.
+    #[command(alias = "play")]
+    Run {
+        /// A schedule in TOML; without it, schedules are generated.
         file: Option<PathBuf>,
         #[command(flatten)]
-        draw: Draw,
-        /// Schedules to draw, from one seed after another.
+        generator: GeneratorArguments,
+        /// Schedules to generate, from one seed after another.
         #[arg(long, default_value_t = 1)]
         runs: u64,
-        /// Where the history goes, as JSON lines.
+        /// The file to which the history is written, as JSON lines.
         #[arg(long)]
         history: Option<PathBuf>,
-        /// Cores that the processes may run on, as `taskset` names them.
+        /// Cores on which the processes may run, in the notation of `taskset`.
         #[arg(long)]
         cores: Option<String>,
     },
-    /// Prints the schedule that a seed draws.
-    Draw(Draw),
-    /// Cuts a failing schedule down to few faults that still fail, and prints it.
+    /// Prints the schedule that a seed generates.
+    #[command(alias = "draw")]
+    Generate(GeneratorArguments),
+    /// Reduces a failing schedule to few faults that still fail, and prints it.
     Shrink {
         /// The schedule.
         file: PathBuf,
-        /// Times that a schedule is played before it counts as one that does not fail.
+        /// Runs without a violation after which a schedule counts as one that does not fail.
         #[arg(long, default_value_t = 2)]
         tries: u32,
     },
-    /// Judges a history that was written.
+    /// Checks a stored history; exits with 1 if a rule is broken.
     Check {
         /// The history.
         file: PathBuf,
@@ -52,17 +56,17 @@
         /// Requests that are counted.
         #[arg(long, default_value_t = 2000)]
         count: usize,
-        /// Other front doors that its fleet block names; no block unless told.
+        /// Other front doors in its fleet section; without it, there is no section.
         #[arg(long)]
         fleet: Option<usize>,
         /// Processes that run.
         #[arg(long, default_value_t = 1)]
         processes: usize,
-        /// Times that it is done.
-        #[arg(long, default_value_t = 5)]
-        plays: usize,
+        /// Measurements.
+        #[arg(long, alias = "plays", default_value_t = 5)]
+        repetitions: usize,
     },
-    /// Tells what the rig itself costs: starts, and a link's latency.
+    /// Measures what the fault injection itself costs: starts, and a link's latency.
     Cost {
         /// Processes to start.
         #[arg(long, default_value_t = 30)]
@@ -70,16 +74,16 @@
     },
 }
 
-/// What a schedule is drawn from.
+/// What a schedule is generated from.
 #[derive(Args)]
-struct Draw {
+struct GeneratorArguments {
     /// The seed, or the first of several.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Processes.
     #[arg(long, default_value_t = 5)]
     processes: usize,
-    /// Seconds in which faults begin.
+    /// Duration of a schedule, s.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
     /// Faults.
@@ -87,131 +91,166 @@
     faults: usize,
 }
 
-impl Draw {
-    fn schedule(&self, seed: u64) -> Schedule {
-        Schedule::draw(seed, self.processes, self.seconds, self.faults)
+impl GeneratorArguments {
+    fn generate(&self, seed: u64) -> Schedule {
+        Schedule::generate(seed, self.processes, self.seconds, self.faults)
     }
 }
 
+/// The exit code of an error.
+const EXIT_ERROR: u8 = 2;
+
 fn main() -> ExitCode {
-    rig::end_on_interrupt();
-    match act(Call::parse().what) {
+    cluster::exit_on_interrupt();
+    match execute(Arguments::parse().command) {
         Ok(code) => code,
         Err(error) => {
             eprintln!("cometspool-fault-injection: {error}");
-            ExitCode::from(2)
+            ExitCode::from(EXIT_ERROR)
         }
     }
 }
 
-fn act(what: What) -> Result<ExitCode, Box<dyn std::error::Error>> {
-    match what {
-        What::Play {
+fn execute(command: Command) -> Result<ExitCode, Box<dyn Error>> {
+    match command {
+        Command::Run {
             file,
-            draw,
+            generator,
             runs,
             history,
             cores,
         } => {
-            let schedules: Vec<Schedule> = match file {
-                Some(file) => vec![Schedule::read(&std::fs::read_to_string(file)?)?],
-                None => (draw.seed..draw.seed + runs)
-                    .map(|seed| draw.schedule(seed))
+            let schedules = match file {
+                Some(file) => vec![read_schedule(&file)?],
+                None => (generator.seed..generator.seed + runs)
+                    .map(|seed| generator.generate(seed))
                     .collect(),
             };
-            let mut broken = 0;
-            for schedule in schedules {
-                let outcome = play(&schedule, history.clone(), cores.clone())?;
-                broken += u64::from(!outcome.violations.is_empty());
-                report(&schedule, &outcome);
-            }
-            Ok(if broken == 0 {
-                ExitCode::SUCCESS
-            } else {
-                ExitCode::FAILURE
-            })
+            run_schedules(&schedules, history.as_ref(), cores.as_ref())
         }
-        What::Draw(draw) => {
-            print!("{}", draw.schedule(draw.seed).write());
+        Command::Generate(generator) => {
+            print!("{}", generator.generate(generator.seed).write());
             Ok(ExitCode::SUCCESS)
         }
-        What::Shrink { file, tries } => {
-            let schedule = Schedule::read(&std::fs::read_to_string(file)?)?;
-            let mut played = 0;
-            let fails = |schedule: &Schedule| {
-                (0..tries).any(|_| {
-                    played += 1;
-                    play(schedule, None, None).is_ok_and(|outcome| !outcome.violations.is_empty())
-                })
-            };
-            let least = shrink(&schedule, fails);
-            println!(
-                "# {} of {} faults after {played} plays",
-                least.faults.len(),
-                schedule.faults.len()
-            );
-            print!("{}", least.write());
+        Command::Shrink { file, tries } => {
+            shrink_schedule(&read_schedule(&file)?, tries);
             Ok(ExitCode::SUCCESS)
         }
-        What::Check { file } => {
-            let found = check::all(&history::read(&std::fs::read_to_string(file)?)?);
-            found.iter().for_each(|violation| println!("{violation}"));
-            println!("{} broken", found.len());
-            Ok(if found.is_empty() {
-                ExitCode::SUCCESS
-            } else {
-                ExitCode::FAILURE
-            })
-        }
-        What::Instructions {
+        Command::Check { file } => check_history(&file),
+        Command::Instructions {
             count,
             fleet,
             processes,
-            plays,
+            repetitions,
         } => {
-            let counted: Result<Vec<f64>, _> = (0..plays)
-                .map(|_| cost::instructions(count, fleet, processes))
-                .collect();
-            let mut counted = counted?;
-            counted.sort_by(f64::total_cmp);
-            if let (Some(least), Some(median), Some(most)) =
-                (counted.first(), counted.get(plays / 2), counted.last())
-            {
-                println!(
-                    "instructions a request: {median:.0} ({least:.0} to {most:.0}), {plays} plays of {count}"
-                );
-            }
+            count_instructions(count, fleet, processes, repetitions)?;
             Ok(ExitCode::SUCCESS)
         }
-        What::Cost { processes } => {
-            println!("{}", cost::table(processes)?);
+        Command::Cost { processes } => {
+            println!("{}", cost::cost_table(processes)?);
             Ok(ExitCode::SUCCESS)
         }
     }
 }
 
-/// A line for each run; for one that broke a rule, also what it takes to play it again.
-fn report(schedule: &Schedule, outcome: &Outcome) {
-    let figures = |map: &std::collections::BTreeMap<String, u64>| {
-        let shown = map
-            .iter()
-            .filter(|(_, count)| **count > 0)
-            .map(|(name, count)| format!("{name} {count}"));
-        shown.collect::<Vec<_>>().join(", ")
+fn read_schedule(file: &Path) -> Result<Schedule, Box<dyn Error>> {
+    Ok(Schedule::read(&std::fs::read_to_string(file)?)?)
+}
+
+fn run_schedules(
+    schedules: &[Schedule],
+    history: Option<&PathBuf>,
+    cores: Option<&String>,
+) -> Result<ExitCode, Box<dyn Error>> {
+    let mut any_violations = false;
+    for schedule in schedules {
+        let outcome = run(schedule, history.cloned(), cores.cloned())?;
+        any_violations |= !outcome.violations.is_empty();
+        print_outcome(schedule, &outcome);
+    }
+    Ok(exit_code(any_violations))
+}
+
+fn exit_code(any_violations: bool) -> ExitCode {
+    if any_violations {
+        ExitCode::FAILURE
+    } else {
+        ExitCode::SUCCESS
+    }
+}
+
+fn shrink_schedule(schedule: &Schedule, tries: u32) {
+    let mut runs = 0;
+    let fails = |candidate: &Schedule| {
+        (0..tries).any(|_| {
+            runs += 1;
+            run(candidate, None, None).is_ok_and(|outcome| !outcome.violations.is_empty())
+        })
     };
+    let smallest = shrink(schedule, fails);
+    println!(
+        "# {} of {} faults after {runs} plays",
+        smallest.faults.len(),
+        schedule.faults.len()
+    );
+    print!("{}", smallest.write());
+}
+
+fn check_history(file: &Path) -> Result<ExitCode, Box<dyn Error>> {
+    let events = history::read(&std::fs::read_to_string(file)?)?;
+    let violations = check::check_all(&events);
+    for violation in &violations {
+        println!("{violation}");
+    }
+    println!("{} broken", violations.len());
+    Ok(exit_code(!violations.is_empty()))
+}
+
+fn count_instructions(
+    count: usize,
+    fleet: Option<usize>,
+    processes: usize,
+    repetitions: usize,
+) -> Result<(), Box<dyn Error>> {
+    let mut results = (0..repetitions)
+        .map(|_| cost::instructions_per_request(count, fleet, processes))
+        .collect::<Result<Vec<f64>, _>>()?;
+    results.sort_by(f64::total_cmp);
+    if let (Some(least), Some(median), Some(most)) = (
+        results.first(),
+        results.get(repetitions / 2),
+        results.last(),
+    ) {
+        println!(
+            "instructions a request: {median:.0} ({least:.0} to {most:.0}), {repetitions} plays of {count}"
+        );
+    }
+    Ok(())
+}
+
+/// Prints a line for a run, and for one that broke a rule also the violations and the schedule, which can be run again.
+fn print_outcome(schedule: &Schedule, outcome: &RunOutcome) {
     println!(
         "seed {}: {} faults, {} broken; {}; links: {}",
         schedule.seed,
         schedule.faults.len(),
         outcome.violations.len(),
-        figures(&outcome.counted),
-        figures(&outcome.acted)
+        nonzero_counts(&outcome.event_counts),
+        nonzero_counts(&outcome.link_counters)
     );
     if !outcome.violations.is_empty() {
-        outcome
-            .violations
-            .iter()
-            .for_each(|violation| println!("  {violation}"));
+        for violation in &outcome.violations {
+            println!("  {violation}");
+        }
         println!("{}", schedule.write());
     }
 }
+
+fn nonzero_counts(counts: &BTreeMap<String, u64>) -> String {
+    let nonzero: Vec<String> = counts
+        .iter()
+        .filter(|(_, count)| **count > 0)
+        .map(|(name, count)| format!("{name} {count}"))
+        .collect();
+    nonzero.join(", ")
+}
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -1,10 +1,10 @@
-//! One process of the program: its configuration, folder, log, and what can be done to it.
+//! One process of the program in a cluster: its configuration, folder and log, and the faults that act on it.
 
-use crate::history::History;
+use crate::history::{History, CLUSTER};
 use crate::scripted_peers::program_path;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use serde_json::{json, Value};
+use serde_json::{json, Map, Value};
 use std::fs::OpenOptions;
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::{Path, PathBuf};
@@ -12,29 +12,37 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// A place in the fleet, with or without a process in it.
+/// The bits that [`Process::corrupt_file`] changes in one byte.
+const CORRUPTED_BITS: u8 = 0x10;
+
+/// A member of a cluster, whether or not its process is running.
 pub struct Process {
     /// Its name in the configuration, in logs and in the history.
     pub name: String,
-    /// What it is started with next, and what SIGHUP makes it read.
+    /// The configuration for its next start; [`Process::reload`] applies it while the process runs.
     pub config: Value,
     /// Its own folder.
     pub folder: PathBuf,
     history: Arc<History>,
     running: Option<Running>,
-    /// It was told to end by itself.
-    told: bool,
-    /// Cores that it may run on; any unless told.
+    /// Whether it got SIGTERM since its start.
+    is_terminating: bool,
+    /// The cores on which it may run, in the notation of `taskset`; `None` for all.
     pub cores: Option<String>,
 }
 
 struct Running {
     child: Child,
-    log: JoinHandle<()>,
+    /// The thread that reads its standard error.
+    log_reader: JoinHandle<()>,
 }
 
 impl Process {
-    /// A place for a process, in an own folder below `folder`.
+    /// Prepares a process with a folder of its own below `folder`, without starting it.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of a folder that cannot be created.
     pub fn new(
         name: &str,
         folder: &Path,
@@ -49,88 +57,104 @@
             folder,
             history,
             running: None,
-            told: false,
+            is_terminating: false,
             cores: None,
         })
     }
 
-    /// Where it keeps what is to outlive it.
-    pub fn data(&self) -> PathBuf {
+    /// The folder of the files that outlive the process.
+    pub fn data_folder(&self) -> PathBuf {
         self.folder.join("data")
     }
 
-    /// The id of the process that runs here.
+    /// The process id, if the process is running.
     pub fn id(&self) -> Option<u32> {
         self.running.as_ref().map(|running| running.child.id())
     }
 
-    /// Starts the program here. It ends with the thread that starts it, also if that is killed.
+    /// Starts the program. It ends with the thread that starts it, also if that is killed.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of a file that cannot be written or a program that cannot be started.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the process is running already.
     pub fn start(&mut self) -> io::Result<()> {
         assert!(self.running.is_none(), "{} runs already", self.name);
-        let path = self.write_config()?;
+        let config_path = self.write_config()?;
+        let mut child = self.command(&config_path).spawn()?;
+        let stderr = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
+        self.history.record(
+            CLUSTER,
+            "start",
+            json!({"process": self.name, "pid": child.id()}),
+        );
+        let log_file = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.folder.join("log"))?;
+        let name = self.name.clone();
+        let history = self.history.clone();
+        let log_reader = std::thread::spawn(move || {
+            record_log(BufReader::new(stderr), log_file, &name, &history);
+        });
+        self.running = Some(Running { child, log_reader });
+        Ok(())
+    }
+
+    fn command(&self, config_path: &Path) -> Command {
         let mut command = Command::new("setpriv");
         command.args(["--pdeathsig", "KILL", "--"]);
         if let Some(cores) = &self.cores {
             command.args(["taskset", "-c", cores]);
         }
-        // A write over the limit of a full disk is to be an error, as on a disk, and not the process's end.
+        // A write beyond the limit of a full disk must fail, as on a real disk, and not end the process.
         command.args(["env", "--ignore-signal=XFSZ"]);
         command
             .arg(program_path())
             .env_clear()
-            .env("BALANCER_CONFIG", &path);
-        command
+            .env("BALANCER_CONFIG", config_path)
             .env("TMPDIR", &self.folder)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped());
-        let mut child = command.spawn()?;
-        let said = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
-        self.history.note(
-            "rig",
-            "start",
-            json!({"process": self.name, "pid": child.id()}),
-        );
-        let file = OpenOptions::new()
-            .create(true)
-            .append(true)
-            .open(self.folder.join("log"))?;
-        let (name, history) = (self.name.clone(), self.history.clone());
-        let log = std::thread::spawn(move || keep_log(BufReader::new(said), file, &name, &history));
-        self.running = Some(Running { child, log });
-        Ok(())
+        command
     }
 
     fn write_config(&self) -> io::Result<PathBuf> {
-        let (path, fresh) = (
-            self.folder.join("config.json"),
-            self.folder.join("config.new"),
-        );
-        std::fs::write(&fresh, self.config.to_string())?;
-        std::fs::rename(&fresh, &path)?;
+        let path = self.folder.join("config.json");
+        let staged = self.folder.join("config.new");
+        std::fs::write(&staged, self.config.to_string())?;
+        std::fs::rename(&staged, &path)?;
         Ok(path)
     }
 
-    /// Sends a signal; nothing happens if no process runs here.
+    /// Sends a signal, if the process is running.
     pub fn signal(&mut self, signal: Signal) {
         let Some(id) = self.id() else { return };
-        self.told |= signal == Signal::SIGTERM;
-        self.history.note(
-            "rig",
+        self.is_terminating |= signal == Signal::SIGTERM;
+        self.history.record(
+            CLUSTER,
             "signal",
             json!({"process": self.name, "signal": signal.as_str()}),
         );
-        // It may have ended by itself: whoever waits for it sees that.
+        // The process may have ended by itself; whoever waits for it finds out.
         let _ = kill(Pid::from_raw(id as i32), signal);
     }
 
-    /// SIGKILL, and waits for the end.
+    /// Sends SIGKILL and waits for the end of the process.
     pub fn kill(&mut self) {
         self.signal(Signal::SIGKILL);
-        self.wait();
+        self.wait_for_exit();
     }
 
-    /// Replaces its configuration and tells it.
+    /// Changes the configuration, writes it and sends SIGHUP.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of a file that cannot be written.
     pub fn reload(&mut self, change: impl FnOnce(&mut Value)) -> io::Result<()> {
         change(&mut self.config);
         self.write_config()?;
@@ -138,171 +162,206 @@
         Ok(())
     }
 
-    /// Waits for its end; the log is read to its last line then.
-    pub fn wait(&mut self) -> Option<ExitStatus> {
-        let Running { mut child, log } = self.running.take()?;
-        self.told = false;
+    /// Waits for the end of the process; its log has been read to the last line then. `None` if it is not running.
+    pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
+        let Running {
+            mut child,
+            log_reader,
+        } = self.running.take()?;
+        self.is_terminating = false;
         let status = child.wait().ok();
-        // A log that panicked has said so.
-        let _ = log.join();
-        self.history.note(
-            "rig",
+        // If the thread panicked, it has printed why.
+        let _ = log_reader.join();
+        self.history.record(
+            CLUSTER,
             "ended",
-            json!({"process": self.name, "status": status.map(|s| s.to_string())}),
+            json!({"process": self.name, "status": status.map(|status| status.to_string())}),
         );
         status
     }
 
-    /// Waits for its end if it was told to end.
-    pub fn wait_if_told(&mut self) {
-        if self.told {
-            self.wait();
+    /// Waits for the end of the process if it got SIGTERM.
+    pub fn wait_if_terminating(&mut self) {
+        if self.is_terminating {
+            self.wait_for_exit();
         }
     }
 
-    /// Whether it has ended by itself.
-    pub fn crashed(&mut self) -> bool {
+    /// Whether the process has ended without success; its end, successful or not, is recorded.
+    pub fn has_crashed(&mut self) -> bool {
         let ended = self
             .running
             .as_mut()
             .is_some_and(|running| matches!(running.child.try_wait(), Ok(Some(_))));
-        ended && self.wait().is_some_and(|status| !status.success())
+        ended && self.wait_for_exit().is_some_and(|status| !status.success())
     }
 
-    // ---- The disk ------------------------------------------------------------------------------------
-
-    /// Takes away all that it kept: a machine with an empty disk. The process must not run.
-    pub fn wipe(&self) -> io::Result<()> {
-        self.at_rest("wipe", "")?;
-        std::fs::remove_dir_all(self.data())?;
-        std::fs::create_dir_all(self.data())
+    /// Removes all files that outlive the process, as on a machine with a new disk.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of a folder that cannot be removed or created.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the process is running, as do all functions that change its files.
+    pub fn wipe_disk(&self) -> io::Result<()> {
+        self.record_disk_fault("wipe", "");
+        std::fs::remove_dir_all(self.data_folder())?;
+        std::fs::create_dir_all(self.data_folder())
     }
 
-    /// Keeps a copy of what it holds now, for [`Process::put_back`].
+    /// Copies its files for [`Process::restore_backup`].
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of a file that cannot be copied.
     pub fn back_up(&self) -> io::Result<()> {
-        self.at_rest("back-up", "")?;
+        self.record_disk_fault("back-up", "");
         let backup = self.folder.join("backup");
         if backup.exists() {
             std::fs::remove_dir_all(&backup)?;
         }
-        copy(&self.data(), &backup)
+        copy_folder(&self.data_folder(), &backup)
     }
 
-    /// Puts the copy in the place of what it holds: a store that is older than it was.
-    pub fn put_back(&self) -> io::Result<()> {
-        self.at_rest("put-back", "")?;
-        std::fs::remove_dir_all(self.data())?;
-        copy(&self.folder.join("backup"), &self.data())
+    /// Replaces its files by the copy, so that the process starts with an older state.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of a file that cannot be copied.
+    pub fn restore_backup(&self) -> io::Result<()> {
+        self.record_disk_fault("put-back", "");
+        std::fs::remove_dir_all(self.data_folder())?;
+        copy_folder(&self.folder.join("backup"), &self.data_folder())
     }
 
-    /// Cuts `bytes` off the end of one of its files: a write that a crash left torn.
-    pub fn tear(&self, file: &str, bytes: u64) -> io::Result<()> {
-        self.at_rest("tear", file)?;
+    /// Cuts `bytes` off the end of one of its files, as a crash in the middle of a write does.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of a file that cannot be opened or truncated.
+    pub fn truncate_file(&self, file: &str, bytes: u64) -> io::Result<()> {
+        self.record_disk_fault("tear", file);
         let file = OpenOptions::new()
             .write(true)
-            .open(self.data().join(file))?;
+            .open(self.data_folder().join(file))?;
         file.set_len(file.metadata()?.len().saturating_sub(bytes))
     }
 
     /// Changes one byte in the middle of one of its files.
-    pub fn damage(&self, file: &str) -> io::Result<()> {
-        self.at_rest("damage", file)?;
-        let path = self.data().join(file);
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of a file that cannot be read or written, or that is empty.
+    pub fn corrupt_file(&self, file: &str) -> io::Result<()> {
+        self.record_disk_fault("damage", file);
+        let path = self.data_folder().join(file);
         let mut bytes = std::fs::read(&path)?;
         let middle = bytes.len() / 2;
-        *bytes.get_mut(middle).ok_or(io::ErrorKind::UnexpectedEof)? ^= 0x10;
+        *bytes.get_mut(middle).ok_or(io::ErrorKind::UnexpectedEof)? ^= CORRUPTED_BITS;
         std::fs::write(path, bytes)
     }
 
-    /// Lets no file of the process grow, or takes that back: to it the disk is full (the error is EFBIG and not ENOSPC).
-    pub fn fill(&self, full: bool) -> io::Result<()> {
+    /// Sets or lifts a limit under which no file of the process can grow. A write beyond it fails with EFBIG, where a full
+    /// disk says ENOSPC.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of a `prlimit` that cannot be started or fails.
+    pub fn set_disk_full(&self, full: bool) -> io::Result<()> {
         let Some(id) = self.id() else { return Ok(()) };
         self.history
-            .note("rig", "disk", json!({"process": self.name, "full": full}));
+            .record(CLUSTER, "disk", json!({"process": self.name, "full": full}));
         let limit = format!("--fsize={}", if full { "0:" } else { "unlimited:" });
-        let set = Command::new("prlimit")
+        let status = Command::new("prlimit")
             .args(["--pid", &id.to_string(), &limit])
             .status()?;
         // A process that has ended meanwhile has no limit to set.
-        let gone = !Path::new("/proc").join(id.to_string()).exists();
-        if set.success() || gone {
+        let is_gone = !Path::new("/proc").join(id.to_string()).exists();
+        if status.success() || is_gone {
             Ok(())
         } else {
-            Err(io::Error::other(format!("prlimit: {set}")))
+            Err(io::Error::other(format!("prlimit: {status}")))
         }
     }
 
-    fn at_rest(&self, what: &str, file: &str) -> io::Result<()> {
+    /// Records a fault on its files, which must not be in use.
+    fn record_disk_fault(&self, kind: &str, file: &str) {
         assert!(
             self.running.is_none(),
-            "{} runs: its disk is its own",
+            "{} is running and uses its disk",
             self.name
         );
         self.history
-            .note("rig", what, json!({"process": self.name, "file": file}));
-        Ok(())
+            .record(CLUSTER, kind, json!({"process": self.name, "file": file}));
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
         if let Some(running) = &mut self.running {
-            // It may have ended already.
+            // The process may have ended already.
             let _ = running.child.kill();
             let _ = running.child.wait();
         }
     }
 }
 
-fn copy(from: &Path, to: &Path) -> io::Result<()> {
+fn copy_folder(from: &Path, to: &Path) -> io::Result<()> {
     std::fs::create_dir_all(to)?;
     for entry in std::fs::read_dir(from)? {
         let entry = entry?;
+        let target = to.join(entry.file_name());
         if entry.file_type()?.is_dir() {
-            copy(&entry.path(), &to.join(entry.file_name()))?;
+            copy_folder(&entry.path(), &target)?;
         } else {
-            std::fs::copy(entry.path(), to.join(entry.file_name()))?;
+            std::fs::copy(entry.path(), target)?;
         }
     }
     Ok(())
 }
 
-/// Keeps what a process says: all of it in its log, each JSON line also as an event of its own.
-fn keep_log(said: impl BufRead, mut file: impl Write, name: &str, history: &History) {
-    for line in said.split(b'\n') {
+/// Copies the log of a process to a file, and records each line as an event: a JSON object as an event of its own kind.
+fn record_log(log: impl BufRead, mut file: impl Write, name: &str, history: &History) {
+    for line in log.split(b'\n') {
         let Ok(line) = line else { return };
         let line = String::from_utf8_lossy(&line);
-        // A full disk of the machine that tests is seen by what is missing from the file.
+        // If the disk of the machine that runs the test is full, the file is incomplete; the history is not.
         let _ = writeln!(file, "{line}");
         let object = line
             .starts_with('{')
-            .then(|| serde_json::from_str::<Value>(&line).ok())
+            .then(|| serde_json::from_str::<Map<String, Value>>(&line).ok())
             .flatten();
         match object {
             Some(mut object) => {
-                let what = object
-                    .get("what")
-                    .and_then(Value::as_str)
-                    .unwrap_or("says")
-                    .to_owned();
-                if let Some(object) = object.as_object_mut() {
-                    object.remove("what");
-                    // The history has its own; the process's own reading of the clock stays under this name.
-                    if let Some(at) = object.remove("at_us") {
-                        object.insert("said_us".to_owned(), at);
-                    }
-                    object.remove("who");
-                    // Counters are a value of their own within the line.
-                    let status = object.remove("status");
-                    let status =
-                        status.and_then(|text| serde_json::from_str::<Value>(text.as_str()?).ok());
-                    if let Some(Value::Object(status)) = status {
-                        object.extend(status);
-                    }
-                }
-                history.note(name, &what, object);
+                let kind = prepare_event(&mut object);
+                history.record(name, &kind, Value::Object(object));
             }
-            None => history.note(name, "line", json!({"text": line})),
+            None => history.record(name, "line", json!({"text": line})),
         }
     }
 }
+
+/// Turns a JSON line into the fields of an event, and returns its kind.
+fn prepare_event(object: &mut Map<String, Value>) -> String {
+    let kind = object
+        .get("what")
+        .and_then(Value::as_str)
+        .unwrap_or("says")
+        .to_owned();
+    object.remove("what");
+    // The history has a time of its own; the time that the process read from its clock keeps this name.
+    if let Some(time) = object.remove("at_us") {
+        object.insert("said_us".to_owned(), time);
+    }
+    object.remove("who");
+    // Counters are a JSON text within the line.
+    let status = object
+        .remove("status")
+        .and_then(|text| serde_json::from_str::<Value>(text.as_str()?).ok());
+    if let Some(Value::Object(status)) = status {
+        object.extend(status);
+    }
+    kind
+}
--- a/crates/fault-injection/src/scripted_peers/fixture.rs
+++ b/crates/fault-injection/src/scripted_peers/fixture.rs
@@ -1,7 +1,7 @@
 //! A front door with scripted peers, its settings, and well-formed requests to it.
 
 use super::listener::try_accept_any;
-use super::{wait_for, FrontDoorProcess, ScriptedConnection, TestListener, WatchStream};
+use super::{wait_for, GatewayProcess, ScriptedConnection, TestListener, WatchStream};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
@@ -42,7 +42,7 @@
 /// A front door with scripted backends and a scripted discovery service whose endpoint list it watches.
 pub struct TestFixture {
     /// The front door.
-    pub program: FrontDoorProcess,
+    pub program: GatewayProcess,
     /// The listener of the discovery service.
     pub discovery: TestListener,
     /// The open watch of the endpoint list.
@@ -66,7 +66,7 @@
             .enumerate()
             .map(|(i, backend)| endpoint(&format!("s-{i}"), backend.address(), "up"))
             .collect();
-        let program = FrontDoorProcess::start(
+        let program = GatewayProcess::start(
             settings,
             discovery.address(),
             endpoint_list(7, true, &hosts),
--- a/crates/fault-injection/src/scripted_peers/front_door_process.rs
+++ b/crates/fault-injection/src/scripted_peers/gateway_process.rs
@@ -13,8 +13,8 @@
 /// Numbers the temporary files of this process.
 static FILES: AtomicU32 = AtomicU32::new(0);
 
-/// A running front door that serves clients.
-pub struct FrontDoorProcess {
+/// A running gateway ("front door") that serves clients.
+pub struct GatewayProcess {
     /// The process.
     pub child: Child,
     /// The address on which it serves clients.
@@ -79,11 +79,11 @@
     }
 }
 
-impl FrontDoorProcess {
+impl GatewayProcess {
     /// Starts the program with these settings, the address of a discovery service, and an initial endpoint list (JSON
     /// null for none).
-    pub fn start(settings: Value, discovery: SocketAddr, known: Value) -> FrontDoorProcess {
-        FrontDoorProcess::start_with_descriptor_limit(256, settings, discovery, known)
+    pub fn start(settings: Value, discovery: SocketAddr, known: Value) -> GatewayProcess {
+        GatewayProcess::start_with_descriptor_limit(256, settings, discovery, known)
     }
 
     /// Starts the program with a limit on its file descriptors.
@@ -92,9 +92,9 @@
         settings: Value,
         discovery: SocketAddr,
         known: Value,
-    ) -> FrontDoorProcess {
+    ) -> GatewayProcess {
         let limits = json!({"cores": 1.0, "memory_mb": 192, "sockets": descriptors});
-        FrontDoorProcess::start_with_limits(limits, settings, discovery, known)
+        GatewayProcess::start_with_limits(limits, settings, discovery, known)
     }
 
     /// Starts the program with a limit on its memory, in megabytes.
@@ -103,9 +103,9 @@
         settings: Value,
         discovery: SocketAddr,
         known: Value,
-    ) -> FrontDoorProcess {
+    ) -> GatewayProcess {
         let limits = json!({"cores": 1.0, "memory_mb": megabytes, "sockets": 256});
-        FrontDoorProcess::start_with_limits(limits, settings, discovery, known)
+        GatewayProcess::start_with_limits(limits, settings, discovery, known)
     }
 
     fn start_with_limits(
@@ -113,15 +113,15 @@
         settings: Value,
         discovery: SocketAddr,
         known: Value,
-    ) -> FrontDoorProcess {
-        FrontDoorProcess::start_with_configuration(json!({
+    ) -> GatewayProcess {
+        GatewayProcess::start_with_configuration(json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
             "limits": limits, "known": known, "settings": settings,
         }))
     }
 
     /// Starts the program with this configuration, and waits until it serves.
-    pub fn start_with_configuration(config: Value) -> FrontDoorProcess {
+    pub fn start_with_configuration(config: Value) -> GatewayProcess {
         // As in service, the variable and the file name the same address.
         let variable = [("BALANCER_DISCOVERY", config["discovery"].as_str().unwrap())];
         let mut spawned = spawn_with_configuration(&config.to_string(), &variable);
@@ -134,7 +134,7 @@
             .next()
             .and_then(|text| text.parse().ok());
         let address = address.unwrap_or_else(|| panic!("no address in {line:?}"));
-        FrontDoorProcess {
+        GatewayProcess {
             child: spawned.child,
             address,
             log,
@@ -203,7 +203,7 @@
     }
 }
 
-impl Drop for FrontDoorProcess {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         // The process may have exited already, and a test may have removed the file.
         let _ = self.child.kill();
--- a/crates/fault-injection/src/scripted_peers/mod.rs
+++ b/crates/fault-injection/src/scripted_peers/mod.rs
@@ -1,20 +1,20 @@
 //! Scripted clients, backends and discovery services: a test plays each peer of one front door message by message.
 //!
-//! The front door is the built program in a process of its own ([`FrontDoorProcess`]); all traffic runs over loopback
+//! The front door is the built program in a process of its own ([`GatewayProcess`]); all traffic runs over loopback
 //! sockets. A scripted peer reads a request before it responds: a response that comes before its request makes an HTTP
 //! client close the connection. Nothing here sleeps. Whatever does not happen within [`MAX_WAIT`] fails the test with a
 //! panic.
 
 mod connection;
 mod fixture;
-mod front_door_process;
+mod gateway_process;
 mod listener;
 mod socket_table;
 
 pub use connection::{Message, ScriptedConnection, WatchStream};
 pub use fixture::{default_settings, endpoint, endpoint_list, request, request_with, TestFixture};
-pub use front_door_process::{
-    program_path, spawn_with_configuration, temporary_path, FrontDoorProcess, SpawnedProgram,
+pub use gateway_process::{
+    program_path, spawn_with_configuration, temporary_path, GatewayProcess, SpawnedProgram,
 };
 pub use listener::{
     accept_any_unless_answered, listener_with_full_backlog, refusing_address, FullBacklog,
--- a/crates/fault-injection/tests/schedule.rs
+++ b/crates/fault-injection/tests/schedules.rs
@@ -1,15 +1,18 @@
-//! Schedules: read and written, drawn alike from one seed, cut down to what fails.
+//! Schedules: reading and writing, generation from a seed, and shrinking.
 
-use cometspool_fault_injection::schedule::{shrink, Act, Schedule};
+use cometspool_fault_injection::schedule::{shrink, FaultAction, Schedule};
 
-/// Guards the text form: what is drawn can be written, read and played again; a seed draws the same each time; a number that
-/// stands for nothing is named.
+/// A generated schedule can be written and read; a seed generates the same schedule each time; an error names the number of
+/// a process that does not exist.
 #[test]
-fn what_is_drawn_can_be_written_and_read() {
+fn generated_schedules_survive_writing_and_reading() {
     for seed in 0..200 {
-        let drawn = Schedule::draw(seed, 5, 10.0, 8);
-        assert_eq!(drawn, Schedule::draw(seed, 5, 10.0, 8));
-        assert_eq!(Schedule::read(&drawn.write()).expect("a schedule"), drawn);
+        let schedule = Schedule::generate(seed, 5, 10.0, 8);
+        assert_eq!(schedule, Schedule::generate(seed, 5, 10.0, 8));
+        assert_eq!(
+            Schedule::read(&schedule.write()).expect("a schedule"),
+            schedule
+        );
     }
     let text =
         "seed = 1\nprocesses = 2\nseconds = 1.0\n[[fault]]\nat = 0\nact = \"pause\"\nwho = [2]\n";
@@ -21,39 +24,39 @@
     assert!(Schedule::read("seed = 1\nprocesses = 2\nseconds = 1.0\nnonsense = 1\n").is_err());
 }
 
-/// Guards the cutting down: of twenty faults the two that matter stay, in their order, and no play is of more than before.
+/// Shrinking keeps the two faults of twenty that matter, in their order, and no candidate has more faults than the schedule.
 #[test]
-fn a_failing_schedule_is_cut_down_to_what_fails() {
-    let (drawn, kill, cut) = (0..100)
+fn shrinking_keeps_only_the_faults_that_matter() {
+    let (schedule, kill, blackhole) = (0..100)
         .find_map(|seed| {
-            let drawn = Schedule::draw(seed, 5, 10.0, 20);
-            let kill = drawn
+            let schedule = Schedule::generate(seed, 5, 10.0, 20);
+            let kill = schedule
                 .faults
                 .iter()
-                .position(|fault| matches!(fault.act, Act::Kill { .. }))?;
-            let cut = drawn
+                .position(|fault| matches!(fault.action, FaultAction::Kill { .. }))?;
+            let blackhole = schedule
                 .faults
                 .iter()
-                .position(|fault| matches!(fault.act, Act::Cut { .. }))?;
-            Some((drawn, kill, cut))
+                .position(|fault| matches!(fault.action, FaultAction::Blackhole { .. }))?;
+            Some((schedule, kill, blackhole))
         })
-        .expect("a schedule with a kill and a cut");
-    let has = |schedule: &Schedule, number: usize| {
-        schedule
+        .expect("a schedule with a kill and a blackhole");
+    let contains = |candidate: &Schedule, index: usize| {
+        candidate
             .faults
             .iter()
-            .any(|fault| fault.act == drawn.faults[number].act)
+            .any(|fault| fault.action == schedule.faults[index].action)
     };
-    let mut played = 0;
-    let least = shrink(&drawn, |schedule| {
-        played += 1;
-        assert!(schedule.faults.len() <= drawn.faults.len());
-        has(schedule, kill) && has(schedule, cut)
+    let mut runs = 0;
+    let smallest = shrink(&schedule, |candidate| {
+        runs += 1;
+        assert!(candidate.faults.len() <= schedule.faults.len());
+        contains(candidate, kill) && contains(candidate, blackhole)
     });
-    assert_eq!(least.faults.len(), 2);
+    assert_eq!(smallest.faults.len(), 2);
     assert!(
-        has(&least, kill) && has(&least, cut) && played < 100,
-        "{played} plays"
+        contains(&smallest, kill) && contains(&smallest, blackhole) && runs < 100,
+        "{runs} runs"
     );
 }
 
@@ -71,28 +74,29 @@
 #[test]
 fn a_seed_generates_the_same_schedule_in_every_version() {
     for (seed, processes, seconds, faults, text) in GENERATED {
-        let schedule = Schedule::draw(seed, processes, seconds, faults);
+        let schedule = Schedule::generate(seed, processes, seconds, faults);
         assert_eq!(schedule.write(), text, "seed {seed}");
     }
     let mut digest = 0xcbf2_9ce4_8422_2325_u64;
     for seed in 0..500 {
-        for byte in Schedule::draw(seed, 5, 10.0, 8).write().bytes() {
+        for byte in Schedule::generate(seed, 5, 10.0, 8).write().bytes() {
             digest = (digest ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
     }
     assert_eq!(digest, DIGEST, "{digest:#x}");
 }
 
-/// The names of fields in schedules, histories and figures are read by tools and by stored files.
+/// The names of fields in schedules, histories and reports are read by tools and by stored files.
 #[test]
 fn the_stored_forms_keep_their_field_names() {
     let keys = |value: serde_json::Value| -> Vec<String> {
         let map = value.as_object().expect("an object");
         map.keys().cloned().collect()
     };
-    let quality = serde_json::to_value(cometspool_fault_injection::link::Quality::default());
+    let conditions =
+        serde_json::to_value(cometspool_fault_injection::link::LinkConditions::default());
     assert_eq!(
-        keys(quality.expect("a value")),
+        keys(conditions.expect("a value")),
         [
             "bytes_per_s",
             "cut",
@@ -105,14 +109,15 @@
             "spread_ms",
         ]
     );
-    let manner = serde_json::to_value(cometspool_fault_injection::standins::Manner::default());
+    let behavior =
+        serde_json::to_value(cometspool_fault_injection::stub_services::BackendBehavior::default());
     assert_eq!(
-        keys(manner.expect("a value")),
+        keys(behavior.expect("a value")),
         ["fails", "full", "hangs", "slots", "work_ms"]
     );
-    let acted = cometspool_fault_injection::link::Acted::default();
+    let counters = cometspool_fault_injection::link::LinkCounters::default();
     assert_eq!(
-        keys(acted.figures()),
+        keys(counters.to_json()),
         [
             "bytes",
             "damaged",
@@ -128,7 +133,7 @@
         ]
     );
     let history = cometspool_fault_injection::history::History::default();
-    history.note("rig", "start", serde_json::json!({"process": "n0"}));
+    history.record("rig", "start", serde_json::json!({"process": "n0"}));
     let event = serde_json::to_value(&history.events()[0]);
     assert_eq!(
         keys(event.expect("a value")),
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -17,10 +17,10 @@
 const WATCH: &str = "GET /catalog/members?watch=1&from=1 HTTP/1.1";
 
 /// A front door with few descriptors, its discovery, and the one backend that it knows.
-fn tight_front_door() -> (FrontDoorProcess, TestListener, TestListener) {
+fn tight_front_door() -> (GatewayProcess, TestListener, TestListener) {
     let (discovery, backend) = (TestListener::new(), TestListener::new());
     let known = endpoint_list(1, true, &[endpoint("s-0", backend.address(), "up")]);
-    let program = FrontDoorProcess::start_with_descriptor_limit(
+    let program = GatewayProcess::start_with_descriptor_limit(
         SOCKETS,
         default_settings(),
         discovery.address(),
@@ -29,7 +29,7 @@
     (program, discovery, backend)
 }
 
-fn assert_healthy(program: &FrontDoorProcess) -> ScriptedConnection {
+fn assert_healthy(program: &GatewayProcess) -> ScriptedConnection {
     let mut client = program.connect_client();
     client.write(HEALTH);
     assert_eq!(client.read().status(), 200);
@@ -37,7 +37,7 @@
 }
 
 /// Idle clients, every fourth of which has asked something before.
-fn idle_clients(program: &FrontDoorProcess, count: usize) -> Vec<ScriptedConnection> {
+fn idle_clients(program: &GatewayProcess, count: usize) -> Vec<ScriptedConnection> {
     (0..count)
         .map(|i| {
             if i % 4 == 0 {
@@ -50,7 +50,7 @@
 }
 
 /// A request by a new client gets to this backend and is served.
-fn assert_served(program: &FrontDoorProcess, backend: &TestListener, id: &str) {
+fn assert_served(program: &GatewayProcess, backend: &TestListener, id: &str) {
     let mut client = program.connect_client();
     client.write(request_with(id, "read", "wide", "8"));
     let mut wire = backend
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,43 +1,43 @@
 //! Several processes of the program under faults, on the rig.
 
-use cometspool_fault_injection::load::Pace;
-use cometspool_fault_injection::{check, Plan, Rig};
+use cometspool_fault_injection::load_generator::LoadProfile;
+use cometspool_fault_injection::{check, Cluster, ClusterConfig};
 use nix::sys::signal::Signal;
 
 /// Guards the rig's own ground on the program as it was before front doors spoke to each other: under load, a process
 /// that is killed, one that stands still and one that is stopped break no rule, and those that went on lose nothing.
 #[test]
 fn processes_that_share_nothing_keep_the_rules_under_kills_and_pauses() {
-    let mut rig = Rig::start(&Plan {
+    let mut rig = Cluster::start(&ClusterConfig {
         processes: 4,
         fleet: None,
-        ..Plan::default()
+        ..ClusterConfig::default()
     })
     .expect("a rig");
-    let load = rig.load(Pace::default());
-    rig.wait("all four taken in", |_| {
-        (load.taken_in() == 4).then_some(())
+    let load = rig.start_load(LoadProfile::default());
+    rig.wait_for("all four taken in", |_| {
+        (load.gateways_in_rotation() == 4).then_some(())
     });
-    let more = |rig: &mut Rig, count: u64| {
-        let until = load.asked() + count;
-        rig.wait("more requests", |_| (load.asked() >= until).then_some(()));
+    let more = |rig: &mut Cluster, count: u64| {
+        let until = load.sent() + count;
+        rig.wait_for("more requests", |_| (load.sent() >= until).then_some(()));
     };
     more(&mut rig, 50);
     rig.processes[0].kill();
     more(&mut rig, 50);
     rig.processes[1].signal(Signal::SIGSTOP);
-    rig.start_one(0).expect("a start");
+    rig.start_process(0).expect("a start");
     more(&mut rig, 50);
     rig.processes[1].signal(Signal::SIGCONT);
     rig.processes[2].signal(Signal::SIGTERM);
-    rig.processes[2].wait();
-    rig.start_one(2).expect("a start");
-    rig.await_serving();
+    rig.processes[2].wait_for_exit();
+    rig.start_process(2).expect("a start");
+    rig.wait_until_serving();
     more(&mut rig, 50);
-    rig.settle(&load);
+    rig.finish_load(&load);
     let events = rig.history.events();
-    assert_eq!(check::all(&events), []);
-    let count = |what: &str| events.iter().filter(|event| event.what == what).count();
+    assert_eq!(check::check_all(&events), []);
+    let count = |what: &str| events.iter().filter(|event| event.kind == what).count();
     assert!(
         count("asked") >= 200 && count("ran") >= 100,
         "{} asked, {} ran",
@@ -51,19 +51,21 @@
 /// predecessor left is still refused to run again.
 #[test]
 fn a_full_disk_and_a_clock_that_is_set_stop_nobody() {
-    let plan = Plan {
+    let plan = ClusterConfig {
         processes: 2,
         fleet: None,
         handover: true,
-        ..Plan::default()
+        ..ClusterConfig::default()
     };
-    let mut rig = Rig::start(&plan).expect("a rig");
-    let load = rig.load(Pace::default());
-    rig.wait("both taken in", |_| (load.taken_in() == 2).then_some(()));
-    let said = |rig: &mut Rig, text: &str| {
-        rig.wait(text, |rig| {
+    let mut rig = Cluster::start(&plan).expect("a rig");
+    let load = rig.start_load(LoadProfile::default());
+    rig.wait_for("both taken in", |_| {
+        (load.gateways_in_rotation() == 2).then_some(())
+    });
+    let said = |rig: &mut Cluster, text: &str| {
+        rig.wait_for(text, |rig| {
             let says = |event: &cometspool_fault_injection::history::Event| {
-                event.who == "n0" && event.text("text").contains(text)
+                event.source == "n0" && event.text("text").contains(text)
             };
             rig.history
                 .read(|events| events.iter().any(says).then_some(()))
@@ -73,13 +75,14 @@
         .reload(|config| config["clock"] = serde_json::json!({"ahead_ms": -3_600_000}))
         .expect("told");
     said(&mut rig, "discovery is at");
-    rig.processes[0].fill(true).expect("a limit");
+    rig.processes[0].set_disk_full(true).expect("a limit");
     said(&mut rig, "nothing more is handed over for now");
-    let until = load.asked() + 100;
-    rig.wait("more requests", |_| (load.asked() >= until).then_some(()));
-    rig.processes[0].fill(false).expect("no limit");
+    let until = load.sent() + 100;
+    rig.wait_for("more requests", |_| (load.sent() >= until).then_some(()));
+    rig.processes[0].set_disk_full(false).expect("no limit");
     said(&mut rig, "handed over again");
-    let file = std::fs::read_to_string(rig.processes[0].data().join("handover")).expect("the file");
+    let file =
+        std::fs::read_to_string(rig.processes[0].data_folder().join("handover")).expect("the file");
     let ends: Vec<f64> = file
         .lines()
         .filter_map(|line| line.split(' ').nth(1)?.parse().ok())
@@ -92,16 +95,16 @@
     let late = |end: &f64| *end > now as f64 - 1_800_000.0;
     assert!(!ends.is_empty() && ends.iter().all(late), "{file}");
     rig.processes[0].kill();
-    rig.start_one(0).expect("a start");
-    rig.await_serving();
-    rig.settle(&load);
-    assert_eq!(check::all(&rig.history.events()), []);
+    rig.start_process(0).expect("a start");
+    rig.wait_until_serving();
+    rig.finish_load(&load);
+    assert_eq!(check::check_all(&rig.history.events()), []);
 }
 
 /// A counter of the way that a process tells.
-fn way(rig: &Rig, i: usize, name: &str) -> u64 {
-    rig.told(i)
-        .and_then(|event| event.more["way"][name].as_u64())
+fn way(rig: &Cluster, i: usize, name: &str) -> u64 {
+    rig.last_fleet_report(i)
+        .and_then(|event| event.fields["way"][name].as_u64())
         .unwrap_or_default()
 }
 
@@ -111,22 +114,22 @@
 fn processes_find_lose_and_find_each_other() {
     // With all that the live size paces switched on.
     let pace = serde_json::json!({"pace": {"discovery": true, "dials": true, "trials": true}});
-    let plan = Plan {
+    let plan = ClusterConfig {
         processes: 6,
         fleet: Some(pace),
-        ..Plan::default()
+        ..ClusterConfig::default()
     };
-    let mut rig = Rig::start(&plan).expect("a rig");
-    let load = rig.load(Pace {
-        per_s: 40.0,
-        ..Pace::default()
+    let mut rig = Cluster::start(&plan).expect("a rig");
+    let load = rig.start_load(LoadProfile {
+        requests_per_s: 40.0,
+        ..LoadProfile::default()
     });
     let all = [0, 1, 2, 3, 4, 5];
-    rig.agree(&all, "six that know each other");
-    rig.wait("the loads of all at each", |rig| {
+    rig.wait_for_agreement(&all, "six that know each other");
+    rig.wait_for("the loads of all at each", |rig| {
         let known = |i| {
-            rig.told(i).and_then(|event| {
-                event.more["members"]["loads"]
+            rig.last_fleet_report(i).and_then(|event| {
+                event.fields["members"]["loads"]
                     .as_object()
                     .map(serde_json::Map::len)
             })
@@ -134,36 +137,36 @@
         all.iter().all(|i| known(*i) == Some(6)).then_some(())
     });
     rig.processes[5].kill();
-    rig.agree(&all[..5], "five that miss one");
-    rig.start_one(5).expect("a start");
-    rig.agree(&all, "six again");
+    rig.wait_for_agreement(&all[..5], "five that miss one");
+    rig.start_process(5).expect("a start");
+    rig.wait_for_agreement(&all, "six again");
     rig.processes[4].signal(Signal::SIGSTOP);
-    rig.agree(&[0, 1, 2, 3, 5], "five without the one that stands still");
+    rig.wait_for_agreement(&[0, 1, 2, 3, 5], "five without the one that stands still");
     rig.processes[4].signal(Signal::SIGCONT);
-    rig.agree(&all, "six after it woke");
-    rig.split(&[&[0, 1], &[2, 3], &[4, 5]]);
+    rig.wait_for_agreement(&all, "six after it woke");
+    rig.partition(&[&[0, 1], &[2, 3], &[4, 5]]);
     for third in [[0, 1], [2, 3], [4, 5]] {
-        rig.agree(&third, "a third on its own");
+        rig.wait_for_agreement(&third, "a third on its own");
     }
-    rig.heal();
-    rig.agree(&all, "six after the split");
+    rig.heal_links();
+    rig.wait_for_agreement(&all, "six after the split");
     rig.processes[0].signal(Signal::SIGTERM);
-    rig.processes[0].wait();
-    rig.agree(&all[1..], "five after one left");
-    rig.settle(&load);
+    rig.processes[0].wait_for_exit();
+    rig.wait_for_agreement(&all[1..], "five after one left");
+    rig.finish_load(&load);
     let events = rig.history.events();
-    assert_eq!(check::all(&events), []);
+    assert_eq!(check::check_all(&events), []);
     let saw = |by: &str, change: &str, member: &str| {
         let seen = |event: &&cometspool_fault_injection::history::Event| {
-            event.who == by
-                && event.what == "member"
+            event.source == by
+                && event.kind == "member"
                 && event.text("change") == change
                 && event.text("member") == member
         };
         events.iter().filter(seen).count()
     };
     for i in 1..6 {
-        let by = cometspool_fault_injection::rig::name(i);
+        let by = cometspool_fault_injection::cluster::process_name(i);
         assert_eq!(
             (saw(&by, "left", "n0"), saw(&by, "failed", "n0") > 1),
             (1, false),
@@ -171,9 +174,9 @@
         );
     }
     assert!(
-        rig.acted()["lost"] > 100,
+        rig.link_counters()["lost"] > 100,
         "the split acted: {:?}",
-        rig.acted()
+        rig.link_counters()
     );
 }
 
@@ -182,12 +185,12 @@
 #[test]
 fn foreign_damaged_and_halved_frames_are_counted_and_end_their_connection() {
     use std::io::{Read, Write};
-    let mut rig = Rig::start(&Plan {
+    let mut rig = Cluster::start(&ClusterConfig {
         processes: 2,
-        ..Plan::default()
+        ..ClusterConfig::default()
     })
     .expect("a rig");
-    rig.agree(&[0, 1], "two that know each other");
+    rig.wait_for_agreement(&[0, 1], "two that know each other");
     let at: std::net::SocketAddr = rig.processes[0].config["fleet"]["listen"]
         .as_str()
         .unwrap()
@@ -207,41 +210,41 @@
         // It is closed, or reset for what it has not read.
         let _ = stream.read_to_end(&mut rest);
         assert_eq!(rest, b"", "{counter}: a stranger is told nothing");
-        rig.wait(counter, |rig| (way(rig, 0, counter) >= 1).then_some(()));
+        rig.wait_for(counter, |rig| (way(rig, 0, counter) >= 1).then_some(()));
     }
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a socket");
     let before = way(&rig, 0, "mark");
     socket.send_to(b"no frame", at).expect("sent");
-    rig.wait("a counted datagram", |rig| {
+    rig.wait_for("a counted datagram", |rig| {
         (way(rig, 0, "mark") > before).then_some(())
     });
     // From now on one byte of each datagram is changed: checksums find all of them, and each takes the other for gone.
-    let damaged = cometspool_fault_injection::link::Quality {
-        damage: 1.0,
+    let damaged = cometspool_fault_injection::link::LinkConditions {
+        corrupt: 1.0,
         ..Default::default()
     };
-    rig.between(&[0], &[1], &damaged);
-    rig.wait("damage found", |rig| {
+    rig.set_links_between(&[0], &[1], &damaged);
+    rig.wait_for("damage found", |rig| {
         (way(rig, 0, "checksum") + way(rig, 1, "checksum") >= 5).then_some(())
     });
-    rig.agree(&[0], "one alone");
-    rig.heal();
-    rig.agree(&[0, 1], "two again");
+    rig.wait_for_agreement(&[0], "one alone");
+    rig.heal_links();
+    rig.wait_for_agreement(&[0, 1], "two again");
 }
 
 /// Guards a running fleet against a bad section at SIGHUP: it is told with its key, and the old one goes on.
 #[test]
 fn a_bad_section_at_sighup_changes_nothing() {
-    let mut rig = Rig::start(&Plan {
+    let mut rig = Cluster::start(&ClusterConfig {
         processes: 2,
-        ..Plan::default()
+        ..ClusterConfig::default()
     })
     .expect("a rig");
-    rig.agree(&[0, 1], "two that know each other");
+    rig.wait_for_agreement(&[0, 1], "two that know each other");
     rig.processes[0]
         .reload(|config| config["fleet"]["links"] = 0.into())
         .expect("a file");
-    rig.wait("a word on the bad key", |rig| {
+    rig.wait_for("a word on the bad key", |rig| {
         let told = |text: &str| {
             text.contains("the old configuration goes on") && text.contains("fleet.links")
         };
@@ -254,9 +257,9 @@
     });
     // It still finds the other when that comes back.
     rig.processes[1].kill();
-    rig.agree(&[0], "one alone");
-    rig.start_one(1).expect("a start");
-    rig.agree(&[0, 1], "two again");
+    rig.wait_for_agreement(&[0], "one alone");
+    rig.start_process(1).expect("a start");
+    rig.wait_for_agreement(&[0, 1], "two again");
     assert_eq!(check::no_crash(&rig.history.events()), []);
 }
 
@@ -321,7 +324,7 @@
 /// Guards the rules under the fixed schedules, each of which has to act: what it says it does must show in its history.
 #[test]
 fn fixed_schedules_break_no_rule_and_their_faults_act() {
-    use cometspool_fault_injection::schedule::{play, Schedule};
+    use cometspool_fault_injection::schedule::{run, Schedule};
     // What is to be found of each: in the counters of the links, or among the events.
     let schedules: [(&str, &str, &[&str]); 3] = [
         (
@@ -362,20 +365,20 @@
     ];
     for (name, text, acts) in schedules {
         let schedule = Schedule::read(text).unwrap_or_else(|error| panic!("{name}: {error}"));
-        let outcome = play(&schedule, None, None).expect("a rig");
+        let outcome = run(&schedule, None, None).expect("a rig");
         assert_eq!(outcome.violations, [], "{name}");
         let seen = |act: &&str| {
             let of = |map: &std::collections::BTreeMap<String, u64>| {
                 map.get(*act).copied().unwrap_or_default()
             };
-            of(&outcome.acted) + of(&outcome.counted)
+            of(&outcome.link_counters) + of(&outcome.event_counts)
         };
         for act in acts {
             assert!(
                 seen(act) > 0,
                 "{name}: {act} was not seen in {:?} and {:?}",
-                outcome.acted,
-                outcome.counted
+                outcome.link_counters,
+                outcome.event_counts
             );
         }
     }
--- a/tests/front_door.rs
+++ b/tests/front_door.rs
@@ -123,7 +123,7 @@
         address: gone,
         reserved: _held,
     } = refusing_address();
-    let program = FrontDoorProcess::start(
+    let program = GatewayProcess::start(
         default_settings(),
         discovery.address(),
         endpoint_list(1, true, &[endpoint("s", gone, "up")]),
@@ -310,7 +310,7 @@
         fillers,
     } = listener_with_full_backlog();
     let up = [endpoint("s-0", backend.address(), "up")];
-    let program = FrontDoorProcess::start(
+    let program = GatewayProcess::start(
         default_settings(),
         discovery.address(),
         endpoint_list(7, true, &up),
@@ -405,7 +405,7 @@
 #[test]
 fn health_waits_for_a_list() {
     let discovery = TestListener::new();
-    let program = FrontDoorProcess::start(
+    let program = GatewayProcess::start(
         default_settings(),
         discovery.address(),
         serde_json::Value::Null,
@@ -577,7 +577,7 @@
     let backend = TestListener::new();
     let known = endpoint_list(1, true, &[endpoint("s-0", backend.address(), "up")]);
     // Few enough descriptors that 60 connections are too many.
-    let mut program = FrontDoorProcess::start_with_descriptor_limit(
+    let mut program = GatewayProcess::start_with_descriptor_limit(
         64,
         default_settings(),
         discovery.address(),
@@ -602,7 +602,7 @@
     let discovery = TestListener::new();
     let backend = TestListener::new();
     let known = endpoint_list(1, true, &[endpoint("s-0", backend.address(), "up")]);
-    let program = FrontDoorProcess::start_with_descriptor_limit(
+    let program = GatewayProcess::start_with_descriptor_limit(
         64,
         default_settings(),
         discovery.address(),
@@ -809,7 +809,7 @@
     let discovery = TestListener::new();
     let backend = TestListener::new();
     let known = endpoint_list(1, true, &[endpoint("s-0", backend.address(), "up")]);
-    let program = FrontDoorProcess::start_with_descriptor_limit(
+    let program = GatewayProcess::start_with_descriptor_limit(
         64,
         default_settings(),
         discovery.address(),
@@ -976,7 +976,7 @@
     let backend = TestListener::new();
     let known = endpoint_list(1, true, &[endpoint("s-0", backend.address(), "up")]);
     // Room for three connections to backends.
-    let mut program = FrontDoorProcess::start_with_descriptor_limit(
+    let mut program = GatewayProcess::start_with_descriptor_limit(
         32,
         default_settings(),
         discovery.address(),
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -50,7 +50,7 @@
 
 /// The next request that anybody is sent is this client's own: what went before was sent nowhere.
 fn only_the_next_is_sent(
-    program: &FrontDoorProcess,
+    program: &GatewayProcess,
     mut next: impl FnMut() -> ScriptedConnection,
     name: &str,
 ) {
@@ -82,8 +82,7 @@
                     fillers,
                 } = listener_with_full_backlog();
                 let list = endpoint_list(7, true, &[endpoint("s-0", backend.address(), "up")]);
-                let program =
-                    FrontDoorProcess::start(cancelling(cancel), discovery.address(), list);
+                let program = GatewayProcess::start(cancelling(cancel), discovery.address(), list);
                 let mut client = program.connect_client();
                 client.write(request_with("left", "charge", "wide", LONG));
                 wait_for("a dial that hangs", || {
@@ -133,7 +132,7 @@
             backend.accept();
         }
         let list = endpoint_list(7, true, &[endpoint("s-0", backend.address(), "up")]);
-        let program = FrontDoorProcess::start(cancelling(cancel), discovery.address(), list);
+        let program = GatewayProcess::start(cancelling(cancel), discovery.address(), list);
         let mut first = program.connect_client();
         first.write(request_with("first", "charge", "wide", LONG));
         let mut link = backend.accept();
@@ -285,7 +284,7 @@
         for key in ["aim", "give_up"] {
             settings["grades"][0][key] = 600_000.0.into();
         }
-        let program = FrontDoorProcess::start(settings, discovery.address(), list);
+        let program = GatewayProcess::start(settings, discovery.address(), list);
         let mut clients: Vec<Option<ScriptedConnection>> = (0..count)
             .map(|i| {
                 let mut client = program.connect_client();
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -19,7 +19,7 @@
 }
 
 /// Asks until a request reaches a backend: until then it is refused, as there is nobody to send it to.
-fn served_by(program: &FrontDoorProcess, backend: &TestListener, name: &str) {
+fn served_by(program: &GatewayProcess, backend: &TestListener, name: &str) {
     let mut client = program.connect_client();
     let begun = Instant::now();
     let reached = (0..).find_map(|i| {
@@ -91,7 +91,7 @@
         .map(|(name, said, drips, then)| {
             std::thread::spawn(move || {
                 let discovery = TestListener::new();
-                let _program = FrontDoorProcess::start(
+                let _program = GatewayProcess::start(
                     default_settings(),
                     discovery.address(),
                     endpoint_list(7, true, &[]),
@@ -214,7 +214,7 @@
             TestListener::new(),
         );
         let wrong = TestListener::new();
-        let program = FrontDoorProcess::start(default_settings(), old.address(), Value::Null);
+        let program = GatewayProcess::start(default_settings(), old.address(), Value::Null);
         let mut asked = called(&old, "GET /catalog/members HTTP/1.1");
         let mut config = program.config.clone();
         config["discovery"] = fresh.address().to_string().into();
@@ -259,7 +259,7 @@
     } = listener_with_full_backlog();
     let after = TestListener::new();
     let up = |place: &TestListener| endpoint("s-0", place.address(), "up");
-    let program = FrontDoorProcess::start(
+    let program = GatewayProcess::start(
         default_settings(),
         discovery.address(),
         endpoint_list(7, true, &[up(&before)]),
@@ -314,7 +314,7 @@
 }
 
 /// Answers a call whose request has been read with a new list that holds `fresh` alone, and waits until a request gets there.
-fn told_and_served(program: &FrontDoorProcess, call: ScriptedConnection, fresh: &TestListener) {
+fn told_and_served(program: &GatewayProcess, call: ScriptedConnection, fresh: &TestListener) {
     let mut watch = WatchStream::begin_response(call);
     watch.send_line(&endpoint_list(8, true, &[endpoint("s-1", fresh.address(), "up")]).to_string());
     served_by(program, fresh, "in-force");
@@ -327,7 +327,7 @@
     for status in [503, 429] {
         let discovery = TestListener::new();
         let fresh = TestListener::new();
-        let program = FrontDoorProcess::start(
+        let program = GatewayProcess::start(
             large_fleet(),
             discovery.address(),
             endpoint_list(7, true, &[]),
@@ -384,7 +384,7 @@
 fn after_a_hung_call_the_list_is_in_force_in_time() {
     let discovery = TestListener::new();
     let fresh = TestListener::new();
-    let program = FrontDoorProcess::start(
+    let program = GatewayProcess::start(
         large_fleet(),
         discovery.address(),
         endpoint_list(7, true, &[]),
@@ -411,7 +411,7 @@
         fillers,
     } = listener_with_full_backlog();
     let fresh = TestListener::new();
-    let program = FrontDoorProcess::start(
+    let program = GatewayProcess::start(
         large_fleet(),
         discovery.address(),
         endpoint_list(7, true, &[]),
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -1,8 +1,8 @@
 //! Many front doors and many backends: nothing ends below 1,024 of either.
 
 use cometspool_fault_injection::scripted_peers::*;
-use cometspool_fault_injection::standins::Manner;
-use cometspool_fault_injection::{Plan, Rig};
+use cometspool_fault_injection::stub_services::BackendBehavior;
+use cometspool_fault_injection::{Cluster, ClusterConfig};
 use serde_json::json;
 use std::collections::BTreeSet;
 
@@ -14,27 +14,27 @@
 /// Guards long lists of backends: one front door takes in 1,500 and serves from more than 1,024 of them.
 #[test]
 fn a_list_of_1500_backends_is_served_from() {
-    let plan = Plan {
+    let plan = ClusterConfig {
         processes: 1,
         backends: MORE,
         fleet: None,
-        ..Plan::default()
+        ..ClusterConfig::default()
     };
-    let mut rig = Rig::new(&plan).expect("a rig");
+    let mut cluster = Cluster::new(&plan).expect("a cluster");
     // A backend begins up to a largest request behind the others: with small ones all come to their turns soon.
-    rig.processes[0].config["settings"]["extra"]["max_units"] = 1.into();
+    cluster.processes[0].config["settings"]["extra"]["max_units"] = 1.into();
     (0..MORE).for_each(|backend| {
-        rig.act(
+        cluster.set_backend_behavior(
             backend,
-            Manner {
+            BackendBehavior {
                 work_ms: 0.0,
-                ..Manner::default()
+                ..BackendBehavior::default()
             },
         );
     });
-    rig.start_one(0).expect("a start");
-    rig.await_serving();
-    let at = rig.processes[0].config["listen"]
+    cluster.start_process(0).expect("a start");
+    cluster.wait_until_serving();
+    let at = cluster.processes[0].config["listen"]
         .as_str()
         .and_then(|at| at.parse().ok())
         .expect("an address");
@@ -43,11 +43,11 @@
         client.write(request_with(&format!("id-{i}"), "read", "wide", "8"));
         assert_eq!(client.read().status(), 200, "request {i}");
     }
-    let served: BTreeSet<String> = rig.history.read(|events| {
+    let served: BTreeSet<String> = cluster.history.read(|events| {
         events
             .iter()
-            .filter(|event| event.what == "ran")
-            .map(|event| event.who.clone())
+            .filter(|event| event.kind == "ran")
+            .map(|event| event.source.clone())
             .collect()
     });
     assert!(served.len() > MANY, "{} backends served", served.len());
@@ -57,18 +57,18 @@
 /// serves, and is found by the one of them that is there.
 #[test]
 fn a_fleet_block_of_1500_peers_is_read() {
-    let plan = Plan {
+    let plan = ClusterConfig {
         processes: 2,
-        ..Plan::default()
+        ..ClusterConfig::default()
     };
-    let mut rig = Rig::new(&plan).expect("a rig");
-    let config = &mut rig.processes[0].config;
+    let mut cluster = Cluster::new(&plan).expect("a cluster");
+    let config = &mut cluster.processes[0].config;
     config["limits"]["sockets"] = (4 * MANY).into();
     config["fleet"]["links"] = MANY.into();
     let told = config["fleet"]["peers"].as_array_mut().expect("peers");
     told.extend((1..MORE).map(|i| json!({"name": format!("absent-{i}"), "dial": "127.0.0.1:9"})));
     assert_eq!(told.len(), MORE);
-    (0..plan.processes).for_each(|i| rig.start_one(i).expect("a start"));
-    rig.await_serving();
-    rig.agree(&[0, 1], "two that know each other");
+    (0..plan.processes).for_each(|i| cluster.start_process(i).expect("a start"));
+    cluster.wait_until_serving();
+    cluster.wait_for_agreement(&[0, 1], "two that know each other");
 }
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -9,7 +9,7 @@
 const LONG: &str = "8";
 
 /// Three backends, the last in a cell of its own, and keyed requests that a cell remembers for `memory` ms.
-fn cells(memory: f64) -> (FrontDoorProcess, Vec<TestListener>, TestListener) {
+fn cells(memory: f64) -> (GatewayProcess, Vec<TestListener>, TestListener) {
     let mut settings = default_settings();
     settings["grades"][1]["group"] = "cell".into();
     settings["grades"][1]["memory_span"] = memory.into();
@@ -28,7 +28,7 @@
             host
         })
         .collect();
-    let program = FrontDoorProcess::start(
+    let program = GatewayProcess::start(
         settings,
         discovery.address(),
         endpoint_list(7, true, &hosts),
@@ -145,7 +145,7 @@
     let hosts: Vec<Value> = (0..2)
         .map(|i| endpoint(&format!("s-{i}"), backends[i].place.address(), "up"))
         .collect();
-    let program = FrontDoorProcess::start(
+    let program = GatewayProcess::start(
         settings,
         discovery.address(),
         endpoint_list(7, true, &hosts),
--- a/tests/reuse.rs
+++ b/tests/reuse.rs
@@ -11,7 +11,7 @@
 
 /// A front door with one backend, and a first request that has come to it over the one link there is.
 struct Begun {
-    program: FrontDoorProcess,
+    program: GatewayProcess,
     backend: TestListener,
     /// Connections that fill the backend's waiting line, all of them accepted.
     fillers: Vec<TcpStream>,
@@ -31,7 +31,7 @@
             backend.accept();
         }
         let list = endpoint_list(7, true, &[endpoint("s-0", backend.address(), "up")]);
-        let program = FrontDoorProcess::start(default_settings(), discovery.address(), list);
+        let program = GatewayProcess::start(default_settings(), discovery.address(), list);
         let mut first = program.connect_client();
         first.write(request_with("first", "read", "wide", LONG));
         let mut link = backend.accept();
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -1,7 +1,7 @@
 //! Many front doors that start at once.
 
 use cometspool_fault_injection::scripted_peers::{wait_for, ScriptedConnection};
-use cometspool_fault_injection::{Plan, Rig};
+use cometspool_fault_injection::{Cluster, ClusterConfig};
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
 
@@ -23,32 +23,33 @@
 /// and all have to ask discovery for it in the same moment.
 #[test]
 fn forty_that_start_at_once_all_become_ready() {
-    let plan = Plan {
+    let plan = ClusterConfig {
         processes: DOORS,
         backends: BACKENDS,
-        told_peers: Some(3),
+        peers_per_process: Some(3),
         handover: true,
-        ..Plan::default()
+        ..ClusterConfig::default()
     };
-    let mut rig = Rig::start(&plan).expect("a rig");
+    let mut cluster = Cluster::start(&plan).expect("a cluster");
     for keeps_its_list in [true, false] {
-        for process in &mut rig.processes {
+        for process in &mut cluster.processes {
             process.kill();
             if !keeps_its_list {
                 process.config["known"] = Value::Null;
             }
         }
-        (0..DOORS).for_each(|i| rig.start_one(i).expect("a start"));
-        for process in &rig.processes {
+        (0..DOORS).for_each(|i| cluster.start_process(i).expect("a start"));
+        for process in &cluster.processes {
             let at = process.config["listen"]
                 .as_str()
                 .and_then(|at| at.parse().ok());
             await_ready(&process.name, at.expect("an address"));
         }
         assert!(
-            !rig.processes
+            !cluster
+                .processes
                 .iter_mut()
-                .any(cometspool_fault_injection::process::Process::crashed),
+                .any(cometspool_fault_injection::process::Process::has_crashed),
             "one has ended"
         );
     }
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -33,8 +33,8 @@
     let up = |host: &str, place: &TestListener| {
         endpoint_list(7, true, &[endpoint(host, place.address(), "up")])
     };
-    let mut sends = FrontDoorProcess::start(patient(), discovery.address(), up("s-0", &place));
-    let mut dials = FrontDoorProcess::start(patient(), discovery.address(), up("s-1", &crowded));
+    let mut sends = GatewayProcess::start(patient(), discovery.address(), up("s-0", &place));
+    let mut dials = GatewayProcess::start(patient(), discovery.address(), up("s-1", &crowded));
     let mut clients: Vec<ScriptedConnection> = ["hung", "endless"]
         .iter()
         .map(|id| {
@@ -79,7 +79,7 @@
 #[test]
 fn a_stop_before_there_is_a_list_ends_by_itself() {
     let discovery = TestListener::new();
-    let mut program = FrontDoorProcess::start(patient(), discovery.address(), Value::Null);
+    let mut program = GatewayProcess::start(patient(), discovery.address(), Value::Null);
     let mut client = program.connect_client();
     client.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(client.read().status(), 503);
--- a/tests/time.rs
+++ b/tests/time.rs
@@ -180,12 +180,12 @@
     } = listener_with_full_backlog();
     let place = TestListener::new();
     let start = |address, host: &str| endpoint_list(7, true, &[endpoint(host, address, "up")]);
-    let mut half_answered = FrontDoorProcess::start(
+    let mut half_answered = GatewayProcess::start(
         default_settings(),
         discovery.address(),
         start(place.address(), "s-0"),
     );
-    let mut dialling = FrontDoorProcess::start(
+    let mut dialling = GatewayProcess::start(
         default_settings(),
         discovery.address(),
         start(crowded.address(), "s-1"),
@@ -250,7 +250,7 @@
         "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
         "known": endpoint_list(7, true, &[endpoint("s-0", place.address(), "up")]), "settings": settings, "handover": path,
     });
-    let mut first = FrontDoorProcess::start_with_configuration(config.clone());
+    let mut first = GatewayProcess::start_with_configuration(config.clone());
     let (mut unsafe_one, mut safe_one) = (first.connect_client(), first.connect_client());
     unsafe_one.write(request_with("id-1", "charge", "wide", "10"));
     let mut backend = place.accept();
@@ -261,7 +261,7 @@
     let seen = Instant::now();
     first.child.kill().expect("a process");
     first.wait_for_exit();
-    let second = FrontDoorProcess::start_with_configuration(config);
+    let second = GatewayProcess::start_with_configuration(config);
     let mut client = second.connect_client();
     client.write(request_with("id-1", "charge", "wide", "10"));
     assert_eq!(client.read().status(), 409);
--- a/tests/whole_answers.rs
+++ b/tests/whole_answers.rs
@@ -149,7 +149,7 @@
         .map(|(i, place)| endpoint(&format!("s-{i}"), place.address(), "up"))
         .collect();
     // 32 MB leave 8 MB for long answers.
-    let program = FrontDoorProcess::start_with_memory_limit(
+    let program = GatewayProcess::start_with_memory_limit(
         32,
         default_settings(),
         discovery.address(),
