--- a/crates/fault-injection/src/scripted_peers/fixture.rs
+++ b/crates/fault-injection/src/scripted_peers/fixture.rs
@@ -5,6 +5,18 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
+/// The start line of a request for the complete endpoint list.
+pub const LIST_REQUEST: &str = "GET /catalog/members HTTP/1.1";
+/// A health check.
+pub const HEALTH_CHECK: &str = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
+/// A timeout of a request, s, so long that no response in a test comes from a deadline.
+pub const LONG_TIMEOUT: &str = "8";
+
+/// The start line of a watch request for the changes after a version of the endpoint list.
+pub fn watch_request(version: u64) -> String {
+    format!("GET /catalog/members?watch=1&from={version} HTTP/1.1")
+}
+
 /// Settings with a request class of each idempotency (`read` idempotent, `extend` with an idempotency key, `charge`
 /// non-idempotent) and two rate plans, `wide` and `narrow`. Times are in milliseconds.
 pub fn default_settings() -> Value {
@@ -71,11 +83,7 @@
             discovery.address(),
             endpoint_list(7, true, &hosts),
         );
-        let mut connection = discovery.accept();
-        assert_eq!(
-            connection.read().start_line,
-            "GET /catalog/members?watch=1&from=7 HTTP/1.1"
-        );
+        let connection = discovery.accept_request(&watch_request(7));
         TestFixture {
             program,
             discovery,
--- a/crates/fault-injection/src/scripted_peers/gateway_process.rs
+++ b/crates/fault-injection/src/scripted_peers/gateway_process.rs
@@ -1,6 +1,7 @@
 //! The program under test as a process of its own.
 
-use super::{wait_for, ScriptedConnection};
+use super::fixture::{request_with, HEALTH_CHECK, LONG_TIMEOUT};
+use super::{wait_for, ScriptedConnection, TestListener, MAX_WAIT};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::{json, Value};
@@ -9,6 +10,7 @@
 use std::path::PathBuf;
 use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
+use std::time::Instant;
 
 /// Numbers the temporary files of this process.
 static FILES: AtomicU32 = AtomicU32::new(0);
@@ -148,6 +150,42 @@
         ScriptedConnection::connect(self.address)
     }
 
+    /// Opens a client connection and makes a health check on it, which must succeed.
+    pub fn connect_healthy_client(&self) -> ScriptedConnection {
+        let mut client = self.connect_client();
+        client.write(HEALTH_CHECK);
+        assert_eq!(client.read().status(), 200);
+        client
+    }
+
+    /// Sends requests until one reaches a backend that has just been listed, and serves that one; until the front door knows
+    /// of the backend it must reject them.
+    ///
+    /// # Panics
+    ///
+    /// Panics if none reaches the backend within [`MAX_WAIT`].
+    pub fn wait_until_served_by(&self, backend: &TestListener, name: &str) {
+        let mut client = self.connect_client();
+        let start = Instant::now();
+        let mut number = 0;
+        let mut connection = loop {
+            assert!(
+                start.elapsed() < MAX_WAIT,
+                "{name}: no request reached the backend"
+            );
+            let id = format!("{name}-{number}");
+            client.write(request_with(&id, "read", "wide", LONG_TIMEOUT));
+            if let Some(connection) = backend.accept_unless_answered(&client) {
+                break connection;
+            }
+            assert_eq!(client.read().status(), 429);
+            number += 1;
+        };
+        connection.read();
+        connection.respond(200, "Connection: close\r\n", name);
+        assert_eq!(client.read().body, name.as_bytes());
+    }
+
     /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
--- a/crates/fault-injection/src/scripted_peers/listener.rs
+++ b/crates/fault-injection/src/scripted_peers/listener.rs
@@ -31,6 +31,13 @@
         wait_for("a connection", || self.try_accept())
     }
 
+    /// Waits for the next connection, and reads its first request, which must have this start line.
+    pub fn accept_request(&self, start_line: &str) -> ScriptedConnection {
+        let mut connection = self.accept();
+        assert_eq!(connection.read().start_line, start_line);
+        connection
+    }
+
     /// Waits for the next connection; `None` if the front door sends something to `client` first.
     pub fn accept_unless_answered(
         &self,
--- a/crates/fault-injection/src/scripted_peers/mod.rs
+++ b/crates/fault-injection/src/scripted_peers/mod.rs
@@ -12,7 +12,10 @@
 mod socket_table;
 
 pub use connection::{Message, ScriptedConnection, WatchStream};
-pub use fixture::{default_settings, endpoint, endpoint_list, request, request_with, TestFixture};
+pub use fixture::{
+    default_settings, endpoint, endpoint_list, request, request_with, watch_request, TestFixture,
+    HEALTH_CHECK, LIST_REQUEST, LONG_TIMEOUT,
+};
 pub use gateway_process::{
     program_path, spawn_with_configuration, temporary_path, GatewayProcess, SpawnedProgram,
 };
--- /dev/null
+++ b/tests/endpoint_list.rs
@@ -0,0 +1,287 @@
+//! Changes of the endpoint list, over loopback sockets: layout, draining, versions that go back, old addresses.
+
+use cometspool_fault_injection::scripted_peers::*;
+use serde_json::{json, Value};
+use std::io::Write;
+
+/// A list may come indented over many lines, in a watch and as the complete list, with heartbeats between.
+#[test]
+fn an_indented_list_is_accepted() {
+    let mut fixture = TestFixture::new(1);
+    let watched = TestListener::new();
+    let hosts = [endpoint("s-1", watched.address(), "up")];
+    fixture
+        .watch
+        .send_line(&format!("{:#}", endpoint_list(8, true, &hosts)));
+    fixture.watch.send_line("");
+    fixture.program.wait_until_served_by(&watched, "watched");
+    fixture.watch.finish();
+    fixture
+        .discovery
+        .accept_request(&watch_request(8))
+        .respond(404, "", "");
+    let listed = TestListener::new();
+    let hosts = [endpoint("s-2", listed.address(), "up")];
+    let mut connection = fixture.discovery.accept_request(LIST_REQUEST);
+    connection.respond(
+        200,
+        "",
+        &format!("\n{:#}\n\n", endpoint_list(9, true, &hosts)),
+    );
+    fixture.discovery.accept_request(&watch_request(9));
+    fixture.program.wait_until_served_by(&listed, "listed");
+}
+
+/// A draining backend gets no new requests and its idle connection is closed; with no backend left, a request is rejected
+/// at once. A backend that is up again gets requests again.
+#[test]
+fn a_draining_backend_gets_no_new_requests() {
+    let mut fixture = TestFixture::new(1);
+    let mut client = fixture.program.connect_client();
+    client.write(request_with("id-1", "read", "wide", LONG_TIMEOUT));
+    let mut backend = fixture.backends[0].accept();
+    backend.read();
+    backend.respond(200, "", "ok");
+    assert_eq!(client.read().status(), 200);
+    let draining = endpoint("s-0", fixture.backends[0].address(), "draining");
+    fixture
+        .watch
+        .send_line(&endpoint_list(8, false, &[draining]).to_string());
+    backend.expect_close();
+    client.write(request_with("id-2", "read", "wide", LONG_TIMEOUT));
+    assert_eq!(client.read().status(), 429);
+    assert!(fixture.no_backend_contacted());
+    // Until the watch event has arrived, the front door rejects.
+    let up = endpoint("s-0", fixture.backends[0].address(), "up");
+    fixture
+        .watch
+        .send_line(&endpoint_list(9, true, &[up]).to_string());
+    let mut backend = (3..)
+        .find_map(|id| {
+            client.write(request_with(
+                &format!("id-{id}"),
+                "read",
+                "wide",
+                LONG_TIMEOUT,
+            ));
+            let accepted = fixture.backends[0].accept_unless_answered(&client);
+            if accepted.is_none() {
+                assert_eq!(client.read().status(), 429);
+            }
+            accepted
+        })
+        .expect("a connection");
+    backend.read();
+    backend.respond(200, "", "back");
+    assert_eq!(client.read().body, b"back");
+}
+
+/// The list may change while a connection to a backend is being established: it is read again before the first byte is
+/// written. Nothing was sent to a backend that drains meanwhile, so the request is rejected.
+#[test]
+fn a_backend_that_drains_while_a_connection_is_established_gets_nothing() {
+    let discovery = TestListener::new();
+    let FullBacklog {
+        listener: backend,
+        fillers,
+    } = listener_with_full_backlog();
+    let up = [endpoint("s-0", backend.address(), "up")];
+    let program = GatewayProcess::start(
+        default_settings(),
+        discovery.address(),
+        endpoint_list(7, true, &up),
+    );
+    let connection = discovery.accept_request(&watch_request(7));
+    let mut watch = WatchStream::begin_response(connection);
+    let mut client = program.connect_client();
+    client.write(request_with("id-1", "charge", "wide", LONG_TIMEOUT));
+    wait_for("a connection attempt that hangs", || {
+        is_connecting(backend.address()).then_some(())
+    });
+    let draining = endpoint("s-0", backend.address(), "draining");
+    watch.send_line(&endpoint_list(8, false, &[draining]).to_string());
+    watch.finish();
+    // The request from version 8 shows that the watch event has been processed.
+    discovery.accept_request(&watch_request(8));
+    for _ in &fillers {
+        backend.accept();
+    }
+    backend.accept().expect_close();
+    assert_eq!(client.read().status(), 429);
+}
+
+/// How a backend leaves the list.
+struct Departure {
+    name: &'static str,
+    /// Whether the list without it is a complete one.
+    complete: bool,
+    hosts: fn(&TestListener) -> Vec<Value>,
+}
+
+const DEPARTURES: [Departure; 3] = [
+    Departure {
+        name: "draining",
+        complete: false,
+        hosts: |backend| vec![endpoint("s-0", backend.address(), "draining")],
+    },
+    Departure {
+        name: "removed",
+        complete: false,
+        hosts: |backend| vec![endpoint("s-0", backend.address(), "removed")],
+    },
+    Departure {
+        name: "not listed",
+        complete: true,
+        hosts: |_| Vec::new(),
+    },
+];
+
+/// A list that lags restores no process that was reported as draining or removed, and neither do the changes that follow
+/// it. A new process of that name is another backend, and so is a newer version.
+#[test]
+fn an_older_list_restores_no_departed_backend() {
+    for Departure {
+        name,
+        complete,
+        hosts,
+    } in DEPARTURES
+    {
+        let mut fixture = TestFixture::new(1);
+        let up = || endpoint("s-0", fixture.backends[0].address(), "up");
+        let departed = endpoint_list(12, complete, &hosts(&fixture.backends[0]));
+        fixture.watch.send_line(&departed.to_string());
+        fixture.watch.finish();
+        fixture
+            .discovery
+            .accept_request(&watch_request(12))
+            .respond(404, "", "");
+        let mut connection = fixture.discovery.accept_request(LIST_REQUEST);
+        connection.respond(200, "", &endpoint_list(9, true, &[up()]).to_string());
+        let connection = fixture.discovery.accept_request(&watch_request(9));
+        let mut watch = WatchStream::begin_response(connection);
+        let expect_rejected = |id: &str| {
+            let mut client = fixture.program.connect_client();
+            client.write(request_with(id, "read", "wide", LONG_TIMEOUT));
+            assert!(
+                fixture.backends[0]
+                    .accept_unless_answered(&client)
+                    .is_none(),
+                "{name}: {id} was forwarded"
+            );
+            assert_eq!(client.read().status(), 429, "{name}: {id}");
+        };
+        expect_rejected("older-complete");
+        watch.send_line(&endpoint_list(10, false, &[up()]).to_string());
+        watch.finish();
+        let connection = fixture.discovery.accept_request(&watch_request(10));
+        let mut watch = WatchStream::begin_response(connection);
+        expect_rejected("older-change");
+        let mut restarted = up();
+        restarted["born_ms"] = json!(5.0);
+        watch.send_line(&endpoint_list(11, false, &[restarted]).to_string());
+        fixture
+            .program
+            .wait_until_served_by(&fixture.backends[0], "another-process");
+    }
+}
+
+/// Changes state what came after a version, so changes to an earlier version cannot be applied: the complete list is
+/// requested.
+#[test]
+fn changes_to_an_earlier_version_request_the_complete_list() {
+    let mut fixture = TestFixture::new(1);
+    fixture
+        .watch
+        .send_line(&endpoint_list(6, false, &[]).to_string());
+    let mut connection = fixture.discovery.accept_request(LIST_REQUEST);
+    connection.respond(200, "", &endpoint_list(6, true, &[]).to_string());
+    fixture.discovery.accept_request(&watch_request(6));
+}
+
+/// After the discovery service has moved, what its old address still sends is ignored, whether it arrives before the new
+/// address has responded or after.
+#[test]
+fn the_old_discovery_address_is_ignored_after_a_new_configuration() {
+    for late in [false, true] {
+        let old = TestListener::new();
+        let moved = TestListener::new();
+        let listed = TestListener::new();
+        let ignored = TestListener::new();
+        let program = GatewayProcess::start(default_settings(), old.address(), Value::Null);
+        let mut old_call = old.accept_request(LIST_REQUEST);
+        let mut config = program.config.clone();
+        config["discovery"] = moved.address().to_string().into();
+        program.reload(&config.to_string());
+        let mut new_call = moved.accept_request(LIST_REQUEST);
+        let respond_from_old = |connection: &mut ScriptedConnection| {
+            let hosts = [endpoint("s-0", ignored.address(), "up")];
+            let list = endpoint_list(50, true, &hosts).to_string();
+            let head = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+                list.len()
+            );
+            // The front door has closed its end.
+            let _ = connection.reader.get_mut().write_all(head.as_bytes());
+        };
+        if !late {
+            respond_from_old(&mut old_call);
+        }
+        let hosts = [endpoint("s-1", listed.address(), "up")];
+        new_call.respond(200, "", &endpoint_list(8, true, &hosts).to_string());
+        moved.accept_request(&watch_request(8));
+        if late {
+            respond_from_old(&mut old_call);
+        }
+        old_call.expect_close();
+        program.wait_until_served_by(&listed, "moved");
+        assert!(!ignored.has_pending_connection());
+    }
+}
+
+/// A name returns at another address or as another process: a request that waits for a connection to the former one is not
+/// sent there, and the next request goes to the present address.
+#[test]
+fn a_backend_listed_at_another_address_gets_nothing_at_the_former_one() {
+    let discovery = TestListener::new();
+    let FullBacklog {
+        listener: former,
+        fillers,
+    } = listener_with_full_backlog();
+    let present = TestListener::new();
+    let up = |listener: &TestListener| endpoint("s-0", listener.address(), "up");
+    let program = GatewayProcess::start(
+        default_settings(),
+        discovery.address(),
+        endpoint_list(7, true, &[up(&former)]),
+    );
+    let connection = discovery.accept_request(&watch_request(7));
+    let mut watch = WatchStream::begin_response(connection);
+    let mut client = program.connect_client();
+    client.write(request_with("id-1", "charge", "wide", LONG_TIMEOUT));
+    wait_for("a connection attempt that hangs", || {
+        is_connecting(former.address()).then_some(())
+    });
+    let removed = endpoint("s-0", former.address(), "removed");
+    watch.send_line(&endpoint_list(8, false, &[removed]).to_string());
+    watch.send_line(&endpoint_list(9, false, &[up(&present)]).to_string());
+    // The waiting request is sent to the present address or rejected.
+    let accepted = present.accept_unless_answered(&client);
+    for _ in &fillers {
+        former.accept();
+    }
+    match accepted {
+        Some(mut backend) => {
+            assert_eq!(backend.read().header("request-id"), Some("id-1"));
+            backend.respond(200, "", "now");
+            assert_eq!(client.read().body, b"now");
+        }
+        None => {
+            assert_eq!(client.read().status(), 429);
+            program.wait_until_served_by(&present, "next");
+        }
+    }
+    // The connection to the former address may be established, but nothing is sent on it.
+    if let Some(mut stale) = former.try_accept() {
+        stale.expect_close();
+    }
+}
--- /dev/null
+++ b/tests/startup.rs
@@ -0,0 +1,76 @@
+//! The start of a front door, over loopback sockets: when it reports that it is healthy, and many that start at once.
+
+use cometspool_fault_injection::scripted_peers::*;
+use cometspool_fault_injection::{Cluster, ClusterConfig};
+use serde_json::Value;
+use std::net::{SocketAddr, TcpStream};
+
+/// Front doors that are restarted together.
+const GATEWAYS: usize = 40;
+/// Backends in their endpoint list.
+const BACKENDS: usize = 200;
+
+/// A front door is healthy only when it has an endpoint list.
+#[test]
+fn the_health_check_fails_until_there_is_an_endpoint_list() {
+    let discovery = TestListener::new();
+    let program = GatewayProcess::start(default_settings(), discovery.address(), Value::Null);
+    let mut connection = discovery.accept_request(LIST_REQUEST);
+    let mut client = program.connect_client();
+    client.write(HEALTH_CHECK);
+    assert_eq!(client.read().status(), 503);
+    let backend = TestListener::new();
+    let hosts = [endpoint("s-0", backend.address(), "up")];
+    connection.respond(200, "", &endpoint_list(1, true, &hosts).to_string());
+    // The watch that follows shows that the list has been processed.
+    discovery.accept_request(&watch_request(1));
+    client.write(HEALTH_CHECK);
+    assert_eq!(client.read().status(), 200);
+}
+
+/// Waits until the health check of a front door succeeds; it may not listen yet.
+fn wait_until_healthy(name: &str, address: SocketAddr) {
+    wait_for(&format!("a healthy {name}"), || {
+        let mut client = ScriptedConnection::new(TcpStream::connect(address).ok()?);
+        client.write(HEALTH_CHECK);
+        (client.read().status() == 200).then_some(())
+    });
+}
+
+/// All front doors are restarted at once, as after a power cut: each becomes healthy, also where none has stored an
+/// endpoint list and all have to request it from the discovery service in the same moment.
+#[test]
+fn forty_gateways_that_start_at_once_all_become_healthy() {
+    let config = ClusterConfig {
+        processes: GATEWAYS,
+        backends: BACKENDS,
+        peers_per_process: Some(3),
+        handover: true,
+        ..ClusterConfig::default()
+    };
+    let mut cluster = Cluster::start(&config).expect("a cluster");
+    for has_stored_list in [true, false] {
+        for process in &mut cluster.processes {
+            process.kill();
+            if !has_stored_list {
+                process.config["known"] = Value::Null;
+            }
+        }
+        for process in 0..GATEWAYS {
+            cluster.start_process(process).expect("a start");
+        }
+        for process in &cluster.processes {
+            let address = process.config["listen"]
+                .as_str()
+                .and_then(|address| address.parse().ok());
+            wait_until_healthy(&process.name, address.expect("an address"));
+        }
+        assert!(
+            !cluster
+                .processes
+                .iter_mut()
+                .any(cometspool_fault_injection::process::Process::has_crashed),
+            "a process has ended"
+        );
+    }
+}
