--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Several processes of the built program under injected faults.
 
-use cometspool_fault_injection::load::Pace;
-use cometspool_fault_injection::{check, Plan, Rig};
+use cometspool_fault_injection::load_generator::LoadProfile;
+use cometspool_fault_injection::{check, Cluster, ClusterConfig};
 use nix::sys::signal::Signal;
 
 /// Guards the fault injection itself, on front doors that do not know each other: under load, a
@@ -9,36 +9,36 @@
 /// those that run on lose nothing.
 #[test]
 fn front_doors_without_a_fleet_serve_through_kills_pauses_and_shutdowns() {
-    let mut rig = Rig::start(&Plan {
+    let mut cluster = Cluster::start(&ClusterConfig {
         processes: 4,
         fleet: None,
-        ..Plan::default()
+        ..ClusterConfig::default()
     })
-    .expect("a rig");
-    let load = rig.load(Pace::default());
-    rig.wait("all four taken in", |_| {
-        (load.taken_in() == 4).then_some(())
+    .expect("a cluster");
+    let load = cluster.start_load(LoadProfile::default());
+    cluster.wait_for("all four taken in", |_| {
+        (load.gateways_in_rotation() == 4).then_some(())
     });
-    let more = |rig: &mut Rig, count: u64| {
-        let until = load.asked() + count;
-        rig.wait("more requests", |_| (load.asked() >= until).then_some(()));
+    let more = |cluster: &mut Cluster, count: u64| {
+        let until = load.sent() + count;
+        cluster.wait_for("more requests", |_| (load.sent() >= until).then_some(()));
     };
-    more(&mut rig, 50);
-    rig.processes[0].kill();
-    more(&mut rig, 50);
-    rig.processes[1].signal(Signal::SIGSTOP);
-    rig.start_one(0).expect("a start");
-    more(&mut rig, 50);
-    rig.processes[1].signal(Signal::SIGCONT);
-    rig.processes[2].signal(Signal::SIGTERM);
-    rig.processes[2].wait();
-    rig.start_one(2).expect("a start");
-    rig.await_serving();
-    more(&mut rig, 50);
-    rig.settle(&load);
-    let events = rig.history.events();
-    assert_eq!(check::all(&events), []);
-    let count = |what: &str| events.iter().filter(|event| event.what == what).count();
+    more(&mut cluster, 50);
+    cluster.processes[0].kill();
+    more(&mut cluster, 50);
+    cluster.processes[1].signal(Signal::SIGSTOP);
+    cluster.start_process(0).expect("a start");
+    more(&mut cluster, 50);
+    cluster.processes[1].signal(Signal::SIGCONT);
+    cluster.processes[2].signal(Signal::SIGTERM);
+    cluster.processes[2].wait_for_exit();
+    cluster.start_process(2).expect("a start");
+    cluster.wait_until_serving();
+    more(&mut cluster, 50);
+    cluster.finish_load(&load);
+    let events = cluster.history.events();
+    assert_eq!(check::check_all(&events), []);
+    let count = |what: &str| events.iter().filter(|event| event.kind == what).count();
     assert!(
         count("asked") >= 200 && count("ran") >= 100,
         "{} asked, {} ran",
@@ -52,35 +52,39 @@
 /// again once there is space, and what its predecessor has run is not run again.
 #[test]
 fn a_full_disk_and_a_clock_step_do_not_interrupt_service() {
-    let plan = Plan {
+    let plan = ClusterConfig {
         processes: 2,
         fleet: None,
         handover: true,
-        ..Plan::default()
+        ..ClusterConfig::default()
     };
-    let mut rig = Rig::start(&plan).expect("a rig");
-    let load = rig.load(Pace::default());
-    rig.wait("both taken in", |_| (load.taken_in() == 2).then_some(()));
-    let said = |rig: &mut Rig, text: &str| {
-        rig.wait(text, |rig| {
+    let mut cluster = Cluster::start(&plan).expect("a cluster");
+    let load = cluster.start_load(LoadProfile::default());
+    cluster.wait_for("both taken in", |_| {
+        (load.gateways_in_rotation() == 2).then_some(())
+    });
+    let said = |cluster: &mut Cluster, text: &str| {
+        cluster.wait_for(text, |cluster| {
             let says = |event: &cometspool_fault_injection::history::Event| {
-                event.who == "n0" && event.text("text").contains(text)
+                event.source == "n0" && event.text("text").contains(text)
             };
-            rig.history
+            cluster
+                .history
                 .read(|events| events.iter().any(says).then_some(()))
         });
     };
-    rig.processes[0]
+    cluster.processes[0]
         .reload(|config| config["clock"] = serde_json::json!({"ahead_ms": -3_600_000}))
         .expect("told");
-    said(&mut rig, "discovery is at");
-    rig.processes[0].fill(true).expect("a limit");
-    said(&mut rig, "nothing more is handed over for now");
-    let until = load.asked() + 100;
-    rig.wait("more requests", |_| (load.asked() >= until).then_some(()));
-    rig.processes[0].fill(false).expect("no limit");
-    said(&mut rig, "handed over again");
-    let file = std::fs::read_to_string(rig.processes[0].data().join("handover")).expect("the file");
+    said(&mut cluster, "discovery is at");
+    cluster.processes[0].set_disk_full(true).expect("a limit");
+    said(&mut cluster, "nothing more is handed over for now");
+    let until = load.sent() + 100;
+    cluster.wait_for("more requests", |_| (load.sent() >= until).then_some(()));
+    cluster.processes[0].set_disk_full(false).expect("no limit");
+    said(&mut cluster, "handed over again");
+    let file = std::fs::read_to_string(cluster.processes[0].data_folder().join("handover"))
+        .expect("the file");
     let ends: Vec<f64> = file
         .lines()
         .filter_map(|line| line.split(' ').nth(1)?.parse().ok())
@@ -92,17 +96,18 @@
     // The clock was set back an hour while it ran: its times did not move.
     let late = |end: &f64| *end > now as f64 - 1_800_000.0;
     assert!(!ends.is_empty() && ends.iter().all(late), "{file}");
-    rig.processes[0].kill();
-    rig.start_one(0).expect("a start");
-    rig.await_serving();
-    rig.settle(&load);
-    assert_eq!(check::all(&rig.history.events()), []);
+    cluster.processes[0].kill();
+    cluster.start_process(0).expect("a start");
+    cluster.wait_until_serving();
+    cluster.finish_load(&load);
+    assert_eq!(check::check_all(&cluster.history.events()), []);
 }
 
 /// A counter of the transport that a process reported.
-fn transport_counter(rig: &Rig, i: usize, name: &str) -> u64 {
-    rig.told(i)
-        .and_then(|event| event.more["way"][name].as_u64())
+fn transport_counter(cluster: &Cluster, i: usize, name: &str) -> u64 {
+    cluster
+        .last_fleet_report(i)
+        .and_then(|event| event.fields["way"][name].as_u64())
         .unwrap_or_default()
 }
 
@@ -112,59 +117,59 @@
 fn membership_converges_after_kill_pause_partition_and_leave() {
     // With everything enabled that is paced by the number of front doors present.
     let pace = serde_json::json!({"pace": {"discovery": true, "dials": true, "trials": true}});
-    let plan = Plan {
+    let plan = ClusterConfig {
         processes: 6,
         fleet: Some(pace),
-        ..Plan::default()
+        ..ClusterConfig::default()
     };
-    let mut rig = Rig::start(&plan).expect("a rig");
-    let load = rig.load(Pace {
-        per_s: 40.0,
-        ..Pace::default()
+    let mut cluster = Cluster::start(&plan).expect("a cluster");
+    let load = cluster.start_load(LoadProfile {
+        requests_per_s: 40.0,
+        ..LoadProfile::default()
     });
     let all = [0, 1, 2, 3, 4, 5];
-    rig.agree(&all, "six that know each other");
-    rig.wait("the loads of all at each", |rig| {
+    cluster.wait_for_agreement(&all, "six that know each other");
+    cluster.wait_for("the loads of all at each", |cluster| {
         let known = |i| {
-            rig.told(i).and_then(|event| {
-                event.more["members"]["loads"]
+            cluster.last_fleet_report(i).and_then(|event| {
+                event.fields["members"]["loads"]
                     .as_object()
                     .map(serde_json::Map::len)
             })
         };
         all.iter().all(|i| known(*i) == Some(6)).then_some(())
     });
-    rig.processes[5].kill();
-    rig.agree(&all[..5], "five that miss one");
-    rig.start_one(5).expect("a start");
-    rig.agree(&all, "six again");
-    rig.processes[4].signal(Signal::SIGSTOP);
-    rig.agree(&[0, 1, 2, 3, 5], "five without the one that stands still");
-    rig.processes[4].signal(Signal::SIGCONT);
-    rig.agree(&all, "six after it woke");
-    rig.split(&[&[0, 1], &[2, 3], &[4, 5]]);
+    cluster.processes[5].kill();
+    cluster.wait_for_agreement(&all[..5], "five that miss one");
+    cluster.start_process(5).expect("a start");
+    cluster.wait_for_agreement(&all, "six again");
+    cluster.processes[4].signal(Signal::SIGSTOP);
+    cluster.wait_for_agreement(&[0, 1, 2, 3, 5], "five without the one that stands still");
+    cluster.processes[4].signal(Signal::SIGCONT);
+    cluster.wait_for_agreement(&all, "six after it woke");
+    cluster.partition(&[&[0, 1], &[2, 3], &[4, 5]]);
     for third in [[0, 1], [2, 3], [4, 5]] {
-        rig.agree(&third, "a third on its own");
+        cluster.wait_for_agreement(&third, "a third on its own");
     }
-    rig.heal();
-    rig.agree(&all, "six after the split");
-    rig.processes[0].signal(Signal::SIGTERM);
-    rig.processes[0].wait();
-    rig.agree(&all[1..], "five after one left");
-    rig.settle(&load);
-    let events = rig.history.events();
-    assert_eq!(check::all(&events), []);
+    cluster.heal_links();
+    cluster.wait_for_agreement(&all, "six after the split");
+    cluster.processes[0].signal(Signal::SIGTERM);
+    cluster.processes[0].wait_for_exit();
+    cluster.wait_for_agreement(&all[1..], "five after one left");
+    cluster.finish_load(&load);
+    let events = cluster.history.events();
+    assert_eq!(check::check_all(&events), []);
     let saw = |by: &str, change: &str, member: &str| {
         let seen = |event: &&cometspool_fault_injection::history::Event| {
-            event.who == by
-                && event.what == "member"
+            event.source == by
+                && event.kind == "member"
                 && event.text("change") == change
                 && event.text("member") == member
         };
         events.iter().filter(seen).count()
     };
     for i in 1..6 {
-        let by = cometspool_fault_injection::rig::name(i);
+        let by = cometspool_fault_injection::cluster::process_name(i);
         assert_eq!(
             (saw(&by, "left", "n0"), saw(&by, "failed", "n0") > 1),
             (1, false),
@@ -172,9 +177,9 @@
         );
     }
     assert!(
-        rig.acted()["lost"] > 100,
+        cluster.link_counters()["lost"] > 100,
         "the split acted: {:?}",
-        rig.acted()
+        cluster.link_counters()
     );
 }
 
@@ -183,13 +188,13 @@
 #[test]
 fn foreign_corrupted_and_truncated_frames_are_counted_and_close_their_connection() {
     use std::io::{Read, Write};
-    let mut rig = Rig::start(&Plan {
+    let mut cluster = Cluster::start(&ClusterConfig {
         processes: 2,
-        ..Plan::default()
+        ..ClusterConfig::default()
     })
-    .expect("a rig");
-    rig.agree(&[0, 1], "two that know each other");
-    let at: std::net::SocketAddr = rig.processes[0].config["fleet"]["listen"]
+    .expect("a cluster");
+    cluster.wait_for_agreement(&[0, 1], "two that know each other");
+    let at: std::net::SocketAddr = cluster.processes[0].config["fleet"]["listen"]
         .as_str()
         .unwrap()
         .parse()
@@ -208,50 +213,50 @@
         // The connection is closed, or reset for bytes that were not read.
         let _ = stream.read_to_end(&mut rest);
         assert_eq!(rest, b"", "{counter}: a foreign connection is sent nothing");
-        rig.wait(counter, |rig| {
-            (transport_counter(rig, 0, counter) >= 1).then_some(())
+        cluster.wait_for(counter, |cluster| {
+            (transport_counter(cluster, 0, counter) >= 1).then_some(())
         });
     }
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    let before = transport_counter(&rig, 0, "mark");
+    let before = transport_counter(&cluster, 0, "mark");
     socket.send_to(b"no frame", at).expect("sent");
-    rig.wait("a counted datagram", |rig| {
-        (transport_counter(rig, 0, "mark") > before).then_some(())
+    cluster.wait_for("a counted datagram", |cluster| {
+        (transport_counter(cluster, 0, "mark") > before).then_some(())
     });
     // From now on one byte of each datagram is changed: checksums detect all of them, and each
     // declares the other failed.
-    let damaged = cometspool_fault_injection::link::Quality {
-        damage: 1.0,
+    let damaged = cometspool_fault_injection::link::LinkConditions {
+        corrupt: 1.0,
         ..Default::default()
     };
-    rig.between(&[0], &[1], &damaged);
-    rig.wait("damage found", |rig| {
-        (transport_counter(rig, 0, "checksum") + transport_counter(rig, 1, "checksum") >= 5)
+    cluster.set_links_between(&[0], &[1], &damaged);
+    cluster.wait_for("damage found", |cluster| {
+        (transport_counter(cluster, 0, "checksum") + transport_counter(cluster, 1, "checksum") >= 5)
             .then_some(())
     });
-    rig.agree(&[0], "one alone");
-    rig.heal();
-    rig.agree(&[0, 1], "two again");
+    cluster.wait_for_agreement(&[0], "one alone");
+    cluster.heal_links();
+    cluster.wait_for_agreement(&[0, 1], "two again");
 }
 
 /// Guards a running fleet against an invalid section at SIGHUP: it is reported with its key, and
 /// the old one stays in force.
 #[test]
 fn an_invalid_section_at_sighup_keeps_the_old_configuration() {
-    let mut rig = Rig::start(&Plan {
+    let mut cluster = Cluster::start(&ClusterConfig {
         processes: 2,
-        ..Plan::default()
+        ..ClusterConfig::default()
     })
-    .expect("a rig");
-    rig.agree(&[0, 1], "two that know each other");
-    rig.processes[0]
+    .expect("a cluster");
+    cluster.wait_for_agreement(&[0, 1], "two that know each other");
+    cluster.processes[0]
         .reload(|config| config["fleet"]["links"] = 0.into())
         .expect("a file");
-    rig.wait("a line on the invalid key", |rig| {
+    cluster.wait_for("a line on the invalid key", |cluster| {
         let told = |text: &str| {
             text.contains("the old configuration goes on") && text.contains("fleet.links")
         };
-        rig.history.read(|events| {
+        cluster.history.read(|events| {
             events
                 .iter()
                 .any(|event| told(event.text("text")))
@@ -259,18 +264,18 @@
         })
     });
     // It still finds the other after that is restarted.
-    rig.processes[1].kill();
-    rig.agree(&[0], "one alone");
-    rig.start_one(1).expect("a start");
-    rig.agree(&[0, 1], "two again");
-    assert_eq!(check::no_crash(&rig.history.events()), []);
+    cluster.processes[1].kill();
+    cluster.wait_for_agreement(&[0], "one alone");
+    cluster.start_process(1).expect("a start");
+    cluster.wait_for_agreement(&[0, 1], "two again");
+    assert_eq!(check::no_crash(&cluster.history.events()), []);
 }
 
 /// Guards the start: a fault in the section is reported with its key, on one line, with exit code
 /// 2. A simulated clock error is rejected outside a test.
 #[test]
 fn an_invalid_fleet_section_at_start_names_its_key() {
-    use cometspool_fault_injection::hand::{settings, spawn};
+    use cometspool_fault_injection::scripted_peers::{default_settings, spawn_with_configuration};
     use serde_json::json;
     let good = json!({"name": "f", "listen": "127.0.0.1:9", "peers": []});
     let cases = [
@@ -298,9 +303,9 @@
             .extend(change.as_object().unwrap().clone());
         let config = json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
-            "limits": {"sockets": 256}, "settings": settings(), "fleet": fleet,
+            "limits": {"sockets": 256}, "settings": default_settings(), "fleet": fleet,
         });
-        let (child, _) = spawn(&config.to_string(), &[]);
+        let child = spawn_with_configuration(&config.to_string(), &[]).child;
         let output = child.wait_with_output().expect("an exit");
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{key}: {text}");
@@ -311,10 +316,10 @@
     }
     let config = json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
-        "limits": {"sockets": 256}, "settings": settings(), "clock": {"rate": 2.0},
+        "limits": {"sockets": 256}, "settings": default_settings(), "clock": {"rate": 2.0},
     });
-    let output = spawn(&config.to_string(), &[])
-        .0
+    let output = spawn_with_configuration(&config.to_string(), &[])
+        .child
         .wait_with_output()
         .expect("an exit");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -328,7 +333,7 @@
 /// it names must show in its history.
 #[test]
 fn fixed_fault_schedules_inject_their_faults_and_violate_no_invariant() {
-    use cometspool_fault_injection::schedule::{play, Schedule};
+    use cometspool_fault_injection::schedule::{run, Schedule};
     // The faults that must show of each schedule: in the counters of the links, or among the
     // events.
     let schedules: [(&str, &str, &[&str]); 3] = [
@@ -370,20 +375,20 @@
     ];
     for (name, text, acts) in schedules {
         let schedule = Schedule::read(text).unwrap_or_else(|error| panic!("{name}: {error}"));
-        let outcome = play(&schedule, None, None).expect("a rig");
+        let outcome = run(&schedule, None, None).expect("a cluster");
         assert_eq!(outcome.violations, [], "{name}");
         let seen = |act: &&str| {
             let of = |map: &std::collections::BTreeMap<String, u64>| {
                 map.get(*act).copied().unwrap_or_default()
             };
-            of(&outcome.acted) + of(&outcome.counted)
+            of(&outcome.link_counters) + of(&outcome.event_counts)
         };
         for act in acts {
             assert!(
                 seen(act) > 0,
                 "{name}: {act} was not seen in {:?} and {:?}",
-                outcome.acted,
-                outcome.counted
+                outcome.link_counters,
+                outcome.event_counts
             );
         }
     }
