--- a/crates/fault-injection/src/cluster/mod.rs
+++ b/crates/fault-injection/src/cluster/mod.rs
@@ -250,7 +250,7 @@
         let name = process_name(process);
         let is_start = |event: &Event| event.kind == "start" && event.text("process") == name;
         let is_serving =
-            |event: &Event| event.source == name && event.text("text").contains("serving on");
+            |event: &Event| event.source == name && event.is_log_line("serving requests");
         self.history.read(|events| {
             let started = events.iter().rposition(is_start);
             started.is_some_and(|started| events[started..].iter().any(is_serving))
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -48,6 +48,11 @@
             .unwrap_or_default()
     }
 
+    /// Whether it is a line of a process's log with this message, as plain text or as JSON.
+    pub fn is_log_line(&self, message: &str) -> bool {
+        self.text("message") == message || self.text("text").contains(message)
+    }
+
     /// A whole number among the other fields.
     pub fn number(&self, key: &str) -> Option<u64> {
         self.fields.get(key).and_then(Value::as_u64)
--- a/crates/fault-injection/src/scripted_peers/gateway_process.rs
+++ b/crates/fault-injection/src/scripted_peers/gateway_process.rs
@@ -132,7 +132,7 @@
         log.read_line(&mut line).expect("a line");
         let address = line
             .trim()
-            .rsplit(' ')
+            .rsplit('=')
             .next()
             .and_then(|text| text.parse().ok());
         let address = address.unwrap_or_else(|| panic!("no address in {line:?}"));
@@ -235,6 +235,15 @@
         line
     }
 
+    /// Reads the next line of its log, without the time and the level that it begins with.
+    pub fn read_log_event(&mut self) -> String {
+        let line = self.read_log_line();
+        let mut words = line.split_whitespace();
+        words.next();
+        words.next();
+        words.collect::<Vec<&str>>().join(" ")
+    }
+
     /// Waits until the process has exited.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().expect("an exit status")
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,31 +1,33 @@
-//! The front door: starts up, serves until it is told to stop, and ends with an exit code.
+//! The gateway's process: starts it, and ends with its exit code.
 
 #![forbid(unsafe_code)]
 
 mod net;
 
+use net::runtime::stall::WakeRecorder;
+use net::StartError;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(stopped) => {
-            eprintln!("cometspool: {}", stopped.why);
-            ExitCode::from(stopped.code)
+        Err(error) => {
+            eprintln!("cometspool: {error}");
+            ExitCode::from(error.exit_code())
         }
     }
 }
 
-/// Serves on one thread: a front door has one core, and nothing on the path needs a lock.
-fn serve() -> Result<(), net::StartError> {
-    let woken = net::runtime::stall::WakeRecorder::new();
-    let noted = woken.clone();
+/// Serves on one thread: a gateway has one core, and nothing on the path of a request needs a lock.
+fn serve() -> Result<(), StartError> {
+    let wake_recorder = WakeRecorder::new();
+    let recorder = wake_recorder.clone();
     let runtime = tokio::runtime::Builder::new_current_thread()
-        .on_thread_unpark(move || noted.record_wake())
+        .on_thread_unpark(move || recorder.record_wake())
         .enable_io()
         .enable_time()
         .build()
-        .map_err(|error| format!("cannot start: {error}"))?;
+        .map_err(StartError::Runtime)?;
     let local = tokio::task::LocalSet::new();
-    local.block_on(&runtime, net::run(woken))
+    local.block_on(&runtime, net::run(wake_recorder))
 }
--- a/src/net/control/discovery/watch.rs
+++ b/src/net/control/discovery/watch.rs
@@ -147,9 +147,8 @@
 }
 
 fn log_watch_end(result: &Result<(), WatchError>) {
-    let reason = match result {
-        Ok(()) => "closed".to_owned(),
-        Err(error) => error.to_string(),
-    };
-    eprintln!("discovery: watch ended: {reason}");
+    match result {
+        Ok(()) => tracing::warn!("endpoint list watch closed"),
+        Err(error) => tracing::warn!(%error, "endpoint list watch ended"),
+    }
 }
--- a/src/net/control/handover.rs
+++ b/src/net/control/handover.rs
@@ -150,10 +150,7 @@
         };
         if let Err(error) = result {
             // Logged once for an outage.
-            eprintln!(
-                "handover: {}: {error}: nothing more is handed over for now",
-                self.path.display()
-            );
+            tracing::warn!(path = %self.path.display(), %error, "hand-over suspended");
             self.suspend_writing(now);
         }
     }
@@ -167,7 +164,7 @@
             return;
         }
         match self.compact() {
-            Ok(()) => eprintln!("handover: {}: handed over again", self.path.display()),
+            Ok(()) => tracing::info!(path = %self.path.display(), "hand-over resumed"),
             Err(_) => self.suspend_writing(now),
         }
     }
--- a/src/net/downstream/connections.rs
+++ b/src/net/downstream/connections.rs
@@ -140,6 +140,6 @@
 
 fn report_stall(stall: Millis) {
     if stall >= MIN_REPORTED_STALL {
-        eprintln!("held up for {stall:.0} ms: what came meanwhile has that much less time");
+        tracing::warn!(stall_ms = stall.round(), "event loop stalled");
     }
 }
--- a/src/net/downstream/connections/shutdown.rs
+++ b/src/net/downstream/connections/shutdown.rs
@@ -51,10 +51,8 @@
         while !self.open.borrow().is_empty() {
             let closed = tokio::time::timeout_at(end, self.closed.notified()).await;
             if closed.is_err() {
-                eprintln!(
-                    "stopped with {} requests unanswered",
-                    self.handler.pending_requests()
-                );
+                let unanswered = self.handler.pending_requests();
+                tracing::warn!(unanswered, "shutdown deadline reached");
                 return;
             }
             tokio::time::sleep(FINAL_ACCEPT_WAIT).await;
--- a/src/net/driver/endpoints.rs
+++ b/src/net/driver/endpoints.rs
@@ -266,7 +266,11 @@
         } else {
             previous.name
         };
-        eprintln!("backend {displaced} is taken for gone: another has its address");
+        tracing::warn!(
+        endpoint = displaced,
+        address = %endpoint.address,
+        "endpoint removed: another has its address"
+        );
         let removed = Endpoint {
             name: displaced,
             health: Health::Removed,
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -49,7 +49,7 @@
 
 /// Why a driver could not be made.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum DriverError {
+pub(crate) enum DriverError {
     /// The hand-over file cannot be read or written.
     #[error(transparent)]
     Handover(#[from] HandoverError),
@@ -220,7 +220,7 @@
             Action::SetTimer { at, timer } => self.set_timer(at, TimerKind::Policy(timer)),
             Action::CloseIdleConnections(backend) => self.connections.close_idle(backend),
             Action::Preconnect { backend, within } => self.connections.preconnect(backend, within),
-            Action::Log(text) => eprintln!("{text}"),
+            Action::Log(text) => tracing::info!("{text}"),
             // Discovery pushes changes of the list unasked, and the platform does not permit health checks.
             Action::Subscribe | Action::FetchList | Action::CheckHealth(_) => {}
         }
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -21,7 +21,7 @@
 
 /// Why the fleet layer did not start.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum FleetError {
+pub(crate) enum FleetError {
     /// A listener could not be bound.
     #[error("fleet.listen: {address}: {source}")]
     Bind {
@@ -32,18 +32,6 @@
     },
 }
 
-/// Writes the events of the fleet layer to standard error, one JSON object a line, where operators'
-/// tools and the fault injection read them.
-fn init_log() {
-    let subscriber = tracing_subscriber::fmt()
-        .json()
-        .flatten_event(true)
-        .with_target(false)
-        .with_writer(std::io::stderr);
-    // A program that embeds this one may have set another subscriber; the events go there then.
-    let _ = subscriber.try_init();
-}
-
 /// The fleet layer, as its front door uses it.
 pub(super) struct Fleet {
     section: FleetSection,
@@ -71,7 +59,6 @@
         load: Box<dyn Fn() -> u16>,
         on_fleet_size: Box<dyn Fn(u32)>,
     ) -> Result<Rc<Fleet>, FleetError> {
-        init_log();
         let address = section.listen;
         let bind_error = |source| FleetError::Bind { address, source };
         let listener = TcpListener::bind(address).await.map_err(bind_error)?;
--- /dev/null
+++ b/src/net/startup.rs
@@ -0,0 +1,214 @@
+//! The life of a gateway process: start, reload at SIGHUP, graceful shutdown at SIGTERM.
+
+use super::control::backoff::Backoff;
+use super::control::config::{Config, ConfigError};
+use super::control::discovery::watch_endpoints;
+use super::control::fleet_section::{FleetSection, Pace};
+use super::downstream::connections::{DownstreamConnections, RequestHandler};
+use super::driver::{Driver, DriverError};
+use super::fleet::{Fleet, FleetError};
+use super::runtime::capacity::client_connection_limit;
+use super::runtime::log::{self, LogFormat};
+use super::runtime::stall::WakeRecorder;
+use std::cell::Cell;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+
+/// Why a gateway did not start.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum StartError {
+    /// The asynchronous runtime could not be built.
+    #[error("cannot start: {0}")]
+    Runtime(#[source] io::Error),
+    /// Signal handlers could not be installed.
+    #[error("no signals: {0}")]
+    Signals(#[source] io::Error),
+    /// The configuration cannot be used.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The address for clients could not be bound.
+    #[error("cannot listen on {address}: {source}")]
+    Listen {
+        /// The configured address.
+        address: SocketAddr,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The driver could not take up its state.
+    #[error(transparent)]
+    Driver(#[from] DriverError),
+    /// The fleet layer did not start.
+    #[error(transparent)]
+    Fleet(#[from] FleetError),
+}
+
+impl StartError {
+    /// The exit code of the process.
+    pub(crate) fn exit_code(&self) -> u8 {
+        match self {
+            StartError::Config(error) => error.code(),
+            _ => 1,
+        }
+    }
+}
+
+/// The signals that a gateway handles.
+struct Signals {
+    hangup: Signal,
+    terminate: Signal,
+}
+
+impl Signals {
+    /// Installs the handlers; until then both signals end the process.
+    fn install() -> io::Result<Signals> {
+        Ok(Signals {
+            hangup: signal(SignalKind::hangup())?,
+            terminate: signal(SignalKind::terminate())?,
+        })
+    }
+}
+
+/// Serves until a graceful shutdown has been completed.
+///
+/// # Errors
+///
+/// A [`StartError`], before the first request is accepted.
+pub(crate) async fn run(wake_recorder: WakeRecorder) -> Result<(), StartError> {
+    let mut signals = Signals::install().map_err(StartError::Signals)?;
+    let config = Config::from_env()?;
+    log::init(log_format(&config));
+    let listener = bind(config.listen).await?;
+    let address = local_address(&listener, config.listen)?;
+    let driver = Driver::new(&config, wake_recorder)?;
+    spawn_local(driver.clone().run_timers());
+    spawn_local(driver.clone().evict_idle_connections());
+    let discovery = watch::Sender::new(config.discovery);
+    let backoff = Backoff::new(driver.context.settings.gateways, config.seed);
+    let backoff_fleet_size = backoff.fleet_size();
+    let descriptors = config.descriptor_budget();
+    spawn_local(watch_endpoints(
+        driver.clone(),
+        discovery.subscribe(),
+        config.cached_endpoints,
+        backoff,
+    ));
+    let connections =
+        DownstreamConnections::new(driver.clone(), driver.context.clone(), descriptors);
+    spawn_local(connections.clone().accept(listener));
+    spawn_local(connections.clone().close_expired_connections());
+    let fleet = match config.fleet {
+        Some(section) => {
+            let max_clients = client_connection_limit(descriptors).max(1);
+            Some(
+                start_fleet(
+                    section,
+                    &driver,
+                    config.seed,
+                    max_clients,
+                    backoff_fleet_size,
+                )
+                .await?,
+            )
+        }
+        None => None,
+    };
+    tracing::info!(gateway = %config.name, %address, "serving requests");
+    serve_until_terminated(&mut signals, &discovery).await;
+    tracing::info!(gateway = %config.name, "shutting down");
+    if let Some(fleet) = &fleet {
+        fleet.leave();
+    }
+    connections.shut_down().await;
+    Ok(())
+}
+
+/// The tools of a fleet read its log as JSON.
+fn log_format(config: &Config) -> LogFormat {
+    match config.fleet {
+        Some(_) => LogFormat::Json,
+        None => LogFormat::Text,
+    }
+}
+
+async fn bind(address: SocketAddr) -> Result<TcpListener, StartError> {
+    TcpListener::bind(address)
+        .await
+        .map_err(|source| StartError::Listen { address, source })
+}
+
+/// The address that was bound, which has a port also where the `configured` one leaves it to the system.
+fn local_address(listener: &TcpListener, configured: SocketAddr) -> Result<SocketAddr, StartError> {
+    listener.local_addr().map_err(|source| StartError::Listen {
+        address: configured,
+        source,
+    })
+}
+
+/// Starts the fleet layer of `driver`, which may have `max_clients` requests in progress.
+async fn start_fleet(
+    section: FleetSection,
+    driver: &Rc<Driver>,
+    seed: u64,
+    max_clients: usize,
+    backoff_fleet_size: Rc<Cell<u32>>,
+) -> Result<Rc<Fleet>, FleetError> {
+    let handler = driver.clone();
+    let load = move || (handler.pending_requests() * 1000 / max_clients).min(1000) as u16;
+    let on_fleet_size = fleet_size_observer(section.pace, driver.clone(), backoff_fleet_size);
+    Fleet::start(
+        section,
+        driver.context.clock,
+        driver.context.settings.gateways,
+        seed,
+        Box::new(load),
+        on_fleet_size,
+    )
+    .await
+}
+
+/// Passes the fleet's size on to what the configuration has paced by it.
+fn fleet_size_observer(
+    pace: Pace,
+    driver: Rc<Driver>,
+    backoff_fleet_size: Rc<Cell<u32>>,
+) -> Box<dyn Fn(u32)> {
+    Box::new(move |gateways| {
+        if pace.dials {
+            driver.set_dial_fleet_size(gateways);
+        }
+        if pace.trials {
+            driver.report_fleet_size(gateways);
+        }
+        if pace.discovery {
+            backoff_fleet_size.set(gateways);
+        }
+    })
+}
+
+/// Reloads the configuration at each SIGHUP; returns at SIGTERM.
+async fn serve_until_terminated(signals: &mut Signals, discovery: &watch::Sender<SocketAddr>) {
+    loop {
+        tokio::select! {
+            _ = signals.terminate.recv() => return,
+            _ = signals.hangup.recv() => reload(discovery),
+        }
+    }
+}
+
+/// Re-reads the configuration. Only the address of discovery can change while the gateway runs; a file that cannot be
+/// used is reported and ignored.
+fn reload(discovery: &watch::Sender<SocketAddr>) {
+    match Config::reread_discovery_address() {
+        Ok(address) => {
+            tracing::info!(discovery = %address, "configuration reloaded");
+            // Also where it is the same address: the watch is opened anew.
+            discovery.send_replace(address);
+        }
+        Err(error) => tracing::warn!(%error, "invalid configuration ignored"),
+    }
+}
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -74,8 +74,11 @@
         "{\"seed\":\"1\",\"limits\":{\"sockets\":256},\"settings\":{},\"discovery\":\"x\"}",
     ] {
         fixture.program.reload(invalid);
-        let line = fixture.program.read_log_line();
-        assert!(line.contains("old configuration goes on"), "{line}");
+        let line = fixture.program.read_log_event();
+        assert!(
+            line.starts_with("invalid configuration ignored error="),
+            "{line}"
+        );
     }
     // The former watch is still in use.
     let moved_backend = TestListener::new();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -66,7 +66,7 @@
     let said = |cluster: &mut Cluster, text: &str| {
         cluster.wait_for(text, |cluster| {
             let says = |event: &cometspool_fault_injection::history::Event| {
-                event.source == "n0" && event.text("text").contains(text)
+                event.source == "n0" && event.is_log_line(text)
             };
             cluster
                 .history
@@ -76,13 +76,13 @@
     cluster.processes[0]
         .reload(|config| config["clock"] = serde_json::json!({"ahead_ms": -3_600_000}))
         .expect("told");
-    said(&mut cluster, "discovery is at");
+    said(&mut cluster, "configuration reloaded");
     cluster.processes[0].set_disk_full(true).expect("a limit");
-    said(&mut cluster, "nothing more is handed over for now");
+    said(&mut cluster, "hand-over suspended");
     let until = load.sent() + 100;
     cluster.wait_for("more requests", |_| (load.sent() >= until).then_some(()));
     cluster.processes[0].set_disk_full(false).expect("no limit");
-    said(&mut cluster, "handed over again");
+    said(&mut cluster, "hand-over resumed");
     let file = std::fs::read_to_string(cluster.processes[0].data_folder().join("handover"))
         .expect("the file");
     let ends: Vec<f64> = file
@@ -253,15 +253,13 @@
         .reload(|config| config["fleet"]["links"] = 0.into())
         .expect("a file");
     cluster.wait_for("a line on the invalid key", |cluster| {
-        let told = |text: &str| {
-            text.contains("the old configuration goes on") && text.contains("fleet.links")
+        let is_reported = |event: &cometspool_fault_injection::history::Event| {
+            event.is_log_line("invalid configuration ignored")
+                && event.text("error").contains("fleet.links")
         };
-        cluster.history.read(|events| {
-            events
-                .iter()
-                .any(|event| told(event.text("text")))
-                .then_some(())
-        })
+        cluster
+            .history
+            .read(|events| events.iter().any(is_reported).then_some(()))
     });
     // It still finds the other after that is restarted.
     cluster.processes[1].kill();
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -35,7 +35,7 @@
     let mut backend = fixture.backends[0].accept();
     backend.read();
     fixture.program.terminate();
-    assert_eq!(fixture.program.read_log_line(), "n0: stopping\n");
+    assert_eq!(fixture.program.read_log_event(), "shutting down gateway=n0");
     let mut late = fixture.program.connect_client();
     late.write(request_with("id-2", "charge", "wide", LONG_TIMEOUT));
     let mut second = fixture.backends[0].accept();
@@ -199,7 +199,7 @@
     client.write(HEALTH_CHECK);
     assert_eq!(client.read().status(), 503);
     program.terminate();
-    while program.read_log_line() != "n0: stopping\n" {}
+    while program.read_log_event() != "shutting down gateway=n0" {}
     client.write(request_with("early", "charge", "wide", MINUTE_TIMEOUT));
     let rejection = client.read();
     assert_eq!(
--- a/tests/outlier_detection_over_loopback.rs
+++ b/tests/outlier_detection_over_loopback.rs
@@ -75,7 +75,7 @@
     let mut log = String::new();
     program.log.read_to_string(&mut log).unwrap();
     assert!(
-        log.contains("stopping") && !log.contains("set aside"),
+        log.contains("shutting down") && !log.contains("set aside"),
         "{log}"
     );
 }
