--- a/src/net/control/discovery/watch.rs
+++ b/src/net/control/discovery/watch.rs
@@ -24,6 +24,8 @@
     backoff: Backoff,
 ) {
     let mut watch = EndpointWatch::new(observer, cached.as_ref(), backoff);
+    // This function never returns: the list would stay in memory for as long as the gateway runs.
+    drop(cached);
     loop {
         let address = *agent.borrow_and_update();
         let call = watch.begin_call();
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -208,7 +208,10 @@
             let update = ScoreUpdate::raise(hanging, 1.0);
             self.update(now, &update);
         }
-        for update in outcome_updates(request.plan, completed) {
+        for update in outcome_updates(request.plan, completed)
+            .into_iter()
+            .flatten()
+        {
             self.update(now, &update);
         }
         // The general score is brought up to now by every outcome, also by one that says nothing.
@@ -243,7 +246,7 @@
 /// connections break everywhere, each backend would be set aside in turn and the rest be overloaded. It costs some
 /// requests at a backend that accepts connections and breaks every one; a process that died refuses the next
 /// connection, and that says enough.
-fn outcome_updates(plan: PlanId, completed: &AttemptCompleted) -> Vec<ScoreUpdate> {
+fn outcome_updates(plan: PlanId, completed: &AttemptCompleted) -> [Option<ScoreUpdate>; 2] {
     let failure_step = |usual_step: f64| {
         if completed.broken_connections > 0 {
             BROKEN_CONNECTION_STEP
@@ -252,22 +255,28 @@
         }
     };
     match completed.outcome {
-        Outcome::Ok => vec![
-            ScoreUpdate::lower(Fault::Failing, RECOVERY_STEP),
-            ScoreUpdate::lower(Fault::Errors, RECOVERY_STEP),
+        Outcome::Ok => [
+            Some(ScoreUpdate::lower(Fault::Failing, RECOVERY_STEP)),
+            Some(ScoreUpdate::lower(Fault::Errors, RECOVERY_STEP)),
         ],
-        Outcome::Error => vec![
-            ScoreUpdate::raise(Fault::Failing, FAILURE_STEP),
-            ScoreUpdate::raise(Fault::Errors, FAILURE_STEP),
+        Outcome::Error => [
+            Some(ScoreUpdate::raise(Fault::Failing, FAILURE_STEP)),
+            Some(ScoreUpdate::raise(Fault::Errors, FAILURE_STEP)),
         ],
-        Outcome::ConnectFailed => vec![ScoreUpdate::raise(Fault::Failing, failure_step(1.0))],
-        Outcome::Reset => vec![ScoreUpdate::raise(
-            Fault::Failing,
-            failure_step(FAILURE_STEP),
-        )],
-        Outcome::Timeout => vec![ScoreUpdate::raise(Fault::Failing, FAILURE_STEP)],
-        Outcome::Rejected => vec![ScoreUpdate::raise(Fault::Full(plan), FAILURE_STEP)],
-        Outcome::Cancelled | Outcome::NotSent => Vec::new(),
+        Outcome::ConnectFailed => {
+            let step = failure_step(1.0);
+            [Some(ScoreUpdate::raise(Fault::Failing, step)), None]
+        }
+        Outcome::Reset => {
+            let step = failure_step(FAILURE_STEP);
+            [Some(ScoreUpdate::raise(Fault::Failing, step)), None]
+        }
+        Outcome::Timeout => [Some(ScoreUpdate::raise(Fault::Failing, FAILURE_STEP)), None],
+        Outcome::Rejected => {
+            let fault = Fault::Full(plan);
+            [Some(ScoreUpdate::raise(fault, FAILURE_STEP)), None]
+        }
+        Outcome::Cancelled | Outcome::NotSent => [None, None],
     }
 }
 
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The design's recent average, penalty box and token bucket backend few gateways, against numbers worked by hand.
+//! The design's recent average, penalty box and token bucket at few gateways, against numbers worked by hand.
 
 mod common;
 use cometspool::*;
@@ -45,7 +45,7 @@
         let now = 220.0 + f64::from(i - 19) * 100.0;
         assert!(
             gateway.serve(now, request(i, 0, now)),
-            "request {i} backend the quota's rate"
+            "request {i} at the quota's rate"
         );
     }
 }
@@ -64,7 +64,7 @@
 #[test]
 fn rejected_arrivals_count_for_the_penalty_box_and_it_opens_by_decay() {
     let mut gateway = GatewayFixture::new(settings(plan(), 1), vec![ready(1, 0)]);
-    // 1000 arrivals backend once: with a halflife of four burst lengths (8 s) the average is
+    // 1000 arrivals at once: with a halflife of four burst lengths (8 s) the average is
     // 1000 ln 2 / 8 s = 87 a second; the limit is 30 + 20 ln 2 / 8 s = 31.7.
     (0..1000).for_each(|i| {
         gateway.serve(1.0, request(i, 0, 1.0));
@@ -217,7 +217,7 @@
 #[test]
 fn spike_does_not_raise_the_refill_rate_before_the_meter_reports() {
     let mut gateway = GatewayFixture::new(settings(plan(), 2), vec![ready(1, 0), ready(2, 0)]);
-    // 1.5 s backend three times the quota: half a burst, the even refill, and little of a rise.
+    // 1.5 s at three times the quota: half a burst, the even refill, and little of a rise.
     let arrival = |i: u32| 1.0 + f64::from(i) * 33.0;
     let served = (0..45).filter(|i| {
         gateway.serve(
@@ -300,7 +300,7 @@
         served += u32::from(gateway.serve(1.0 + f64::from(i) * 11.0, request(i, 0, 0.0)));
     });
     assert!(served >= 20);
-    // The quota is ten a second; each request comes twice, and backend most every second one finds the bucket empty.
+    // The quota is ten a second; each request comes twice, and at most every second one finds the bucket empty.
     let mut later = 0;
     for i in 0..400u32 {
         let now = 500.0 + f64::from(i) * 50.0;
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -110,7 +110,7 @@
 }
 
 /// A network fault is not taken for faults of backends: where a third of the connections break, at all backends
-/// alike, none is gateway_settings aside. A refused connection sets its backend aside at once.
+/// alike, none is set aside. A refused connection sets its backend aside at once.
 #[test]
 fn refused_connection_sets_a_backend_aside_but_broken_connections_do_not() {
     let mut gateway = GatewayFixture::new(
