--- a/src/net/control/config.rs
+++ b/src/net/control/config.rs
@@ -3,6 +3,7 @@
 mod error;
 mod file;
 mod flatten;
+mod limits;
 
 use crate::net::control::endpoint_list::EndpointList;
 use crate::net::control::fleet_section::FleetSection;
@@ -10,7 +11,7 @@
 use cometspool::settings::ParsedSettings;
 pub(crate) use error::ConfigError;
 use file::ConfigFile;
-pub(crate) use file::Limits;
+pub(crate) use limits::Limits;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
--- a/src/net/control/config/error.rs
+++ b/src/net/control/config/error.rs
@@ -1,6 +1,6 @@
 //! Why a configuration cannot be used.
 
-use super::file::MIN_SOCKETS;
+use super::limits::MIN_SOCKETS;
 use crate::net::control::fleet_section::SectionError;
 use cometspool::settings::SettingsError;
 use std::net::AddrParseError;
--- a/src/net/control/config/file.rs
+++ b/src/net/control/config/file.rs
@@ -2,6 +2,7 @@
 
 use super::error::ConfigError;
 use super::flatten::to_lines;
+use super::limits::{Limits, MIN_SOCKETS};
 use crate::net::control::endpoint_list::EndpointList;
 use crate::net::control::fleet_section::FleetSection;
 use crate::net::runtime::clock::Skew;
@@ -10,24 +11,6 @@
 use serde_json::Value;
 use std::path::PathBuf;
 
-/// The fewest descriptors with which a gateway can work.
-pub(super) const MIN_SOCKETS: usize = 32;
-
-/// Limits of the machine that bear on how the gateway is built.
-#[derive(Clone, Copy, Debug, Deserialize)]
-pub(crate) struct Limits {
-    /// File descriptors that the process may use.
-    pub sockets: usize,
-    /// Memory that the process may use, in MiB.
-    #[serde(default = "default_memory_mb")]
-    pub memory_mb: usize,
-}
-
-/// What every deployment has at least, in MiB.
-fn default_memory_mb() -> usize {
-    32
-}
-
 /// The file as it was parsed. Keys that it does not know are ignored.
 #[derive(Debug, Deserialize)]
 pub(super) struct ConfigFile {
--- a/src/net/downstream/connections.rs
+++ b/src/net/downstream/connections.rs
@@ -6,10 +6,11 @@
 //! | `io` | the socket as hyper sees it: notes when bytes arrive, and limits writes |
 //! | `service` | serves one connection: hands its requests to the [`RequestHandler`] and writes the answers |
 //! | `response` | HTTP responses |
-//! | `eviction` | which connection makes room for a new one at the limit |
+//! | `eviction`, `eviction_rank` | which connection makes room for a new one at the limit |
 //! | `shutdown` | graceful shutdown |
 
 mod eviction;
+mod eviction_rank;
 mod io;
 mod response;
 mod service;
--- a/src/net/downstream/connections/eviction.rs
+++ b/src/net/downstream/connections/eviction.rs
@@ -1,42 +1,15 @@
 //! Eviction: which connection is closed to make room for a new one when as many are open as the descriptors allow.
 
+use super::eviction_rank::EvictionKind;
 use super::state::{CloseMode, ConnectionState};
 use super::DownstreamConnections;
 use cometspool::Millis;
-use std::cmp::Ordering;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// How long a new connection waits for an evicted one to close before the next candidate is chosen.
 const EVICTION_WAIT: Duration = Duration::from_millis(20);
 
-/// What an eviction would interrupt. Later variants are evicted first.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum EvictionKind {
-    /// A request that is slow to arrive.
-    SlowRequest,
-    /// Nothing: the connection is between two requests.
-    Idle,
-    /// Nothing: no byte has ever arrived on the connection.
-    Unused,
-}
-
-/// How readily a connection is evicted: by kind, then by how long it has been in that state.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct EvictionRank {
-    /// What the eviction would interrupt.
-    pub(super) kind: EvictionKind,
-    /// How long the connection has been in that state, ms.
-    pub(super) age: Millis,
-}
-
-impl EvictionRank {
-    fn total_cmp(&self, other: &EvictionRank) -> Ordering {
-        let by_kind = self.kind.cmp(&other.kind);
-        by_kind.then(self.age.total_cmp(&other.age))
-    }
-}
-
 /// A connection that may be evicted.
 struct EvictionCandidate {
     kind: EvictionKind,
--- a/src/net/downstream/connections/state.rs
+++ b/src/net/downstream/connections/state.rs
@@ -2,8 +2,9 @@
 //!
 //! All times are [`Millis`] on the gateway's clock.
 
-use super::eviction::{EvictionKind, EvictionRank};
-use crate::net::messages::{ClientConnection, CONNECTION_BUFFER_BYTES};
+use super::eviction_rank::{EvictionKind, EvictionRank};
+use crate::net::messages::ClientConnection;
+use crate::net::runtime::capacity::CONNECTION_BUFFER_BYTES;
 use cometspool::Millis;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -11,8 +11,6 @@
 
 /// Longest body of a request, and longest body of a response that is read without reserving memory for it, in bytes.
 pub(super) const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Most bytes that a connection buffers in each direction; a longer request head is answered 431.
-pub(super) const CONNECTION_BUFFER_BYTES: usize = 32 * 1024;
 
 /// The id of a request, the same on every attempt.
 pub(super) const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
--- a/src/net/runtime/capacity.rs
+++ b/src/net/runtime/capacity.rs
@@ -1,8 +1,10 @@
 //! How the gateway's file descriptors and memory are divided between client and backend connections.
 
-use crate::net::messages::CONNECTION_BUFFER_BYTES;
 use std::time::Duration;
 
+/// Most bytes that a connection buffers in each direction; a longer request head is answered 431.
+pub(crate) const CONNECTION_BUFFER_BYTES: usize = 32 * 1024;
+
 /// Pause before the next `accept` when one failed, as it does when no descriptor is free.
 pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
--- a/src/net/upstream/pool_driver/checkout.rs
+++ b/src/net/upstream/pool_driver/checkout.rs
@@ -75,7 +75,9 @@
         let checkout =
             state.report(|pool, now, actions| pool.checkout(now, backend, id, run_once, actions));
         let candidate = match checkout {
-            Checkout::Reused { connection, .. } => state.check_out(backend, connection),
+            Checkout::Reused { connection, .. } => {
+                CheckedOutConnection::take(state, backend, connection)
+            }
             Checkout::Exhausted => return Err(CheckoutError::Exhausted),
             Checkout::Queued => {
                 let remaining = (deadline - state.clock.now()) / 1000.0;
@@ -134,7 +136,11 @@
         timeout: Duration,
     ) -> Result<Option<CheckedOutConnection>, CheckoutError> {
         match tokio::time::timeout(timeout, &mut self.receiver).await {
-            Ok(Ok(Ok(connection))) => Ok(self.state.check_out(self.backend, connection)),
+            Ok(Ok(Ok(connection))) => Ok(CheckedOutConnection::take(
+                self.state,
+                self.backend,
+                connection,
+            )),
             Ok(Ok(Err(error))) => Err(error.into()),
             Ok(Err(_)) => Err(CheckoutError::PoolClosed),
             Err(_) if self.state.pool.borrow().is_dialing(self.backend) => {
@@ -174,20 +180,23 @@
 }
 
 impl CheckedOutConnection {
-    pub(super) fn new(
-        state: Rc<PoolState>,
+    /// Takes a connection that the pool has checked out; `None` if it is gone.
+    fn take(
+        state: &Rc<PoolState>,
         backend: BackendId,
         id: ConnectionId,
-        idle_for: Option<Millis>,
-        connection: Connection,
-    ) -> CheckedOutConnection {
-        CheckedOutConnection {
-            state,
+    ) -> Option<CheckedOutConnection> {
+        let connection = state.take_idle(backend, id)?;
+        let idle_for = connection
+            .last_response_at
+            .map(|ended_at| state.clock.now() - ended_at);
+        Some(CheckedOutConnection {
+            state: state.clone(),
             backend,
             id,
             idle_for,
             connection: Some(connection),
-        }
+        })
     }
 
     /// Returns the connection to the pool after a request that it has carried to the end.
--- a/src/net/upstream/pool_driver/connection.rs
+++ b/src/net/upstream/pool_driver/connection.rs
@@ -1,7 +1,7 @@
 //! One HTTP connection to a backend, and how it is dialed.
 
 use super::socket::{ConnectionSocket, SocketIo};
-use crate::net::messages::CONNECTION_BUFFER_BYTES;
+use crate::net::runtime::capacity::CONNECTION_BUFFER_BYTES;
 use cometspool::connection_pool::DialFailure;
 use cometspool::Millis;
 use http_body_util::Full;
--- a/src/net/upstream/pool_driver/pool_state.rs
+++ b/src/net/upstream/pool_driver/pool_state.rs
@@ -1,7 +1,6 @@
 //! What dials, waiting attempts and connections in use share: the pure pool, the connections that
 //! it numbers, and the actions that it asks for.
 
-use super::checkout::CheckedOutConnection;
 use super::connection::{Connection, DialError};
 use crate::net::runtime::clock::Clock;
 use cometspool::connection_pool::{
@@ -135,27 +134,17 @@
     }
 
     /// Takes a connection that the pool has checked out; `None` if it is gone.
-    pub(super) fn check_out(
+    pub(super) fn take_idle(
         self: &Rc<Self>,
         backend: BackendId,
         id: ConnectionId,
-    ) -> Option<CheckedOutConnection> {
+    ) -> Option<Connection> {
         let connection = self.idle.borrow_mut().remove(&id);
-        let Some(connection) = connection else {
+        if connection.is_none() {
             // The pool counts it as busy.
             self.report(|pool, now, actions| pool.connection_closed(now, backend, actions));
-            return None;
-        };
-        let idle_for = connection
-            .last_response_at
-            .map(|ended_at| self.clock.now() - ended_at);
-        Some(CheckedOutConnection::new(
-            self.clone(),
-            backend,
-            id,
-            idle_for,
-            connection,
-        ))
+        }
+        connection
     }
 
     /// Dials a backend in a task of its own. The result is the pool's, also if the attempt that it
