--- a/crates/fleet-simulation/src/client_population/account.rs
+++ b/crates/fleet-simulation/src/client_population/account.rs
@@ -29,7 +29,7 @@
 
 impl QuotaAccount {
     /// Worth served less the cost of what went over the quotas, as a fraction of what was offered.
-    pub fn net_worth(&self) -> f64 {
+    pub fn net_value(&self) -> f64 {
         (self.served + self.served_over_quota - self.over_quota_cost) / self.offered.max(1e-9)
     }
 }
--- a/crates/fleet-simulation/src/client_population/customer.rs
+++ b/crates/fleet-simulation/src/client_population/customer.rs
@@ -9,7 +9,7 @@
 pub const METER_PERIOD: Millis = 500.0;
 
 /// Meter periods that are kept of each customer.
-const KEPT_PERIODS: usize = 40;
+const MAX_METERED_PERIODS: usize = 40;
 
 /// Use of a quota by a customer that stays near its limit, as a fraction of the quota.
 const NEAR_LIMIT_USE: f64 = 0.95;
@@ -178,7 +178,7 @@
     pub(super) ceiling: QuotaBucket,
     /// Attempts in flight.
     pub attempts_in_flight: u32,
-    /// Units forwarded, by meter period; at most [`KEPT_PERIODS`].
+    /// Units forwarded, by meter period; at most [`MAX_METERED_PERIODS`].
     metered_periods: VecDeque<MeteredPeriod>,
 }
 
@@ -282,7 +282,7 @@
                 .metered_periods
                 .push_back(MeteredPeriod { number, units: 1.0 }),
         }
-        while self.metered_periods.len() > KEPT_PERIODS {
+        while self.metered_periods.len() > MAX_METERED_PERIODS {
             self.metered_periods.pop_front();
         }
     }
--- a/crates/fleet-simulation/src/experiments/health.rs
+++ b/crates/fleet-simulation/src/experiments/health.rs
@@ -35,13 +35,25 @@
         .collect();
     let count = backends.len();
     let mut faults: Vec<_> = (0..count)
-        .map(|i| ScheduledFault::new(0.0, FleetFault::Backend(i, BackendFault::Errors(0.002))))
+        .map(|i| {
+            ScheduledFault::new(
+                0.0,
+                FleetFault::Backend {
+                    backend: i,
+                    fault: BackendFault::Errors(0.002),
+                },
+            )
+        })
         .collect();
-    faults.extend(
-        (0..count).step_by(8).map(|i| {
-            ScheduledFault::new(10_000.0, FleetFault::Backend(i, BackendFault::Errors(1.0)))
-        }),
-    );
+    faults.extend((0..count).step_by(8).map(|i| {
+        ScheduledFault::new(
+            10_000.0,
+            FleetFault::Backend {
+                backend: i,
+                fault: BackendFault::Errors(1.0),
+            },
+        )
+    }));
     let rate = 0.6 * count as f64 * 4000.0 / 208.0 / f64::from(gateways);
     Scenario {
         settings: settings(gateways),
@@ -81,6 +93,6 @@
         late.to_faulty as f64 / 20.0 / faulty,
         below_one_percent as f64 - 10.0,
         statistics.served_share(),
-        statistics.set_aside[0] as f64 / f64::from(gateways) * 3600.0 / 50.0,
+        statistics.ejections.healthy as f64 / f64::from(gateways) * 3600.0 / 50.0,
     ]
 }
--- a/crates/fleet-simulation/src/experiments/multi_stage.rs
+++ b/crates/fleet-simulation/src/experiments/multi_stage.rs
@@ -42,21 +42,33 @@
     for i in 0..third * 3 / 10 {
         faults.push(ScheduledFault::new(
             10_000.0,
-            FleetFault::Backend(first + second + i, BackendFault::Slow(5.0)),
+            FleetFault::Backend {
+                backend: first + second + i,
+                fault: BackendFault::Slow(5.0),
+            },
         ));
         faults.push(ScheduledFault::new(
             30_000.0,
-            FleetFault::Backend(first + second + i, BackendFault::None),
+            FleetFault::Backend {
+                backend: first + second + i,
+                fault: BackendFault::None,
+            },
         ));
     }
     for i in 0..first / 4 {
         faults.push(ScheduledFault::new(
             18_000.0,
-            FleetFault::Backend(i, BackendFault::Silent),
+            FleetFault::Backend {
+                backend: i,
+                fault: BackendFault::Silent,
+            },
         ));
         faults.push(ScheduledFault::new(
             22_000.0,
-            FleetFault::Backend(i, BackendFault::None),
+            FleetFault::Backend {
+                backend: i,
+                fault: BackendFault::None,
+            },
         ));
     }
     let mut classes = classes();
@@ -123,6 +135,6 @@
         statistics.served_share(),
         statistics.worst_ten_seconds(2),
         statistics.attempts as f64 / statistics.first_attempts as f64,
-        statistics.ends[1] as f64 / statistics.requests as f64,
+        statistics.outcomes.rejected as f64 / statistics.requests as f64,
     ]
 }
--- a/crates/fleet-simulation/src/experiments/pools.rs
+++ b/crates/fleet-simulation/src/experiments/pools.rs
@@ -24,15 +24,24 @@
         faults.push(ScheduledFault::new(at, FleetFault::StartBackend(i)));
         faults.push(ScheduledFault::new(
             at,
-            FleetFault::Announce(i, Availability::Draining),
+            FleetFault::Announce {
+                backend: i,
+                availability: Availability::Draining,
+            },
         ));
         faults.push(ScheduledFault::new(
             at + 1500.0,
-            FleetFault::Backend(i, BackendFault::Crashed),
+            FleetFault::Backend {
+                backend: i,
+                fault: BackendFault::Crashed,
+            },
         ));
         faults.push(ScheduledFault::new(
             at + 1500.0,
-            FleetFault::Announce(i, Availability::Removed),
+            FleetFault::Announce {
+                backend: i,
+                availability: Availability::Removed,
+            },
         ));
     }
     Scenario {
@@ -63,24 +72,39 @@
         ));
         faults.push(ScheduledFault::new(
             at,
-            FleetFault::Announce(i as usize, Availability::Draining),
+            FleetFault::Announce {
+                backend: i as usize,
+                availability: Availability::Draining,
+            },
         ));
         faults.push(ScheduledFault::new(
             at + 1500.0,
-            FleetFault::Backend(i as usize, BackendFault::Crashed),
+            FleetFault::Backend {
+                backend: i as usize,
+                fault: BackendFault::Crashed,
+            },
         ));
         faults.push(ScheduledFault::new(
             at + 1500.0,
-            FleetFault::Announce(i as usize, Availability::Removed),
+            FleetFault::Announce {
+                backend: i as usize,
+                availability: Availability::Removed,
+            },
         ));
     }
     faults.push(ScheduledFault::new(
         32_000.0,
-        FleetFault::Partition(1, true),
+        FleetFault::Partition {
+            zone: 1,
+            is_partitioned: true,
+        },
     ));
     faults.push(ScheduledFault::new(
         37_000.0,
-        FleetFault::Partition(1, false),
+        FleetFault::Partition {
+            zone: 1,
+            is_partitioned: false,
+        },
     ));
     Scenario {
         settings: settings(300),
@@ -121,7 +145,7 @@
     let waits = times_to_fair_share(statistics);
     vec![
         statistics.dials as f64 / statistics.first_attempts as f64,
-        statistics.refused_dials as f64 / statistics.dials as f64,
+        statistics.rejected_dials as f64 / statistics.dials as f64,
         peaks.iter().sum::<usize>() as f64 / peaks.len() as f64,
         peaks.iter().copied().max().unwrap_or(0) as f64,
         statistics.failed_first_attempts as f64 / statistics.first_attempts as f64,
--- a/crates/fleet-simulation/src/experiments/quotas.rs
+++ b/crates/fleet-simulation/src/experiments/quotas.rs
@@ -15,7 +15,7 @@
 
 /// What is told of each.
 pub(crate) const COLUMNS: [&str; 11] = [
-    "net worth",
+    "net value",
     "served within",
     "over quota, sent",
     "over-quota cost",
@@ -174,7 +174,7 @@
     let why =
         |name: &str| ledger.rejections_by_reason.get(name).copied().unwrap_or(0) as f64 / tries;
     vec![
-        ledger.net_worth(),
+        ledger.net_value(),
         ledger.served / ledger.offered,
         ledger.units_over_quota / (ledger.units_within_quota + ledger.units_over_quota),
         ledger.over_quota_cost / ledger.offered,
--- a/crates/fleet-simulation/src/lib.rs
+++ b/crates/fleet-simulation/src/lib.rs
@@ -19,4 +19,6 @@
     ScheduledFault, SlowStart,
 };
 pub use simulation::{run, Simulation};
-pub use statistics::{ColdWork, FirstAttempts, Incarnation, RunStatistics, SecondWorth};
+pub use statistics::{
+    ColdWork, EjectionCounts, FirstAttempts, Incarnation, OutcomeCounts, RunStatistics, WeightSums,
+};
--- a/crates/fleet-simulation/src/pooling.rs
+++ b/crates/fleet-simulation/src/pooling.rs
@@ -1,4 +1,4 @@
-//! The connections between gateways and backends: the pools as they serve, with numbers for names.
+//! A gateway's connection pool: the core that gateways use in service, addressed by the indices of the simulation.
 
 use cometspool::connection_pool::{
     Checkout, ConnectionId, ConnectionPool, DialFailure, DialId, PoolAction, PoolError, PoolLimits,
@@ -6,185 +6,205 @@
 };
 use cometspool::Millis;
 
-/// Something for the simulated world to do.
+/// An action of a pool that the simulation carries out.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum PoolStep {
     /// Dial a backend.
-    Dial { backend: usize, dial: Option<usize> },
-    /// Send a call on this connection.
-    Assign { call: usize, connection: u64 },
-    /// A call gets no connection, as its backend is full or cannot be reached.
+    Dial { backend: usize, dial: DialId },
+    /// Send a waiting call on this connection.
+    Assign { call: usize, connection: usize },
+    /// End a waiting call without a connection: its backend has no room for one, or is unreachable.
     Fail { call: usize, is_full: bool },
     /// Close a connection.
-    Close(u64),
-    /// Wake the pool for a backend at this time.
+    Close { connection: usize },
+    /// Wake the pool for a backend at this time, ms.
     Wake { backend: usize, at: Millis },
 }
 
-/// What a call gets at once.
+/// The immediate result of a checkout.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum CheckoutResult {
     /// A pooled connection.
-    Reused(u64),
-    /// A place in the queue.
+    Reused { connection: usize },
+    /// The call waits for a connection.
     Queued,
-    /// Nothing: the gateway holds as many connections as it may.
+    /// The gateway already has as many connections as its limit allows.
     Exhausted,
 }
 
+/// A checkout's result and the steps to carry out before it is used.
+pub(crate) struct PoolCheckout {
+    pub(crate) result: CheckoutResult,
+    pub(crate) steps: Vec<PoolStep>,
+}
+
 /// How a dial ended.
+#[derive(Clone, Copy, Debug)]
 pub(crate) enum DialResult {
     /// With this connection.
-    Connected(u64),
-    /// Without one: refused, or not answered in time.
+    Connected { connection: usize },
+    /// Without one: it was refused or timed out.
     Failed,
 }
 
-/// Connections that a gateway may have: two fifths of 576 descriptors, as on the test days with
-/// many clients.
+/// Connections that a gateway may have: two fifths of a limit of 576 file descriptors.
 const MAX_CONNECTIONS: usize = 220;
-/// Idle time after which a backend closes a connection.
+/// Idle time after which a backend closes a connection, ms.
 const BACKEND_IDLE_TIMEOUT: Millis = 30_000.0;
+/// Price of a handshake, as the settings give it to a pool.
+const HANDSHAKE_COST: f64 = 0.02;
 
-/// The pools' core as it serves.
+/// The connection pool of one gateway. Times are in milliseconds, `backend` and `call` are indices in the simulation.
 pub(crate) struct Pool(ConnectionPool<usize>);
 
 impl Pool {
-    pub(crate) fn new(gateways: u32, seed: u64) -> Pool {
+    /// An empty pool of one of `gateway_count` gateways.
+    pub(crate) fn new(gateway_count: u32, seed: u64) -> Pool {
         let limits = PoolLimits {
             max_connections: MAX_CONNECTIONS,
             endpoint_idle_timeout: BACKEND_IDLE_TIMEOUT,
-            gateway_count: gateways,
-            handshake_cost: 0.02,
+            gateway_count,
+            handshake_cost: HANDSHAKE_COST,
             connection_cost: 0.0,
         };
         Pool(ConnectionPool::new(limits, seed))
     }
 
-    /// Reports an event to the pool and translates the actions that come of it.
-    fn report<T>(
-        &mut self,
-        steps: &mut Vec<PoolStep>,
-        event: impl FnOnce(&mut ConnectionPool<usize>, &mut Vec<PoolAction<usize>>) -> T,
-    ) -> T {
-        let mut actions = Vec::new();
-        let result = event(&mut self.0, &mut actions);
-        steps.extend(actions.into_iter().map(PoolStep::from));
-        result
-    }
-
+    /// Takes a connection for a call, or queues the call. A call that must run at most once (`run_once`) gets no
+    /// connection of an idle age at which connections have broken recently.
     pub(crate) fn checkout(
         &mut self,
         now: Millis,
         backend: usize,
         call: usize,
         run_once: bool,
-        steps: &mut Vec<PoolStep>,
-    ) -> CheckoutResult {
+    ) -> PoolCheckout {
+        let mut actions = Vec::new();
         let waiter = WaiterId(call as u64);
-        let checkout = self.report(steps, |pool, actions| {
-            pool.checkout(now, backend, waiter, run_once, actions)
-        });
-        match checkout {
-            Checkout::Reused { connection, .. } => CheckoutResult::Reused(connection.0),
+        let checkout = self
+            .0
+            .checkout(now, backend, waiter, run_once, &mut actions);
+        let result = match checkout {
+            Checkout::Reused { connection, .. } => CheckoutResult::Reused {
+                connection: connection.0 as usize,
+            },
             Checkout::Queued => CheckoutResult::Queued,
             Checkout::Exhausted => CheckoutResult::Exhausted,
+        };
+        PoolCheckout {
+            result,
+            steps: steps(actions),
         }
     }
 
+    /// Reports the end of a dial.
     pub(crate) fn dial_finished(
         &mut self,
         now: Millis,
         backend: usize,
-        dial: Option<usize>,
+        dial: DialId,
         result: DialResult,
-        steps: &mut Vec<PoolStep>,
-    ) {
-        let dial = DialId(dial.unwrap_or_default() as u64);
-        self.report(steps, |pool, actions| match result {
-            DialResult::Connected(connection) => {
-                pool.dial_succeeded(now, backend, dial, ConnectionId(connection), actions);
+    ) -> Vec<PoolStep> {
+        let mut actions = Vec::new();
+        match result {
+            DialResult::Connected { connection } => {
+                let connection = ConnectionId(connection as u64);
+                self.0
+                    .dial_succeeded(now, backend, dial, connection, &mut actions);
             }
             DialResult::Failed => {
-                pool.dial_failed(now, backend, dial, DialFailure::Remote, actions);
+                self.0
+                    .dial_failed(now, backend, dial, DialFailure::Remote, &mut actions);
             }
-        });
+        }
+        steps(actions)
     }
 
+    /// Removes a call from those that wait for a connection.
     pub(crate) fn cancel_wait(&mut self, now: Millis, backend: usize, call: usize) {
         self.0.cancel_wait(now, backend, WaiterId(call as u64));
     }
 
+    /// Returns a connection that can be used again.
     pub(crate) fn release(
         &mut self,
         now: Millis,
         backend: usize,
-        connection: u64,
-        steps: &mut Vec<PoolStep>,
-    ) {
-        self.report(steps, |pool, actions| {
-            pool.release(now, backend, ConnectionId(connection), actions);
-        });
+        connection: usize,
+    ) -> Vec<PoolStep> {
+        let mut actions = Vec::new();
+        self.0
+            .release(now, backend, ConnectionId(connection as u64), &mut actions);
+        steps(actions)
     }
 
-    pub(crate) fn connection_closed(
-        &mut self,
-        now: Millis,
-        backend: usize,
-        steps: &mut Vec<PoolStep>,
-    ) {
-        self.report(steps, |pool, actions| {
-            pool.connection_closed(now, backend, actions);
-        });
+    /// Reports that a connection that was checked out is closed.
+    pub(crate) fn connection_closed(&mut self, now: Millis, backend: usize) -> Vec<PoolStep> {
+        let mut actions = Vec::new();
+        self.0.connection_closed(now, backend, &mut actions);
+        steps(actions)
     }
 
-    pub(crate) fn remove_endpoint(&mut self, backend: usize, steps: &mut Vec<PoolStep>) {
-        self.report(steps, |pool, actions| {
-            pool.remove_endpoint(backend, actions);
-        });
+    /// Forgets a backend that has left the endpoint list or is draining.
+    pub(crate) fn remove_endpoint(&mut self, backend: usize) -> Vec<PoolStep> {
+        let mut actions = Vec::new();
+        self.0.remove_endpoint(backend, &mut actions);
+        steps(actions)
     }
 
-    pub(crate) fn close_idle(&mut self, backend: usize, steps: &mut Vec<PoolStep>) {
-        self.report(steps, |pool, actions| pool.close_idle(backend, actions));
+    /// Closes the idle connections to a backend.
+    pub(crate) fn close_idle(&mut self, backend: usize) -> Vec<PoolStep> {
+        let mut actions = Vec::new();
+        self.0.close_idle(backend, &mut actions);
+        steps(actions)
     }
 
+    /// Opens a connection to a backend in advance, at some time `within` from now, ms.
     pub(crate) fn preconnect(
         &mut self,
         now: Millis,
         backend: usize,
         within: Millis,
-        steps: &mut Vec<PoolStep>,
-    ) {
-        self.report(steps, |pool, actions| {
-            pool.preconnect(now, backend, within, actions);
-        });
+    ) -> Vec<PoolStep> {
+        let mut actions = Vec::new();
+        self.0.preconnect(now, backend, within, &mut actions);
+        steps(actions)
     }
 
-    pub(crate) fn evict_expired(&mut self, now: Millis, steps: &mut Vec<PoolStep>) {
-        self.report(steps, |pool, actions| pool.evict_expired(now, actions));
+    /// Closes connections that have been idle for too long.
+    pub(crate) fn evict_expired(&mut self, now: Millis) -> Vec<PoolStep> {
+        let mut actions = Vec::new();
+        self.0.evict_expired(now, &mut actions);
+        steps(actions)
     }
 
-    pub(crate) fn wake(&mut self, now: Millis, backend: usize, steps: &mut Vec<PoolStep>) {
-        self.report(steps, |pool, actions| pool.wake(now, backend, actions));
+    /// Wakes the pool for a backend, as [`PoolStep::Wake`] requested.
+    pub(crate) fn wake(&mut self, now: Millis, backend: usize) -> Vec<PoolStep> {
+        let mut actions = Vec::new();
+        self.0.wake(now, backend, &mut actions);
+        steps(actions)
     }
 }
 
+fn steps(actions: Vec<PoolAction<usize>>) -> Vec<PoolStep> {
+    actions.into_iter().map(PoolStep::from).collect()
+}
+
 impl From<PoolAction<usize>> for PoolStep {
     fn from(action: PoolAction<usize>) -> PoolStep {
         match action {
-            PoolAction::Dial(backend, dial) => PoolStep::Dial {
-                backend,
-                dial: Some(dial.0 as usize),
-            },
+            PoolAction::Dial(backend, dial) => PoolStep::Dial { backend, dial },
             PoolAction::Assign(waiter, connection) => PoolStep::Assign {
                 call: waiter.0 as usize,
-                connection: connection.0,
+                connection: connection.0 as usize,
             },
             PoolAction::Fail(waiter, error) => PoolStep::Fail {
                 call: waiter.0 as usize,
                 is_full: error != PoolError::Unreachable,
             },
-            PoolAction::Close(connection) => PoolStep::Close(connection.0),
+            PoolAction::Close(connection) => PoolStep::Close {
+                connection: connection.0 as usize,
+            },
             PoolAction::Wake(backend, at) => PoolStep::Wake { backend, at },
         }
     }
--- a/crates/fleet-simulation/src/simulation.rs
+++ b/crates/fleet-simulation/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The fleet as it is played: its state, and how a day of it begins and ends.
+//! The state of a simulated fleet, and how a run starts and ends.
 
 mod attempts;
 mod backends;
@@ -12,31 +12,37 @@
 mod statistics;
 
 use crate::client_population::ClientPopulation;
-use crate::pooling::Pool;
 use crate::random::RandomSource;
 use crate::scenario::Scenario;
 use crate::statistics::RunStatistics;
 use attempts::Call;
 use backends::Backend;
 use clients::ClientRequest;
-use cometspool::{Availability, BackendId, Event, ListKind, Millis, PolicyEngine};
+use cometspool::{Availability, BackendEntry, BackendId, Event, ListKind, Millis};
 use connections::Connection;
 use event_queue::{Scheduled, SimEvent};
-use gateways::{gateway_settings, SimulatedGateway};
+use gateways::SimulatedGateway;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// The fleet at one time of its day.
+/// Time between two evictions of expired connections from a pool, ms; the first is at a random time within it.
+const EVICTION_INTERVAL: Millis = 500.0;
+
+/// The fleet at one instant of simulated time. Gateways, backends, requests, calls and connections are named by their
+/// indices and stay in place for the whole run.
 pub struct Simulation {
     scenario: Scenario,
+    /// Simulated time, ms.
     now: Millis,
-    order: u64,
+    /// Events scheduled so far; orders those of one instant.
+    scheduled_count: u64,
     queue: BinaryHeap<Reverse<Scheduled>>,
     gateways: Vec<SimulatedGateway>,
     backends: Vec<Backend>,
-    by_id: BTreeMap<BackendId, usize>,
+    backend_by_id: BTreeMap<BackendId, usize>,
     requests: Vec<ClientRequest>,
     calls: Vec<Call>,
+    /// Whether a zone is cut off; absent if it never was.
     partitioned_zones: BTreeMap<u32, bool>,
     random: RandomSource,
     connections: Vec<Connection>,
@@ -44,39 +50,34 @@
     clients: Option<ClientPopulation>,
 }
 
-/// Plays a day and tells what it gave.
-pub fn run(spec: Scenario) -> RunStatistics {
-    let mut simulation = Simulation::new(spec);
-    while let Some(Reverse(due)) = simulation.queue.pop() {
-        simulation.now = due.at;
-        simulation.dispatch(due.event);
+/// Runs a scenario to its end and returns its statistics.
+pub fn run(scenario: Scenario) -> RunStatistics {
+    let mut simulation = Simulation::new(scenario);
+    while let Some(Reverse(next)) = simulation.queue.pop() {
+        simulation.now = next.at;
+        simulation.dispatch(next.event);
     }
-    simulation.into_tally()
+    simulation.into_statistics()
 }
 
 impl Simulation {
-    fn new(spec: Scenario) -> Simulation {
-        let mut random = RandomSource::new(spec.seed);
-        let count = spec.settings.gateways;
-        let gateways = (0..count)
-            .map(|me| {
-                let zone = me % spec.zones;
-                let settings = gateway_settings(&spec, me, zone);
-                let seed = u64::from(random.next_u32());
-                SimulatedGateway {
-                    engine: PolicyEngine::new(settings, seed),
-                    zone,
-                    pool: Pool::new(count, seed),
-                }
-            })
+    /// Sets up the fleet of a scenario and schedules its first events.
+    ///
+    /// The order of the random draws is part of what a seed means: gateways, backends, each gateway's first events,
+    /// customers.
+    fn new(scenario: Scenario) -> Simulation {
+        let mut random = RandomSource::new(scenario.seed);
+        let gateways = (0..scenario.settings.gateways)
+            .map(|index| SimulatedGateway::new(&scenario, index, &mut random))
             .collect();
         let mut simulation = Simulation {
+            scenario,
             now: 0.0,
-            order: 0,
+            scheduled_count: 0,
             queue: BinaryHeap::new(),
             gateways,
             backends: Vec::new(),
-            by_id: BTreeMap::new(),
+            backend_by_id: BTreeMap::new(),
             requests: Vec::new(),
             calls: Vec::new(),
             partitioned_zones: BTreeMap::new(),
@@ -84,52 +85,70 @@
             connections: Vec::new(),
             statistics: RunStatistics::default(),
             clients: None,
-            scenario: spec,
         };
-        for spec in simulation.scenario.backends.clone() {
-            simulation.add_backend(spec);
+        for backend in simulation.scenario.backends.clone() {
+            simulation.add_backend(backend);
         }
-        let list: Vec<_> = (0..simulation.backends.len())
-            .filter(|i| simulation.backends[*i].spec.is_listed)
-            .collect();
-        let list: Vec<_> = list
-            .into_iter()
-            .map(|i| simulation.entry(i, Availability::Ready))
-            .collect();
+        let endpoints = simulation.listed_endpoints();
         for gateway in 0..simulation.gateways.len() {
-            let mut actions = Vec::new();
-            simulation.gateways[gateway].engine.handle(
-                0.0,
-                Event::EndpointsChanged(ListKind::Cached, list.clone()),
-                &mut actions,
-            );
-            simulation.carry_out(gateway, actions);
-            let first = simulation
-                .random
-                .exponential(1000.0 / simulation.scenario.requests_per_second);
-            if simulation.scenario.max_connections_per_backend.is_some() {
-                let at = 500.0 * simulation.random.uniform();
-                simulation.schedule(at, SimEvent::EvictExpired(gateway));
-            }
-            if simulation.scenario.clients.is_none() {
-                simulation.schedule(first, SimEvent::Arrive(gateway));
+            simulation.start_gateway(gateway, endpoints.clone());
+        }
+        simulation.add_customers();
+        for index in 0..simulation.scenario.faults.len() {
+            let at = simulation.scenario.faults[index].at;
+            simulation.schedule(at, SimEvent::Fault { index });
+        }
+        simulation
+    }
+
+    /// The endpoint list at the start of a run.
+    fn listed_endpoints(&self) -> Vec<BackendEntry> {
+        let mut endpoints = Vec::new();
+        for (index, backend) in self.backends.iter().enumerate() {
+            if backend.spec.is_listed {
+                endpoints.push(self.endpoint(index, Availability::Ready));
             }
         }
-        if let Some(spec) = simulation.scenario.clients.clone() {
-            let gateways = simulation.gateways.len();
-            let clients = ClientPopulation::new(
-                spec,
-                &simulation.scenario.settings.plans,
-                gateways,
-                &mut simulation.random,
-            );
-            let customers = clients.customers.len();
-            simulation.clients = Some(clients);
-            (0..customers).for_each(|customer| simulation.schedule_next_request(customer));
+        endpoints
+    }
+
+    /// Gives a gateway its first endpoint list and schedules its first request and eviction.
+    fn start_gateway(&mut self, gateway: usize, endpoints: Vec<BackendEntry>) {
+        self.notify_gateway(
+            gateway,
+            Event::EndpointsChanged(ListKind::Cached, endpoints),
+        );
+        let mean_interval = 1000.0 / self.scenario.requests_per_second;
+        let first_arrival = self.random.exponential(mean_interval);
+        if self.models_connections() {
+            let first_eviction = EVICTION_INTERVAL * self.random.uniform();
+            self.schedule(first_eviction, SimEvent::EvictExpired { gateway });
         }
-        for fault in 0..simulation.scenario.faults.len() {
-            simulation.schedule(simulation.scenario.faults[fault].at, SimEvent::Fault(fault));
+        if self.scenario.clients.is_none() {
+            self.schedule(first_arrival, SimEvent::RequestArrival { gateway });
         }
-        simulation
+    }
+
+    /// Draws the customers, if the scenario has any, and schedules their first requests.
+    fn add_customers(&mut self) {
+        let Some(spec) = self.scenario.clients.clone() else {
+            return;
+        };
+        let clients = ClientPopulation::new(
+            spec,
+            &self.scenario.settings.plans,
+            self.gateways.len(),
+            &mut self.random,
+        );
+        let customer_count = clients.customers.len();
+        self.clients = Some(clients);
+        for customer in 0..customer_count {
+            self.schedule_next_request(customer);
+        }
+    }
+
+    /// Whether connections between gateways and backends are part of the model.
+    fn models_connections(&self) -> bool {
+        self.scenario.max_connections_per_backend.is_some()
     }
 }
--- a/crates/fleet-simulation/src/simulation/attempts.rs
+++ b/crates/fleet-simulation/src/simulation/attempts.rs
@@ -1,6 +1,6 @@
-//! Attempts of gateways at backends, and the calls that backends make below them.
+//! Calls: the attempts that gateways send to backends, and the calls that backends make to the next tier.
 
-use super::clients::End;
+use super::clients::RequestOutcome;
 use super::event_queue::SimEvent;
 use super::Simulation;
 use crate::scenario::BackendFault;
@@ -9,10 +9,10 @@
 /// Who made a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CallOrigin {
-    /// A gateway; the attempt's number within its request comes along.
+    /// A gateway, as the attempt with this number of its request.
     Gateway { gateway: usize, attempt: u32 },
     /// A backend, as part of another call.
-    Backend { call: usize },
+    Backend { parent: usize },
 }
 
 impl CallOrigin {
@@ -27,109 +27,101 @@
 
 /// An attempt of a gateway, or a call of one backend to another.
 pub(super) struct Call {
-    /// The request that it serves.
+    /// The client request that it serves.
     pub(super) request: u32,
-    /// Who made it.
     pub(super) origin: CallOrigin,
     pub(super) backend: usize,
-    pub(super) sent: Millis,
-    /// What the backend was told that it has, as a time.
+    /// When it was made, ms.
+    sent_at: Millis,
+    /// The deadline that was passed to the backend, ms.
     pub(super) deadline: Millis,
+    /// Work that it takes, in milliseconds of one core of usual speed.
     pub(super) work: f64,
-    /// Work done for it, and below it.
-    pub(super) done: f64,
-    pub(super) settled: bool,
-    pub(super) working: bool,
-    pub(super) reached: bool,
-    /// Where it stands: without connections, waiting for one, or on one.
-    pub(super) connection: Option<u64>,
+    /// Work that its backend has done for it, calls to the next tier not included.
+    pub(super) completed_work: f64,
+    /// Whether it has ended for its origin.
+    pub(super) is_settled: bool,
+    /// The connection that it uses; none where connections are not modelled.
+    pub(super) connection: Option<usize>,
+    /// Whether it is queued in its gateway's pool.
     pub(super) waits_for_connection: bool,
 }
 
 impl Simulation {
+    /// Sends an attempt of a request to a backend; `timeout` (ms) is absent where only the client's deadline limits it.
     pub(super) fn send(
         &mut self,
         gateway: usize,
         request: u32,
-        to: BackendId,
-        limit: Option<Millis>,
+        backend_id: BackendId,
+        timeout: Option<Millis>,
     ) {
-        let asked = &mut self.requests[request as usize];
-        let number = asked.sent_attempts;
-        asked.sent_attempts += 1;
-        // Its client's own time, or what a gateway that stood still takes for it, ends it; the latter when it is told.
-        let limit = limit.unwrap_or(asked.deadline - self.now);
-        let work = asked.work;
-        let backend = self.by_id[&to];
+        let backend = self.backend_by_id[&backend_id];
         let call = self.calls.len();
-        self.requests[request as usize].in_flight.push(call);
-        let (worth, customer, now) = (
-            self.worth(request),
-            self.requests[request as usize].customer,
-            self.now,
-        );
-        if let Some(clients) = &mut self.clients {
-            if number == 0 {
-                self.requests[request as usize].within_quota =
-                    clients.record_forwarded(customer, now, worth);
-            }
-            clients.customers[customer].attempts_in_flight += 1;
+        let client_request = &mut self.requests[request as usize];
+        let attempt = client_request.sent_attempts;
+        client_request.sent_attempts += 1;
+        client_request.in_flight.push(call);
+        let work = client_request.work;
+        let timeout = timeout.unwrap_or(client_request.deadline - self.now);
+        self.account_for_attempt(request, attempt);
+        let deducted_delay = if self.scenario.deducts_network_delay {
+            self.delay_to_backend(gateway, backend)
+        } else {
+            0.0
+        };
+        let deadline = self.now + timeout - deducted_delay;
+        self.record_attempt(gateway, backend, attempt);
+        let origin = CallOrigin::Gateway { gateway, attempt };
+        self.add_call(request, origin, backend, deadline, work);
+        self.schedule(self.now + timeout, SimEvent::CallTimeout { call });
+        if self.models_connections() {
+            self.check_out_connection(call);
+        } else {
+            self.transmit(call);
+        }
+    }
+
+    /// Accounts for an attempt in its customer's quota; only a request's first attempt takes units.
+    fn account_for_attempt(&mut self, request: u32, attempt: u32) {
+        let weight = self.priority_weight(request);
+        let request = &mut self.requests[request as usize];
+        let Some(clients) = &mut self.clients else {
+            return;
+        };
+        if attempt == 0 {
+            request.is_within_quota = clients.record_forwarded(request.customer, self.now, weight);
         }
-        let delay = self.one_way_delay(
-            self.gateways[gateway].zone,
-            self.backends[backend].spec.zone,
-        );
-        let until = self.now + limit
-            - if self.scenario.deducts_network_delay {
-                delay
-            } else {
-                0.0
-            };
+        clients.customers[request.customer].attempts_in_flight += 1;
+    }
+
+    /// Counts an attempt in the statistics.
+    fn record_attempt(&mut self, gateway: usize, backend: usize, attempt: u32) {
         self.statistics.attempts += 1;
-        if number == 0 {
+        if attempt == 0 {
             self.statistics.first_attempts += 1;
-            let impaired = self.is_impaired(gateway, backend);
-            let _ = self.current_second();
-            let entry = self
-                .statistics
-                .first_attempts_by_second
-                .last_mut()
-                .expect("a second");
-            entry.total += 1;
-            entry.to_faulty += u64::from(impaired);
+            let is_impaired = self.is_impaired(gateway, backend);
+            let second = self.current_second();
+            let first_attempts = &mut self.statistics.first_attempts_by_second[second];
+            first_attempts.total += 1;
+            first_attempts.to_faulty += u64::from(is_impaired);
         }
         if self.gateways[gateway].zone != self.backends[backend].spec.zone {
             self.statistics.cross_zone_attempts += 1;
         }
-        self.call(
-            request,
-            CallOrigin::Gateway {
-                gateway,
-                attempt: number,
-            },
-            backend,
-            until,
-            work,
-        );
         let second = (self.now / 1000.0) as usize;
-        let sent = &mut self.statistics.attempts_by_backend[backend];
-        sent.resize(sent.len().max(second + 1), 0);
-        sent[second] += 1;
-        self.schedule(self.now + limit, SimEvent::AttemptTimeout(call));
-        if self.scenario.max_connections_per_backend.is_some() {
-            self.check_out_connection(call);
-        } else {
-            self.transmit(call);
-        }
+        let by_second = &mut self.statistics.attempts_by_backend[backend];
+        by_second.resize(by_second.len().max(second + 1), 0);
+        by_second[second] += 1;
     }
 
-    /// Notes a call, of a gateway or of a backend, to a backend.
-    pub(super) fn call(
+    /// Adds a call of a gateway or a backend to a backend; `deadline` is in ms, `work` in milliseconds of one core.
+    pub(super) fn add_call(
         &mut self,
         request: u32,
         origin: CallOrigin,
         backend: usize,
-        until: Millis,
+        deadline: Millis,
         work: f64,
     ) {
         self.requests[request as usize].calls.push(self.calls.len());
@@ -137,113 +129,107 @@
             request,
             origin,
             backend,
-            sent: self.now,
-            deadline: until,
+            sent_at: self.now,
+            deadline,
             work,
-            done: 0.0,
-            settled: false,
-            working: false,
-            reached: false,
+            completed_work: 0.0,
+            is_settled: false,
             connection: None,
             waits_for_connection: false,
         });
     }
 
-    /// An attempt goes out, on its connection if these are modelled.
+    /// Transmits a gateway's attempt to its backend; it is lost where the backend is unreachable or silent.
     pub(super) fn transmit(&mut self, call: usize) {
-        let (Some(gateway), backend) =
-            (self.calls[call].origin.gateway(), self.calls[call].backend)
-        else {
+        let Some(gateway) = self.calls[call].origin.gateway() else {
             return;
         };
-        let delay = self.one_way_delay(
-            self.gateways[gateway].zone,
-            self.backends[backend].spec.zone,
-        );
-        if !self.reaches(
-            self.gateways[gateway].zone,
-            self.backends[backend].spec.zone,
-        ) {
+        let backend = self.calls[call].backend;
+        if !self.is_backend_reachable(gateway, backend) {
             return;
         }
+        let delay = self.delay_to_backend(gateway, backend);
         match self.backends[backend].spec.fault {
-            BackendFault::Crashed => self.schedule(
-                self.now + 2.0 * delay,
-                SimEvent::AttemptEnded(call, Outcome::ConnectFailed),
-            ),
+            BackendFault::Crashed => {
+                let outcome = Outcome::ConnectFailed;
+                let event = SimEvent::CallEnded { call, outcome };
+                self.schedule(self.now + 2.0 * delay, event);
+            }
             BackendFault::Silent => {}
-            _ => self.schedule(self.now + delay, SimEvent::RequestAtBackend(call)),
+            _ => self.schedule(self.now + delay, SimEvent::RequestAtBackend { call }),
         }
     }
 
-    /// An attempt of a gateway ends for it, or a call for the backend that made it.
+    /// Ends a call for its origin; only the first end counts.
     pub(super) fn settle(&mut self, call: usize, outcome: Outcome) {
-        if std::mem::replace(&mut self.calls[call].settled, true) {
+        if std::mem::replace(&mut self.calls[call].is_settled, true) {
             return;
         }
-        self.abandon(call, outcome);
+        if matches!(outcome, Outcome::Timeout | Outcome::Cancelled) {
+            self.remove_from_queue(call);
+        }
         self.return_connection(call, outcome);
-        let (request, backend, sent) = (
-            self.calls[call].request,
-            self.calls[call].backend,
-            self.calls[call].sent,
-        );
-        let (gateway, attempt) = match self.calls[call].origin {
-            CallOrigin::Gateway { gateway, attempt } => (gateway, attempt),
-            CallOrigin::Backend { call: above } => {
-                // The backend above answers with what it got, and has its core back.
-                self.release_core(self.calls[above].backend);
-                let outcome = if outcome == Outcome::Ok {
+        match self.calls[call].origin {
+            CallOrigin::Gateway { gateway, attempt } => {
+                self.settle_attempt(call, gateway, attempt, outcome);
+            }
+            CallOrigin::Backend { parent } => {
+                self.release_core(self.calls[parent].backend);
+                let parent_outcome = if outcome == Outcome::Ok {
                     Outcome::Ok
                 } else {
                     Outcome::Error
                 };
-                self.answer(above, outcome);
-                return;
+                self.respond(parent, parent_outcome);
             }
-        };
-        let asked = &mut self.requests[request as usize];
-        let customer = asked.customer;
-        let told = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
-        let (now, mut use_of_quota) = (self.now, None);
-        if let Some(clients) = &mut self.clients {
-            clients.customers[customer].attempts_in_flight -= 1;
-            use_of_quota = if told {
-                clients.reported_usage(customer, now, &mut self.random)
-            } else {
-                None
-            };
         }
-        asked.in_flight.retain(|out| *out != call);
-        asked
+    }
+
+    /// Ends an attempt of a gateway: its request is served if it succeeded, and the policy is notified.
+    fn settle_attempt(&mut self, call: usize, gateway: usize, attempt: u32, outcome: Outcome) {
+        let request = self.calls[call].request;
+        let customer = self.requests[request as usize].customer;
+        let quota_usage = self.reported_usage(customer, outcome);
+        let client_request = &mut self.requests[request as usize];
+        client_request
+            .in_flight
+            .retain(|in_flight| *in_flight != call);
+        client_request
             .first_attempt_succeeded
             .get_or_insert(outcome == Outcome::Ok);
         if outcome == Outcome::Ok {
-            self.finish(request, End::Served);
+            self.finish(request, RequestOutcome::Served);
         }
-        let closed = self.requests[request as usize].answered;
-        let settled = AttemptCompleted {
+        let completed = AttemptCompleted {
             request: RequestId(request),
             attempt,
-            backend: self.backends[backend].id,
+            backend: self.backends[self.calls[call].backend].id,
             outcome,
-            elapsed: self.now - sent,
-            request_closed: closed,
-            quota_usage: use_of_quota,
+            elapsed: self.now - self.calls[call].sent_at,
+            request_closed: self.requests[request as usize].has_ended,
+            quota_usage,
             actual_units: None,
             load_report: LoadReport::default(),
             broken_connections: 0,
         };
-        self.notify_gateway(gateway, Event::AttemptCompleted(settled));
+        self.notify_gateway(gateway, Event::AttemptCompleted(completed));
     }
 
-    /// Whoever gave an attempt up closes its connection: what still waits for a core is dropped.
-    fn abandon(&mut self, call: usize, outcome: Outcome) {
-        if matches!(outcome, Outcome::Timeout | Outcome::Cancelled) {
-            let backend = self.calls[call].backend;
-            self.backends[backend]
-                .waiting
-                .retain(|waiting| *waiting != call);
+    /// Ends an attempt in its customer's account; returns the use of the quota that a response reports, if there is one.
+    fn reported_usage(&mut self, customer: usize, outcome: Outcome) -> Option<f64> {
+        let clients = self.clients.as_mut()?;
+        clients.customers[customer].attempts_in_flight -= 1;
+        let has_response = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
+        if has_response {
+            clients.reported_usage(customer, self.now, &mut self.random)
+        } else {
+            None
         }
     }
+
+    /// Drops a call whose origin has closed the connection, unless a core already works on it.
+    fn remove_from_queue(&mut self, call: usize) {
+        let backend = &mut self.backends[self.calls[call].backend];
+        backend.waiting.retain(|waiting| *waiting != call);
+    }
 }
--- a/crates/fleet-simulation/src/simulation/backends.rs
+++ b/crates/fleet-simulation/src/simulation/backends.rs
@@ -1,4 +1,4 @@
-//! The backends: their queues, their cores, and how warm they are.
+//! The backends: their queues, their cores, and their capacity during slow start.
 
 use super::attempts::CallOrigin;
 use super::event_queue::SimEvent;
@@ -10,28 +10,59 @@
 
 /// Tenths of a second over which the load of a backend is summed.
 const LOAD_TENTHS: u64 = 20;
+/// Length of a tenth of a second, ms.
+const TENTH: f64 = 100.0;
+/// Fraction of errors below which a backend counts as healthy.
+const HEALTHY_ERROR_FRACTION: f64 = 0.1;
 
 /// A backend: its model and its present state.
 pub(super) struct Backend {
     pub(super) spec: BackendSpec,
     pub(super) id: BackendId,
+    /// Calls in its queue.
     pub(super) waiting: VecDeque<usize>,
-    working: usize,
-    /// Work that came in, by tenth of a second, for the load that a cold one is put under.
-    work_by_tenth: VecDeque<(u64, f64)>,
+    /// Cores in use.
+    busy_cores: usize,
+    /// Work that arrived in the last [`LOAD_TENTHS`], oldest first.
+    recent_work: VecDeque<TenthOfWork>,
     pub(super) open_connections: usize,
-    /// gateways that have been told of its last start.
+    /// Whether each gateway has been notified of its last start.
     pub(super) knows_start: Vec<bool>,
 }
 
+/// Work that arrived in one tenth of a second, in milliseconds of one core of usual speed.
+struct TenthOfWork {
+    /// Number of the tenth since the start of the run.
+    tenth: u64,
+    work: f64,
+}
+
+impl Backend {
+    /// Adds work that arrives now to the load of the last [`LOAD_TENTHS`].
+    fn add_work(&mut self, tenth: u64, work: f64) {
+        match self.recent_work.back_mut() {
+            Some(last) if last.tenth == tenth => last.work += work,
+            _ => self.recent_work.push_back(TenthOfWork { tenth, work }),
+        }
+        while self
+            .recent_work
+            .front()
+            .is_some_and(|first| first.tenth + LOAD_TENTHS <= tenth)
+        {
+            self.recent_work.pop_front();
+        }
+    }
+}
+
 impl Simulation {
+    /// Adds a backend and returns its index.
     pub(super) fn add_backend(&mut self, spec: BackendSpec) -> usize {
-        // Ids are strewn as those of hashed names are; two alike would be one backend.
+        // Ids are spread over the whole range, as hashes of names are, and must be unique.
         let mut id = BackendId(self.random.next_u32());
-        while self.by_id.contains_key(&id) {
+        while self.backend_by_id.contains_key(&id) {
             id = BackendId(self.random.next_u32());
         }
-        self.by_id.insert(id, self.backends.len());
+        self.backend_by_id.insert(id, self.backends.len());
         self.statistics.peak_connections.push(0);
         self.statistics.attempts_by_backend.push(Vec::new());
         self.statistics.cold_work.push(Vec::new());
@@ -39,44 +70,45 @@
             started_at: spec.started_at.unwrap_or(f64::NEG_INFINITY),
             ended_at: f64::INFINITY,
         });
-        let (waiting, came) = (VecDeque::new(), VecDeque::new());
-        // Only whoever is told of a new id sends to it.
-        let told = vec![true; self.gateways.len()];
         self.backends.push(Backend {
             spec,
             id,
-            waiting,
-            working: 0,
-            work_by_tenth: came,
+            waiting: VecDeque::new(),
+            busy_cores: 0,
+            recent_work: VecDeque::new(),
             open_connections: 0,
-            knows_start: told,
+            // A gateway can send to a new id only once it has been notified of it.
+            knows_start: vec![true; self.gateways.len()],
         });
         self.backends.len() - 1
     }
 
-    pub(super) fn entry(&self, node: usize, availability: Availability) -> BackendEntry {
-        let node = &self.backends[node];
+    /// The entry of a backend in the endpoint list.
+    pub(super) fn endpoint(&self, index: usize, availability: Availability) -> BackendEntry {
+        let backend = &self.backends[index];
         BackendEntry {
-            id: node.id,
-            zone: ZoneId(node.spec.zone),
-            cell: CellId(node.spec.zone),
+            id: backend.id,
+            zone: ZoneId(backend.spec.zone),
+            cell: CellId(backend.spec.zone),
             availability,
-            started_at: node.spec.started_at,
+            started_at: backend.spec.started_at,
             weight: 1.0,
         }
     }
 
+    /// Whether a backend is faulty, or unreachable from this gateway. Rare errors are no fault.
     pub(super) fn is_impaired(&self, gateway: usize, backend: usize) -> bool {
-        let spec = &self.backends[backend].spec;
-        // An error now and then is no illness.
-        let well = matches!(spec.fault, BackendFault::None)
-            || matches!(spec.fault, BackendFault::Errors(part) if part < 0.1);
-        !well || !self.reaches(self.gateways[gateway].zone, spec.zone)
+        let is_healthy = match self.backends[backend].spec.fault {
+            BackendFault::None => true,
+            BackendFault::Errors(fraction) => fraction < HEALTHY_ERROR_FRACTION,
+            BackendFault::Slow(_) | BackendFault::Silent | BackendFault::Crashed => false,
+        };
+        !is_healthy || !self.is_backend_reachable(gateway, backend)
     }
 
     /// Fraction of its full capacity that a backend has now.
-    fn slow_start_fraction(&self, node: usize) -> f64 {
-        let Some(started_at) = self.backends[node].spec.started_at else {
+    fn slow_start_fraction(&self, backend: usize) -> f64 {
+        let Some(started_at) = self.backends[backend].spec.started_at else {
             return 1.0;
         };
         let slow_start = self.scenario.slow_start;
@@ -84,130 +116,124 @@
         slow_start.initial_fraction + (1.0 - slow_start.initial_fraction) * progress
     }
 
-    pub(super) fn begin(&mut self, call: usize) {
-        let node = self.calls[call].backend;
-        if matches!(self.backends[node].spec.fault, BackendFault::Silent) {
+    /// A call arrives at its backend, which queues it, rejects it or answers with an error.
+    pub(super) fn arrive_at_backend(&mut self, call: usize) {
+        let backend = self.calls[call].backend;
+        let fault = self.backends[backend].spec.fault;
+        if fault == BackendFault::Silent {
             return;
         }
-        self.calls[call].reached = true;
-        let from = self.calls[call].origin.gateway();
-        self.record_load(node, from, self.calls[call].work);
-        if let BackendFault::Errors(part) = self.backends[node].spec.fault {
-            if self.random.uniform() < part {
-                self.answer(call, Outcome::Error);
+        let gateway = self.calls[call].origin.gateway();
+        self.record_load(backend, gateway, self.calls[call].work);
+        if let BackendFault::Errors(fraction) = fault {
+            if self.random.uniform() < fraction {
+                self.respond(call, Outcome::Error);
                 return;
             }
         }
-        if self.backends[node].waiting.len() >= self.backends[node].spec.queue_capacity {
-            self.answer(call, Outcome::Rejected);
+        if self.backends[backend].waiting.len() >= self.backends[backend].spec.queue_capacity {
+            self.respond(call, Outcome::Rejected);
             return;
         }
-        self.backends[node].waiting.push_back(call);
-        self.start_work(node);
+        self.backends[backend].waiting.push_back(call);
+        self.start_work(backend);
     }
 
-    /// Notes the load that a backend is put under, by a gateway or another backend, against what it can do.
-    pub(super) fn record_load(&mut self, node: usize, from: Option<usize>, work: f64) {
-        let told = from.is_none_or(|gateway| self.backends[node].knows_start[gateway]);
-        let (tenth, warmth) = ((self.now / 100.0) as u64, self.slow_start_fraction(node));
-        let spec = &self.backends[node].spec;
-        let able = warmth * spec.cores as f64 * spec.speed * 100.0 * LOAD_TENTHS as f64;
-        let came = &mut self.backends[node].work_by_tenth;
-        match came.back_mut() {
-            Some((last, sum)) if *last == tenth => *sum += work,
-            _ => came.push_back((tenth, work)),
-        }
-        while came
-            .front()
-            .is_some_and(|(first, _)| first + LOAD_TENTHS <= tenth)
-        {
-            came.pop_front();
-        }
-        if warmth < 1.0 {
-            let load = came.iter().map(|(_, work)| work).sum::<f64>() / able;
-            self.statistics.peak_over_capacity = self.statistics.peak_over_capacity.max(load);
-            self.statistics.cold_work[node].push(ColdWork {
-                at: self.now,
-                work,
-                sender_knew_start: told,
-            });
+    /// Records work that arrives at a backend from a gateway, or from a backend (`None`), against its capacity.
+    pub(super) fn record_load(&mut self, index: usize, sender: Option<usize>, work: f64) {
+        let fraction = self.slow_start_fraction(index);
+        let backend = &mut self.backends[index];
+        backend.add_work((self.now / TENTH) as u64, work);
+        if fraction >= 1.0 {
+            return;
         }
+        let spec = &backend.spec;
+        let capacity = fraction * spec.cores as f64 * spec.speed * TENTH * LOAD_TENTHS as f64;
+        let recent = backend.recent_work.iter().map(|recent| recent.work);
+        let load = recent.sum::<f64>() / capacity;
+        self.statistics.peak_over_capacity = self.statistics.peak_over_capacity.max(load);
+        self.statistics.cold_work[index].push(ColdWork {
+            at: self.now,
+            work,
+            sender_knew_start: sender.is_none_or(|gateway| backend.knows_start[gateway]),
+        });
     }
 
-    fn start_work(&mut self, node: usize) {
-        while self.backends[node].working < self.backends[node].spec.cores {
-            let Some(call) = self.backends[node].waiting.pop_front() else {
+    /// Starts queued calls on the cores that are free.
+    fn start_work(&mut self, backend: usize) {
+        while self.backends[backend].busy_cores < self.backends[backend].spec.cores {
+            let Some(call) = self.backends[backend].waiting.pop_front() else {
                 return;
             };
-            if self.backends[node].spec.drops_expired && self.now >= self.calls[call].deadline {
+            if self.backends[backend].spec.drops_expired && self.now >= self.calls[call].deadline {
                 continue;
             }
-            self.backends[node].working += 1;
-            self.calls[call].working = true;
-            let spec = &self.backends[node].spec;
-            let slow = if let BackendFault::Slow(times) = spec.fault {
-                times
-            } else {
-                1.0
+            self.backends[backend].busy_cores += 1;
+            let spec = &self.backends[backend].spec;
+            let slowdown = match spec.fault {
+                BackendFault::Slow(factor) => factor,
+                _ => 1.0,
             };
-            let takes =
-                self.calls[call].work * slow / (spec.speed * self.slow_start_fraction(node));
-            self.schedule(self.now + takes, SimEvent::WorkCompleted(call));
+            let duration =
+                self.calls[call].work * slowdown / (spec.speed * self.slow_start_fraction(backend));
+            self.schedule(self.now + duration, SimEvent::WorkCompleted { call });
         }
     }
 
+    /// A core has done the work of a call: the backend responds, or calls the next tier and keeps the core until then.
     pub(super) fn complete_work(&mut self, call: usize) {
-        let node = self.calls[call].backend;
-        self.calls[call].done += self.calls[call].work;
-        let next = self.backends[node].spec.next_tier.clone();
-        if next.is_empty() {
-            self.release_core(node);
-            self.answer(call, Outcome::Ok);
+        let backend = self.calls[call].backend;
+        self.calls[call].completed_work += self.calls[call].work;
+        let next_tier = &self.backends[backend].spec.next_tier;
+        if next_tier.is_empty() {
+            self.release_core(backend);
+            self.respond(call, Outcome::Ok);
+            return;
+        }
+        let target = next_tier[self.random.below(next_tier.len())];
+        if self.now >= self.calls[call].deadline {
+            self.release_core(backend);
+            self.respond(call, Outcome::Error);
             return;
         }
-        // The core is held until the call below is answered. It is told what is left, less the way.
-        let to = next[self.random.below(next.len())];
-        let delay = self.one_way_delay(self.backends[node].spec.zone, self.backends[to].spec.zone);
-        let less = if self.scenario.deducts_network_delay {
+        self.call_next_tier(call, target);
+    }
+
+    /// Makes a call to a backend of the next tier, with what is left of the deadline.
+    fn call_next_tier(&mut self, parent: usize, target: usize) {
+        let zone = self.backends[self.calls[parent].backend].spec.zone;
+        let delay = self.one_way_delay(zone, self.backends[target].spec.zone);
+        let deducted_delay = if self.scenario.deducts_network_delay {
             delay
         } else {
             0.0
         };
-        let (until, request, work) = (
-            self.calls[call].deadline - less,
-            self.calls[call].request,
-            self.calls[call].work,
-        );
-        if self.now >= self.calls[call].deadline {
-            self.release_core(node);
-            self.answer(call, Outcome::Error);
-            return;
-        }
-        let below = self.calls.len();
-        self.call(request, CallOrigin::Backend { call }, to, until, work);
-        self.schedule(self.calls[call].deadline, SimEvent::AttemptTimeout(below));
-        self.schedule(self.now + delay, SimEvent::RequestAtBackend(below));
+        let call = self.calls.len();
+        let request = self.calls[parent].request;
+        let deadline = self.calls[parent].deadline;
+        let work = self.calls[parent].work;
+        let origin = CallOrigin::Backend { parent };
+        self.add_call(request, origin, target, deadline - deducted_delay, work);
+        self.schedule(deadline, SimEvent::CallTimeout { call });
+        self.schedule(self.now + delay, SimEvent::RequestAtBackend { call });
     }
 
-    pub(super) fn release_core(&mut self, node: usize) {
-        self.backends[node].working -= 1;
-        self.start_work(node);
+    /// Frees a core, which takes the next queued call.
+    pub(super) fn release_core(&mut self, backend: usize) {
+        self.backends[backend].busy_cores -= 1;
+        self.start_work(backend);
     }
 
-    /// A backend answers.
-    pub(super) fn answer(&mut self, call: usize, outcome: Outcome) {
-        let zone = self.backends[self.calls[call].backend].spec.zone;
+    /// Sends a backend's response to the origin of a call; it is lost where the origin is unreachable.
+    pub(super) fn respond(&mut self, call: usize, outcome: Outcome) {
+        let from = self.backends[self.calls[call].backend].spec.zone;
         let to = match self.calls[call].origin {
             CallOrigin::Gateway { gateway, .. } => self.gateways[gateway].zone,
-            CallOrigin::Backend { call: above } => {
-                self.backends[self.calls[above].backend].spec.zone
-            }
+            CallOrigin::Backend { parent } => self.backends[self.calls[parent].backend].spec.zone,
         };
-        if self.reaches(zone, to) {
-            self.schedule(
-                self.now + self.one_way_delay(zone, to),
-                SimEvent::AttemptEnded(call, outcome),
-            );
+        if self.is_reachable(from, to) {
+            let delay = self.one_way_delay(from, to);
+            self.schedule(self.now + delay, SimEvent::CallEnded { call, outcome });
         }
     }
 }
--- a/crates/fleet-simulation/src/simulation/clients.rs
+++ b/crates/fleet-simulation/src/simulation/clients.rs
@@ -1,35 +1,51 @@
-//! The clients: their requests and further tries, and the one final answer of each.
+//! The clients: their requests, their retries, and the one final outcome of each.
 
 use super::event_queue::SimEvent;
 use super::Simulation;
 use cometspool::{ClassId, CustomerId, Event, Millis, PlanId, Request, RequestId};
 
-/// How a request ends, in the order of [`Tally::ends`](crate::Tally::ends).
+/// Number of customers that share the requests of a scenario without a client population.
+const ANONYMOUS_CUSTOMERS: usize = 64;
+
+/// How a request ends.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum End {
+pub(super) enum RequestOutcome {
+    /// A response arrived before the deadline.
     Served,
+    /// A gateway rejected it.
     Rejected,
+    /// All attempts failed, or the deadline passed.
     Failed,
 }
 
-/// A try of a client's request at one gateway.
+/// A client's request, or one of its retries, at one gateway.
 pub(super) struct ClientRequest {
     pub(super) gateway: usize,
-    /// Whose it is; which try of its client; when the first came; whether it was sent on within the quota.
     pub(super) customer: usize,
-    pub(super) attempt_number: u32,
-    pub(super) first_arrived_at: Millis,
-    pub(super) within_quota: bool,
+    /// How many times the client has retried: 0 for its first request.
+    retry_count: u32,
+    /// When the client's first request arrived, ms.
+    first_arrived_at: Millis,
+    /// Whether its first attempt was within the customer's quota.
+    pub(super) is_within_quota: bool,
     pub(super) class: usize,
-    pub(super) arrived_at: Millis,
+    /// When it was sent to its gateway, ms.
+    arrived_at: Millis,
+    /// When its client stops waiting, ms.
     pub(super) deadline: Millis,
+    /// The attempts that its gateway waits for, as calls.
     pub(super) in_flight: Vec<usize>,
+    /// Attempts sent so far.
     pub(super) sent_attempts: u32,
-    pub(super) answered: bool,
-    /// Work of an attempt of it, at each backend it meets.
+    /// Whether its client has a final outcome.
+    pub(super) has_ended: bool,
+    /// Work of a call at each tier, in milliseconds of one core of usual speed.
     pub(super) work: f64,
+    /// All calls made for it, by gateways and backends.
     pub(super) calls: Vec<usize>,
-    pub(super) served_in_time: bool,
+    /// Whether it was served within its latency objective.
+    pub(super) is_served_in_time: bool,
+    /// Whether the first of its attempts to end succeeded.
     pub(super) first_attempt_succeeded: Option<bool>,
 }
 
@@ -45,219 +61,234 @@
         ClientRequest {
             gateway,
             customer,
-            attempt_number: 0,
+            retry_count: 0,
             first_arrived_at: arrived_at,
-            within_quota: true,
+            is_within_quota: true,
             class,
             arrived_at,
             deadline,
             in_flight: Vec::new(),
             sent_attempts: 0,
-            answered: false,
+            has_ended: false,
             work,
             calls: Vec::new(),
-            served_in_time: false,
+            is_served_in_time: false,
             first_attempt_succeeded: None,
         }
     }
 }
 
 impl Simulation {
+    /// A request arrives at a gateway, and the next is scheduled.
     pub(super) fn arrive(&mut self, gateway: usize) {
         if self.now > self.scenario.duration {
             return;
         }
-        let next = self.now
-            + self
-                .random
-                .exponential(1000.0 / self.scenario.requests_per_second);
-        self.schedule(next, SimEvent::Arrive(gateway));
-        let id = self.requests.len();
-        self.issue_request(gateway, id % 64);
+        let mean_interval = 1000.0 / self.scenario.requests_per_second;
+        let next = self.now + self.random.exponential(mean_interval);
+        self.schedule(next, SimEvent::RequestArrival { gateway });
+        let customer = self.requests.len() % ANONYMOUS_CUSTOMERS;
+        self.issue_request(gateway, customer);
     }
 
+    /// Schedules a customer's next request, or the next change of its rate.
     pub(super) fn schedule_next_request(&mut self, customer: usize) {
-        let Some(clients) = &self.clients else { return };
+        let Some(clients) = &self.clients else {
+            return;
+        };
         let next = clients.next_request(customer, self.now, &mut self.random);
+        let is_request = next.is_request;
         self.schedule(
             next.at,
-            SimEvent::CustomerRequest(customer, next.is_request),
+            SimEvent::CustomerRequest {
+                customer,
+                is_request,
+            },
         );
     }
 
-    pub(super) fn send_customer_request(&mut self, customer: usize, asks: bool) {
+    /// Sends a customer's request if one is due, and schedules the next.
+    pub(super) fn customer_request_due(&mut self, customer: usize, is_request: bool) {
         if self.now > self.scenario.duration {
             return;
         }
         self.schedule_next_request(customer);
-        let now = self.now;
-        let Some(clients) = self.clients.as_mut().filter(|_| asks) else {
+        if !is_request {
+            return;
+        }
+        let Some(clients) = &mut self.clients else {
             return;
         };
-        let gateway = clients.choose_gateway(customer, now, &mut self.random);
-        let id = self.issue_request(gateway, customer);
-        let worth = self.worth(id);
+        let gateway = clients.choose_gateway(customer, self.now, &mut self.random);
+        let request = self.issue_request(gateway, customer);
+        let weight = self.priority_weight(request);
         if let Some(clients) = &mut self.clients {
-            clients.record_offered(customer, now, worth);
+            clients.record_offered(customer, self.now, weight);
             clients.account.attempts += 1;
         }
     }
 
-    /// A client comes again, with a new id and what is left of its time.
-    pub(super) fn retry(&mut self, before: u32) {
-        let asked = &self.requests[before as usize];
-        let (customer, class, first, tries) = (
-            asked.customer,
-            asked.class,
-            asked.first_arrived_at,
-            asked.attempt_number + 1,
-        );
-        let (work, deadline, now) = (asked.work, asked.deadline, self.now);
-        let Some(clients) = self.clients.as_mut().filter(|_| now < deadline) else {
+    /// Retries a rejected request under a new id, with its original deadline.
+    pub(super) fn retry(&mut self, rejected: u32) {
+        let rejected = &self.requests[rejected as usize];
+        if self.now >= rejected.deadline {
+            return;
+        }
+        let Some(clients) = &mut self.clients else {
             return;
         };
-        let gateway = clients.choose_gateway(customer, now, &mut self.random);
+        let customer = rejected.customer;
+        let gateway = clients.choose_gateway(customer, self.now, &mut self.random);
         clients.account.attempts += 1;
-        self.enter(ClientRequest {
-            first_arrived_at: first,
-            attempt_number: tries,
-            ..ClientRequest::new(gateway, customer, class, now, deadline, work)
-        });
+        let retry = ClientRequest {
+            first_arrived_at: rejected.first_arrived_at,
+            retry_count: rejected.retry_count + 1,
+            ..ClientRequest::new(
+                gateway,
+                customer,
+                rejected.class,
+                self.now,
+                rejected.deadline,
+                rejected.work,
+            )
+        };
+        self.submit(retry);
     }
 
-    /// A try is on its way to its gateway, and its client waits until the deadline.
-    fn enter(&mut self, asked: ClientRequest) -> u32 {
-        let (id, deadline) = (self.requests.len() as u32, asked.deadline);
-        self.requests.push(asked);
-        self.schedule(self.now, SimEvent::RequestReceived(id));
-        self.schedule(deadline, SimEvent::Deadline(id));
-        id
+    /// Sends a request to its gateway, schedules its deadline and returns its index.
+    fn submit(&mut self, request: ClientRequest) -> u32 {
+        let index = self.requests.len() as u32;
+        let deadline = request.deadline;
+        self.requests.push(request);
+        self.schedule(self.now, SimEvent::RequestReceived { request: index });
+        self.schedule(deadline, SimEvent::Deadline { request: index });
+        index
     }
 
-    pub(super) fn worth(&self, request: u32) -> f64 {
-        self.scenario.classes[self.requests[request as usize].class]
-            .class
-            .priority_weight
+    /// The priority weight of a request.
+    pub(super) fn priority_weight(&self, request: u32) -> f64 {
+        let class = self.requests[request as usize].class;
+        self.scenario.classes[class].class.priority_weight
     }
 
-    /// Rejects an attempt; its client may retry.
+    /// Rejects a request; its client may retry after `retry_after` ms or a backoff of its own.
     pub(super) fn reject(&mut self, request: u32, retry_after: Option<Millis>, reason: String) {
         let rejected = &self.requests[request as usize];
-        let is_first_answer = !rejected.answered;
+        let had_ended = rejected.has_ended;
         let customer = rejected.customer;
-        let attempt_number = rejected.attempt_number;
-        self.finish(request, End::Rejected);
-        let now = self.now;
-        let Some(clients) = self.clients.as_mut().filter(|_| is_first_answer) else {
+        let retry_count = rejected.retry_count;
+        self.finish(request, RequestOutcome::Rejected);
+        if had_ended {
+            return;
+        }
+        let Some(clients) = &mut self.clients else {
             return;
         };
-        clients.record_rejected(customer, now, reason);
-        let retries = clients.retry_behavior();
-        if attempt_number < retries.max_retries {
-            let backoff = retries.mean_wait * f64::from(1 << attempt_number);
+        clients.record_rejected(customer, self.now, reason);
+        let behavior = clients.retry_behavior();
+        if retry_count < behavior.max_retries {
+            let backoff = behavior.mean_wait * f64::from(1 << retry_count);
             let wait = retry_after.unwrap_or(backoff) * (0.75 + 0.5 * self.random.uniform());
-            self.schedule(now + wait.max(1.0), SimEvent::Retry(request));
+            self.schedule(self.now + wait.max(1.0), SimEvent::Retry { request });
         }
     }
 
-    /// A request of a customer comes to a gateway.
+    /// Draws a customer's request and sends it to a gateway; returns its index.
     fn issue_request(&mut self, gateway: usize, customer: usize) -> u32 {
-        let mut luck = self.random.uniform()
-            * self
-                .scenario
-                .classes
-                .iter()
-                .map(|class| class.share)
-                .sum::<f64>();
-        let mut class = 0;
-        while class + 1 < self.scenario.classes.len() && luck >= self.scenario.classes[class].share
-        {
-            luck -= self.scenario.classes[class].share;
-            class += 1;
-        }
+        let class = self.draw_class();
         let spec = &self.scenario.classes[class];
-        let (mean, cv) = (spec.mean_work, spec.coefficient_of_variation);
-        let patience = self.scenario.min_deadline_fraction
+        let deadline_fraction = self.scenario.min_deadline_fraction
             + (1.0 - self.scenario.min_deadline_fraction) * self.random.uniform();
-        let deadline = self.now + spec.class.deadline * patience;
-        let work = self.random.lognormal(mean, cv);
+        let deadline = self.now + spec.class.deadline * deadline_fraction;
+        let work = self
+            .random
+            .lognormal(spec.mean_work, spec.coefficient_of_variation);
+        let weight = spec.class.priority_weight;
         self.statistics.requests += 1;
-        let worth = self.scenario.classes[class].class.priority_weight;
-        self.statistics.requested_worth += worth;
-        self.current_second().requested += worth;
-        self.enter(ClientRequest::new(
+        self.statistics.requested_weight += weight;
+        let second = self.current_second();
+        self.statistics.weight_by_second[second].requested += weight;
+        self.submit(ClientRequest::new(
             gateway, customer, class, self.now, deadline, work,
         ))
     }
 
-    /// A gateway has a request: at once, or when it stands still no longer.
+    /// Draws the index of a class by the classes' shares.
+    fn draw_class(&mut self) -> usize {
+        let classes = &self.scenario.classes;
+        let total = classes.iter().map(|class| class.share).sum::<f64>();
+        let mut point = self.random.uniform() * total;
+        let mut class = 0;
+        while class + 1 < classes.len() && point >= classes[class].share {
+            point -= classes[class].share;
+            class += 1;
+        }
+        class
+    }
+
+    /// A gateway reads a request: when it arrives, or when the gateway's stall ends.
     pub(super) fn receive_request(&mut self, id: u32) {
-        let asked = &self.requests[id as usize];
-        let (gateway, waited) = (asked.gateway, self.now - asked.arrived_at);
-        let granted = if self.scenario.charges_stalls {
-            asked.deadline
+        let received = &self.requests[id as usize];
+        let gateway = received.gateway;
+        let queued_for = self.now - received.arrived_at;
+        let charges_stalls = self.scenario.charges_stalls;
+        let deadline = if charges_stalls {
+            received.deadline
         } else {
-            asked.deadline + waited
+            received.deadline + queued_for
         };
-        if asked.answered || granted <= self.now {
-            self.finish(id, End::Failed);
+        if received.has_ended || deadline <= self.now {
+            self.finish(id, RequestOutcome::Failed);
             return;
         }
-        let whose = self
-            .clients
-            .as_ref()
-            .map(|clients| &clients.customers[asked.customer]);
+        let clients = self.clients.as_ref();
+        let customer = clients.map(|clients| &clients.customers[received.customer]);
         let request = Request {
             id: RequestId(id),
-            customer: CustomerId(asked.customer as u64),
-            plan: PlanId(whose.map_or(0, |customer| customer.plan)),
-            class: ClassId(asked.class),
+            customer: CustomerId(received.customer as u64),
+            plan: PlanId(customer.map_or(0, |customer| customer.plan)),
+            class: ClassId(received.class),
             units: 1.0,
-            deadline: granted,
-            gateway_count: whose.map_or(1.0, |customer| customer.gateways.len() as f64),
+            deadline,
+            gateway_count: customer.map_or(1.0, |customer| customer.gateways.len() as f64),
             is_retry: false,
-            queued_for: if self.scenario.charges_stalls {
-                waited
-            } else {
-                0.0
-            },
+            queued_for: if charges_stalls { queued_for } else { 0.0 },
         };
         self.notify_gateway(gateway, Event::RequestArrived(request));
     }
 
-    /// The one final answer: served, refused or failed.
-    pub(super) fn finish(&mut self, request: u32, end: End) {
-        let asked = &mut self.requests[request as usize];
-        if std::mem::replace(&mut asked.answered, true) {
+    /// Records the outcome of a request; only the first counts.
+    pub(super) fn finish(&mut self, request: u32, outcome: RequestOutcome) {
+        let request = &mut self.requests[request as usize];
+        if std::mem::replace(&mut request.has_ended, true) {
             return;
         }
-        let class = &self.scenario.classes[asked.class].class;
-        let took = self.now - asked.arrived_at;
-        self.statistics.ends[end as usize] += 1;
-        let late =
-            took >= class.latency_objective || took > 0.5 * (asked.deadline - asked.arrived_at);
-        if end != End::Served && late {
-            self.statistics.late_failures += 1;
+        let class = &self.scenario.classes[request.class].class;
+        let elapsed = self.now - request.arrived_at;
+        let is_late = elapsed >= class.latency_objective
+            || elapsed > 0.5 * (request.deadline - request.arrived_at);
+        let outcomes = &mut self.statistics.outcomes;
+        match outcome {
+            RequestOutcome::Served => outcomes.served += 1,
+            RequestOutcome::Rejected => outcomes.rejected += 1,
+            RequestOutcome::Failed => outcomes.failed += 1,
         }
-        let (customer, inside, in_time) = (
-            asked.customer,
-            asked.within_quota,
-            self.now - asked.first_arrived_at <= class.latency_objective,
-        );
-        let worth = class.priority_weight;
-        if let Some(clients) = self
-            .clients
-            .as_mut()
-            .filter(|_| end == End::Served && in_time)
-        {
-            clients.record_served(customer, worth, inside);
+        if outcome != RequestOutcome::Served {
+            self.statistics.late_failures += u64::from(is_late);
+            return;
+        }
+        let weight = class.priority_weight;
+        // The account of a customer's quota measures from its first request, retries included.
+        if self.now - request.first_arrived_at <= class.latency_objective {
+            if let Some(clients) = &mut self.clients {
+                clients.record_served(request.customer, weight, request.is_within_quota);
+            }
         }
-        let asked = &mut self.requests[request as usize];
-        if end == End::Served && took <= class.latency_objective {
-            let (worth, came) = (class.priority_weight, (asked.arrived_at / 1000.0) as usize);
-            asked.served_in_time = true;
-            self.statistics.served_worth += worth;
-            self.statistics.worth_by_second[came].served += worth;
+        if elapsed <= class.latency_objective {
+            let second = (request.arrived_at / 1000.0) as usize;
+            request.is_served_in_time = true;
+            self.statistics.served_weight += weight;
+            self.statistics.weight_by_second[second].served += weight;
         }
     }
 }
--- a/crates/fleet-simulation/src/simulation/connections.rs
+++ b/crates/fleet-simulation/src/simulation/connections.rs
@@ -1,33 +1,29 @@
-//! The connections between gateways and backends: dials, handshakes and ends.
+//! The connections between gateways and backends: checkouts, dials, handshakes and resets.
 
 use super::event_queue::SimEvent;
 use super::Simulation;
-use crate::pooling::{CheckoutResult, DialResult, Pool, PoolStep};
+use crate::pooling::{CheckoutResult, DialResult, PoolStep};
 use crate::scenario::BackendFault;
+use cometspool::connection_pool::DialId;
 use cometspool::{Idempotency, Millis, Outcome};
 
-/// Time after which a dial that nobody answers is given up.
+/// Time after which an unanswered dial fails, ms.
 const DIAL_TIMEOUT: Millis = 250.0;
-/// Work of a handshake.
-const HANDSHAKE: f64 = 1.0;
+/// Work of a handshake at the backend, in milliseconds of one core of usual speed.
+const HANDSHAKE_WORK: f64 = 1.0;
 
 /// A connection between a gateway and a backend.
 pub(super) struct Connection {
-    pub(super) backend: usize,
-    /// Whether the backend's process still has it, and whether its gateway has heard that it is gone.
-    pub(super) open: bool,
-    pub(super) reset: bool,
+    backend: usize,
+    /// Whether neither end has closed it.
+    is_open: bool,
+    /// Whether the backend's process ended, which reset the connection.
+    is_reset: bool,
 }
 
 impl Simulation {
-    /// Tells a gateway's pool something and does what comes of it.
-    pub(super) fn pool<T>(
-        &mut self,
-        gateway: usize,
-        tell: impl FnOnce(&mut Pool, Millis, &mut Vec<PoolStep>) -> T,
-    ) -> T {
-        let mut steps = Vec::new();
-        let told = tell(&mut self.gateways[gateway].pool, self.now, &mut steps);
+    /// Carries out the steps that a gateway's pool returned.
+    pub(super) fn apply_pool_steps(&mut self, gateway: usize, steps: Vec<PoolStep>) {
         for step in steps {
             match step {
                 PoolStep::Dial { backend, dial } => self.dial(gateway, backend, dial),
@@ -38,55 +34,50 @@
                 }
                 PoolStep::Fail { call, is_full } => {
                     self.calls[call].waits_for_connection = false;
-                    self.settle(
-                        call,
-                        if is_full {
-                            Outcome::Rejected
-                        } else {
-                            Outcome::ConnectFailed
-                        },
-                    );
+                    let outcome = if is_full {
+                        Outcome::Rejected
+                    } else {
+                        Outcome::ConnectFailed
+                    };
+                    self.settle(call, outcome);
                 }
-                PoolStep::Close(connection) => self.close_connection(connection),
+                PoolStep::Close { connection } => self.close_connection(connection),
                 PoolStep::Wake { backend, at } => {
-                    self.schedule(at, SimEvent::PoolWake(gateway, backend));
+                    self.schedule(at, SimEvent::PoolWake { gateway, backend });
                 }
             }
         }
-        told
     }
 
+    /// Takes a connection for a gateway's call, and transmits the call as soon as it has one.
     pub(super) fn check_out_connection(&mut self, call: usize) {
-        let (Some(gateway), backend) =
-            (self.calls[call].origin.gateway(), self.calls[call].backend)
-        else {
+        let Some(gateway) = self.calls[call].origin.gateway() else {
             return;
         };
+        let backend = self.calls[call].backend;
         let class = self.requests[self.calls[call].request as usize].class;
-        let once = self.scenario.classes[class].class.idempotency == Idempotency::NonIdempotent;
+        let idempotency = &self.scenario.classes[class].class.idempotency;
+        let run_once = *idempotency == Idempotency::NonIdempotent;
         loop {
-            match self.pool(gateway, |pool, now, steps| {
-                pool.checkout(now, backend, call, once, steps)
-            }) {
-                // One that was reset is seen to be, and is none.
-                CheckoutResult::Reused(connection)
-                    if self.connections[connection as usize].reset =>
-                {
-                    self.pool(gateway, |pool, now, steps| {
-                        pool.connection_closed(now, backend, steps);
-                    });
+            let checkout = self.gateways[gateway]
+                .pool
+                .checkout(self.now, backend, call, run_once);
+            self.apply_pool_steps(gateway, checkout.steps);
+            match checkout.result {
+                // A gateway detects at once that a pooled connection was reset.
+                CheckoutResult::Reused { connection } if self.connections[connection].is_reset => {
+                    let steps = self.gateways[gateway]
+                        .pool
+                        .connection_closed(self.now, backend);
+                    self.apply_pool_steps(gateway, steps);
                 }
-                CheckoutResult::Reused(connection) => {
+                CheckoutResult::Reused { connection } => {
                     self.calls[call].connection = Some(connection);
                     self.transmit(call);
                     return;
                 }
                 CheckoutResult::Queued => {
-                    // It may have been given one, or none, by what came of asking.
-                    if self.calls[call].connection.is_none() && !self.calls[call].settled {
-                        self.calls[call].waits_for_connection = true;
-                        self.schedule(self.now + DIAL_TIMEOUT, SimEvent::CheckoutTimeout(call));
-                    }
+                    self.wait_for_connection(call);
                     return;
                 }
                 CheckoutResult::Exhausted => {
@@ -97,106 +88,122 @@
         }
     }
 
-    fn dial(&mut self, gateway: usize, backend: usize, call: Option<usize>) {
+    /// Marks a queued call as waiting, unless a step of its checkout gave it a connection or ended it.
+    fn wait_for_connection(&mut self, call: usize) {
+        if self.calls[call].connection.is_none() && !self.calls[call].is_settled {
+            self.calls[call].waits_for_connection = true;
+            self.schedule(self.now + DIAL_TIMEOUT, SimEvent::CheckoutTimeout { call });
+        }
+    }
+
+    fn dial(&mut self, gateway: usize, backend: usize, dial: DialId) {
         self.statistics.dials += 1;
         let second = (self.now / 1000.0) as usize;
         let by_second = &mut self.statistics.dials_by_second;
         by_second.resize(by_second.len().max(second + 1), 0);
         by_second[second] += 1;
-        let (from, to) = (
-            self.gateways[gateway].zone,
-            self.backends[backend].spec.zone,
-        );
-        let silent =
-            !self.reaches(from, to) || self.backends[backend].spec.fault == BackendFault::Silent;
-        let (takes, answered) = if silent {
-            (DIAL_TIMEOUT, false)
+        let is_answered = self.is_backend_reachable(gateway, backend)
+            && self.backends[backend].spec.fault != BackendFault::Silent;
+        let duration = if is_answered {
+            2.0 * self.delay_to_backend(gateway, backend)
         } else {
-            (2.0 * self.one_way_delay(from, to), true)
+            DIAL_TIMEOUT
         };
         self.schedule(
-            self.now + takes,
-            SimEvent::DialCompleted(gateway, backend, call, answered),
+            self.now + duration,
+            SimEvent::DialCompleted {
+                gateway,
+                backend,
+                dial,
+                is_answered,
+            },
         );
     }
 
+    /// Opens the connection of a dial that was answered, if the backend accepts it, and reports to the pool.
     pub(super) fn finish_dial(
         &mut self,
         gateway: usize,
         backend: usize,
-        call: Option<usize>,
-        answered: bool,
+        dial: DialId,
+        is_answered: bool,
     ) {
-        let node = &self.backends[backend];
-        let full = self
+        let open_connections = self.backends[backend].open_connections;
+        let is_full = self
             .scenario
             .max_connections_per_backend
-            .is_some_and(|table| node.open_connections >= table);
-        let up = answered && node.spec.fault != BackendFault::Crashed && !full;
-        let result = if up {
-            self.record_load(backend, Some(gateway), HANDSHAKE);
-            self.backends[backend].open_connections += 1;
-            let peak = &mut self.statistics.peak_connections[backend];
-            *peak = (*peak).max(self.backends[backend].open_connections);
-            self.connections.push(Connection {
-                backend,
-                open: true,
-                reset: false,
-            });
-            DialResult::Connected(self.connections.len() as u64 - 1)
+            .is_some_and(|limit| open_connections >= limit);
+        let has_crashed = self.backends[backend].spec.fault == BackendFault::Crashed;
+        let result = if is_answered && !has_crashed && !is_full {
+            self.record_load(backend, Some(gateway), HANDSHAKE_WORK);
+            DialResult::Connected {
+                connection: self.open_connection(backend),
+            }
         } else {
-            self.statistics.refused_dials += u64::from(answered && full);
+            self.statistics.rejected_dials += u64::from(is_answered && is_full);
             DialResult::Failed
         };
-        self.pool(gateway, |pool, now, steps| {
-            pool.dial_finished(now, backend, call, result, steps);
+        let steps = self.gateways[gateway]
+            .pool
+            .dial_finished(self.now, backend, dial, result);
+        self.apply_pool_steps(gateway, steps);
+    }
+
+    /// Adds a connection to a backend and returns its index.
+    fn open_connection(&mut self, backend: usize) -> usize {
+        self.backends[backend].open_connections += 1;
+        let peak = &mut self.statistics.peak_connections[backend];
+        *peak = (*peak).max(self.backends[backend].open_connections);
+        self.connections.push(Connection {
+            backend,
+            is_open: true,
+            is_reset: false,
         });
+        self.connections.len() - 1
     }
 
-    fn close_connection(&mut self, connection: u64) {
-        let connection = &mut self.connections[connection as usize];
-        if std::mem::replace(&mut connection.open, false) {
-            let node = &mut self.backends[connection.backend];
-            node.open_connections = node.open_connections.saturating_sub(1);
+    fn close_connection(&mut self, connection: usize) {
+        let connection = &mut self.connections[connection];
+        if std::mem::replace(&mut connection.is_open, false) {
+            let backend = &mut self.backends[connection.backend];
+            backend.open_connections = backend.open_connections.saturating_sub(1);
         }
     }
 
-    /// A process that dies resets its connections.
+    /// Resets the connections of a backend whose process ends.
     pub(super) fn reset_connections(&mut self, backend: usize) {
-        for connection in self
-            .connections
-            .iter_mut()
-            .filter(|connection| connection.backend == backend)
-        {
-            (connection.open, connection.reset) = (false, true);
+        for connection in &mut self.connections {
+            if connection.backend == backend {
+                connection.is_open = false;
+                connection.is_reset = true;
+            }
         }
         self.backends[backend].open_connections = 0;
     }
 
-    /// An attempt is over for its gateway: its connection is free again, or goes with it.
+    /// Returns the connection of a settled call to its pool; closes it where the response was not read to its end.
     pub(super) fn return_connection(&mut self, call: usize, outcome: Outcome) {
-        let (Some(gateway), backend) =
-            (self.calls[call].origin.gateway(), self.calls[call].backend)
-        else {
+        let Some(gateway) = self.calls[call].origin.gateway() else {
             return;
         };
+        let backend = self.calls[call].backend;
         if std::mem::take(&mut self.calls[call].waits_for_connection) {
-            self.pool(gateway, |pool, now, _| pool.cancel_wait(now, backend, call));
+            self.gateways[gateway]
+                .pool
+                .cancel_wait(self.now, backend, call);
         }
         let Some(connection) = self.calls[call].connection.take() else {
             return;
         };
-        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected)
-            && !self.connections[connection as usize].reset
-        {
-            self.pool(gateway, |pool, now, steps| {
-                pool.release(now, backend, connection, steps);
-            });
+        let has_response = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
+        let pool = &mut self.gateways[gateway].pool;
+        let steps = if has_response && !self.connections[connection].is_reset {
+            pool.release(self.now, backend, connection)
         } else {
+            let steps = pool.connection_closed(self.now, backend);
             self.close_connection(connection);
-            self.pool(gateway, |pool, now, steps| {
-                pool.connection_closed(now, backend, steps);
-            });
-        }
+            steps
+        };
+        self.apply_pool_steps(gateway, steps);
     }
 }
--- a/crates/fleet-simulation/src/simulation/dispatch.rs
+++ b/crates/fleet-simulation/src/simulation/dispatch.rs
@@ -1,85 +1,105 @@
-//! Hands each thing that comes due to the part that it concerns.
+//! Passes each event that is due to the part of the simulation that handles it.
 
-use super::clients::End;
+use super::clients::RequestOutcome;
 use super::event_queue::SimEvent;
-use super::Simulation;
-use cometspool::{Availability, Event, ListKind, Millis, Outcome, RequestId};
+use super::{Simulation, EVICTION_INTERVAL};
+use cometspool::{Availability, BackendEntry, Event, ListKind, Millis, Outcome, RequestId};
 
 impl Simulation {
+    /// Handles an event that is due, or postpones it where its gateway is stalled.
     pub(super) fn dispatch(&mut self, event: SimEvent) {
-        if let Some(end) = self.paused(&event) {
-            self.schedule(end, event);
+        if let Some(stall_end) = self.stalled_until(&event) {
+            self.schedule(stall_end, event);
             return;
         }
         match event {
-            SimEvent::RequestReceived(request) => self.receive_request(request),
-            SimEvent::ClientDisconnected(request) => {
+            SimEvent::RequestReceived { request } => self.receive_request(request),
+            SimEvent::ClientDisconnected { request } => {
                 let gateway = self.requests[request as usize].gateway;
                 self.notify_gateway(gateway, Event::ClientDisconnected(RequestId(request)));
             }
-            SimEvent::Arrive(gateway) => self.arrive(gateway),
-            SimEvent::CustomerRequest(customer, asks) => self.send_customer_request(customer, asks),
-            SimEvent::Retry(before) => self.retry(before),
-            SimEvent::PolicyTimer(gateway, alarm) => {
-                self.notify_gateway(gateway, Event::TimerFired(alarm));
+            SimEvent::RequestArrival { gateway } => self.arrive(gateway),
+            SimEvent::CustomerRequest {
+                customer,
+                is_request,
+            } => self.customer_request_due(customer, is_request),
+            SimEvent::Retry { request } => self.retry(request),
+            SimEvent::PolicyTimer { gateway, timer } => {
+                self.notify_gateway(gateway, Event::TimerFired(timer));
             }
-            SimEvent::RequestAtBackend(call) => self.begin(call),
-            SimEvent::WorkCompleted(call) => self.complete_work(call),
-            SimEvent::AttemptEnded(call, outcome) => self.settle(call, outcome),
-            SimEvent::AttemptTimeout(call) => self.settle(call, Outcome::Timeout),
-            SimEvent::Deadline(request) => {
-                if !self.requests[request as usize].answered {
-                    self.finish(request, End::Failed);
-                    self.schedule(self.now, SimEvent::ClientDisconnected(request));
-                }
-            }
-            SimEvent::EndpointsChanged(gateway, entries) => {
-                for entry in entries
-                    .iter()
-                    .filter(|entry| entry.availability != Availability::Ready)
-                {
-                    let backend = self.by_id[&entry.id];
-                    self.pool(gateway, |pool, _, steps| {
-                        pool.remove_endpoint(backend, steps);
-                    });
-                }
-                for entry in &entries {
-                    let backend = &mut self.backends[self.by_id[&entry.id]];
-                    backend.knows_start[gateway] |= entry.started_at == backend.spec.started_at;
-                }
-                self.notify_gateway(gateway, Event::EndpointsChanged(ListKind::Changes, entries));
+            SimEvent::RequestAtBackend { call } => self.arrive_at_backend(call),
+            SimEvent::WorkCompleted { call } => self.complete_work(call),
+            SimEvent::CallEnded { call, outcome } => self.settle(call, outcome),
+            SimEvent::CallTimeout { call } => self.settle(call, Outcome::Timeout),
+            SimEvent::Deadline { request } => self.expire_request(request),
+            SimEvent::EndpointsChanged { gateway, entries } => {
+                self.update_endpoints(gateway, entries);
             }
-            SimEvent::DialCompleted(gateway, backend, call, answered) => {
-                self.finish_dial(gateway, backend, call, answered);
-            }
-            SimEvent::CheckoutTimeout(call) => {
-                if self.calls[call].waits_for_connection && !self.calls[call].settled {
+            SimEvent::DialCompleted {
+                gateway,
+                backend,
+                dial,
+                is_answered,
+            } => self.finish_dial(gateway, backend, dial, is_answered),
+            SimEvent::CheckoutTimeout { call } => {
+                if self.calls[call].waits_for_connection && !self.calls[call].is_settled {
                     self.settle(call, Outcome::ConnectFailed);
                 }
             }
-            SimEvent::EvictExpired(gateway) => {
-                self.pool(gateway, super::super::pooling::Pool::evict_expired);
-                if self.now < self.scenario.duration {
-                    self.schedule(self.now + 500.0, SimEvent::EvictExpired(gateway));
-                }
+            SimEvent::EvictExpired { gateway } => self.evict_expired(gateway),
+            SimEvent::PoolWake { gateway, backend } => {
+                let steps = self.gateways[gateway].pool.wake(self.now, backend);
+                self.apply_pool_steps(gateway, steps);
             }
-            SimEvent::PoolWake(gateway, backend) => {
-                self.pool(gateway, |pool, now, steps| pool.wake(now, backend, steps));
+            SimEvent::Fault { index } => self.inject_fault(index),
+        }
+    }
+
+    /// Fails a request whose client stops waiting, unless it has ended.
+    fn expire_request(&mut self, request: u32) {
+        if !self.requests[request as usize].has_ended {
+            self.finish(request, RequestOutcome::Failed);
+            self.schedule(self.now, SimEvent::ClientDisconnected { request });
+        }
+    }
+
+    /// Passes changed entries of the endpoint list to a gateway's pool and policy.
+    fn update_endpoints(&mut self, gateway: usize, entries: Vec<BackendEntry>) {
+        for entry in &entries {
+            if entry.availability != Availability::Ready {
+                let backend = self.backend_by_id[&entry.id];
+                let steps = self.gateways[gateway].pool.remove_endpoint(backend);
+                self.apply_pool_steps(gateway, steps);
             }
-            SimEvent::Fault(fault) => self.inject_fault(fault),
+        }
+        for entry in &entries {
+            let backend = &mut self.backends[self.backend_by_id[&entry.id]];
+            backend.knows_start[gateway] |= entry.started_at == backend.spec.started_at;
+        }
+        self.notify_gateway(gateway, Event::EndpointsChanged(ListKind::Changes, entries));
+    }
+
+    fn evict_expired(&mut self, gateway: usize) {
+        let steps = self.gateways[gateway].pool.evict_expired(self.now);
+        self.apply_pool_steps(gateway, steps);
+        if self.now < self.scenario.duration {
+            self.schedule(
+                self.now + EVICTION_INTERVAL,
+                SimEvent::EvictExpired { gateway },
+            );
         }
     }
 
-    /// When the gateway that this happens at stands still: the end of that.
-    fn paused(&self, event: &SimEvent) -> Option<Millis> {
+    /// The end of the stall of the gateway that handles this event, ms, if it is stalled now.
+    fn stalled_until(&self, event: &SimEvent) -> Option<Millis> {
         let gateway = match event {
-            SimEvent::RequestReceived(request) | SimEvent::ClientDisconnected(request) => {
+            SimEvent::RequestReceived { request } | SimEvent::ClientDisconnected { request } => {
                 self.requests[*request as usize].gateway
             }
-            SimEvent::PolicyTimer(gateway, _)
-            | SimEvent::EndpointsChanged(gateway, _)
-            | SimEvent::DialCompleted(gateway, ..) => *gateway,
-            SimEvent::AttemptEnded(call, _) | SimEvent::AttemptTimeout(call) => {
+            SimEvent::PolicyTimer { gateway, .. }
+            | SimEvent::EndpointsChanged { gateway, .. }
+            | SimEvent::DialCompleted { gateway, .. } => *gateway,
+            SimEvent::CallEnded { call, .. } | SimEvent::CallTimeout { call } => {
                 self.calls[*call].origin.gateway()?
             }
             _ => return None,
--- a/crates/fleet-simulation/src/simulation/event_queue.rs
+++ b/crates/fleet-simulation/src/simulation/event_queue.rs
@@ -1,44 +1,63 @@
-//! What is due in simulated time, in the order of its time; of two for one time, the one set first comes first.
+//! The queue of scheduled events: ordered by time, those of one instant in the order in which they were scheduled.
 
 use super::Simulation;
+use cometspool::connection_pool::DialId;
 use cometspool::{BackendEntry, Millis, Outcome, TimerId};
 use std::cmp::{Ordering, Reverse};
 
-/// Something that happens at a set time.
+/// Something that happens at a scheduled time. Fields are indices in the [`Simulation`].
 #[derive(Clone, Debug)]
 pub(super) enum SimEvent {
-    Arrive(usize),
-    /// A customer's next request is due, or its rate changes.
-    CustomerRequest(usize, bool),
-    /// A client comes again after a refusal of this try.
-    Retry(u32),
+    /// A gateway's next request arrives, where the scenario has no customers.
+    RequestArrival { gateway: usize },
+    /// A customer's next request is due, or only the rate of its requests changes.
+    CustomerRequest { customer: usize, is_request: bool },
+    /// A client retries a rejected request.
+    Retry { request: u32 },
     /// A gateway reads a request.
-    RequestReceived(u32),
-    PolicyTimer(usize, TimerId),
-    /// An attempt's last byte comes to its backend.
-    RequestAtBackend(usize),
-    /// A core has done the work of an attempt.
-    WorkCompleted(usize),
-    /// An answer comes to whoever sent the attempt.
-    AttemptEnded(usize, Outcome),
-    AttemptTimeout(usize),
-    Deadline(u32),
-    /// A gateway sees that a client has gone.
-    ClientDisconnected(u32),
-    EndpointsChanged(usize, Vec<BackendEntry>),
-    Fault(usize),
-    /// A dial of a gateway to a backend, for a call or for nobody: whether it is answered, and how.
-    DialCompleted(usize, usize, Option<usize>, bool),
+    RequestReceived { request: u32 },
+    /// A timer that a gateway's policy set fires.
+    PolicyTimer { gateway: usize, timer: TimerId },
+    /// A call arrives at its backend.
+    RequestAtBackend { call: usize },
+    /// A core has done the work of a call.
+    WorkCompleted { call: usize },
+    /// A call's response, or the error of its connection, arrives at its origin.
+    CallEnded { call: usize, outcome: Outcome },
+    /// A call's timeout expires at its origin.
+    CallTimeout { call: usize },
+    /// A client stops waiting for a response.
+    Deadline { request: u32 },
+    /// A gateway notices that a client has disconnected.
+    ClientDisconnected { request: u32 },
+    /// A gateway receives changed entries of the endpoint list.
+    EndpointsChanged {
+        gateway: usize,
+        entries: Vec<BackendEntry>,
+    },
+    /// A fault of the scenario happens, by its index there.
+    Fault { index: usize },
+    /// A dial is answered or times out.
+    DialCompleted {
+        gateway: usize,
+        backend: usize,
+        dial: DialId,
+        is_answered: bool,
+    },
     /// A call has waited for a connection for as long as a dial may take.
-    CheckoutTimeout(usize),
-    EvictExpired(usize),
-    PoolWake(usize, usize),
+    CheckoutTimeout { call: usize },
+    /// A gateway's pool closes expired connections.
+    EvictExpired { gateway: usize },
+    /// A gateway's pool asked to be woken for a backend.
+    PoolWake { gateway: usize, backend: usize },
 }
 
-/// An entry of the heap.
+/// An entry of the queue.
 pub(super) struct Scheduled {
+    /// When it is due, ms.
     pub(super) at: Millis,
-    pub(super) order: u64,
+    /// Its number among all events scheduled in the run.
+    pub(super) sequence: u64,
     pub(super) event: SimEvent,
 }
 
@@ -46,7 +65,7 @@
     fn cmp(&self, other: &Self) -> Ordering {
         self.at
             .total_cmp(&other.at)
-            .then(self.order.cmp(&other.order))
+            .then(self.sequence.cmp(&other.sequence))
     }
 }
 
@@ -65,11 +84,12 @@
 impl Eq for Scheduled {}
 
 impl Simulation {
+    /// Schedules an event at a time, ms.
     pub(super) fn schedule(&mut self, at: Millis, event: SimEvent) {
-        self.order += 1;
+        self.scheduled_count += 1;
         self.queue.push(Reverse(Scheduled {
             at,
-            order: self.order,
+            sequence: self.scheduled_count,
             event,
         }));
     }
--- a/crates/fleet-simulation/src/simulation/faults.rs
+++ b/crates/fleet-simulation/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a scenario, and how the gateways hear of a state of a backend.
+//! The faults of a scenario, and how gateways are notified of changes of the endpoint list.
 
 use super::event_queue::SimEvent;
 use super::Simulation;
@@ -6,52 +6,65 @@
 use cometspool::Availability;
 
 impl Simulation {
-    pub(super) fn inject_fault(&mut self, fault: usize) {
-        match self.scenario.faults[fault].fault.clone() {
-            FleetFault::Backend(node, ill) => {
-                self.backends[node].spec.fault = ill;
-                if ill == BackendFault::Crashed {
-                    self.reset_connections(node);
-                    self.statistics.incarnations[node].ended_at = self.now;
-                    self.backends[node].waiting.clear();
-                }
+    /// Applies the fault with this index in the scenario.
+    pub(super) fn inject_fault(&mut self, index: usize) {
+        match self.scenario.faults[index].fault.clone() {
+            FleetFault::Backend { backend, fault } => self.set_backend_fault(backend, fault),
+            FleetFault::Partition {
+                zone,
+                is_partitioned,
+            } => {
+                self.partitioned_zones.insert(zone, is_partitioned);
             }
-            FleetFault::Partition(zone, cut) => {
-                self.partitioned_zones.insert(zone, cut);
-            }
-            FleetFault::Announce(node, state) => self.announce_endpoint(node, state),
-            FleetFault::RestartGateway(gateway) => self.restart(gateway),
+            FleetFault::Announce {
+                backend,
+                availability,
+            } => self.announce_endpoint(backend, availability),
+            FleetFault::RestartGateway(gateway) => self.restart_gateway(gateway),
             FleetFault::SetRequestRate(rate) => self.scenario.requests_per_second = rate,
-            FleetFault::RestartBackend(node) => self.restart_backend(node),
-            FleetFault::StartBackend(node) => {
-                let spec = BackendSpec {
-                    started_at: Some(self.now),
-                    fault: BackendFault::None,
-                    ..self.backends[node].spec.clone()
-                };
-                let fresh = self.add_backend(spec);
-                self.announce_endpoint(fresh, Availability::Ready);
-            }
+            FleetFault::RestartBackend(backend) => self.restart_backend(backend),
+            FleetFault::StartBackend(backend) => self.start_copy(backend),
         }
     }
 
-    fn restart_backend(&mut self, node: usize) {
-        self.reset_connections(node);
-        let backend = &mut self.backends[node];
+    fn set_backend_fault(&mut self, backend: usize, fault: BackendFault) {
+        self.backends[backend].spec.fault = fault;
+        if fault == BackendFault::Crashed {
+            self.reset_connections(backend);
+            self.statistics.incarnations[backend].ended_at = self.now;
+            self.backends[backend].waiting.clear();
+        }
+    }
+
+    /// Starts a healthy backend with the properties of another, and announces it.
+    fn start_copy(&mut self, backend: usize) {
+        let spec = BackendSpec {
+            started_at: Some(self.now),
+            fault: BackendFault::None,
+            ..self.backends[backend].spec.clone()
+        };
+        let copy = self.add_backend(spec);
+        self.announce_endpoint(copy, Availability::Ready);
+    }
+
+    fn restart_backend(&mut self, index: usize) {
+        self.reset_connections(index);
+        let backend = &mut self.backends[index];
         backend.waiting.clear();
         backend.spec.started_at = Some(self.now);
         backend.spec.fault = BackendFault::None;
         backend.knows_start = vec![false; self.gateways.len()];
-        self.statistics.incarnations[node].started_at = self.now;
-        self.announce_endpoint(node, Availability::Ready);
+        self.statistics.incarnations[index].started_at = self.now;
+        self.announce_endpoint(index, Availability::Ready);
     }
 
-    /// All gateways hear of a state of a backend, each at a time of its own.
-    fn announce_endpoint(&mut self, node: usize, state: Availability) {
-        let entry = self.entry(node, state);
+    /// Notifies all gateways of a backend's availability, each after its own delay.
+    fn announce_endpoint(&mut self, backend: usize, availability: Availability) {
+        let entry = self.endpoint(backend, availability);
         for gateway in 0..self.gateways.len() {
             let at = self.now + self.scenario.propagation_delay * self.random.uniform();
-            self.schedule(at, SimEvent::EndpointsChanged(gateway, vec![entry]));
+            let entries = vec![entry];
+            self.schedule(at, SimEvent::EndpointsChanged { gateway, entries });
         }
     }
 }
--- a/crates/fleet-simulation/src/simulation/gateways.rs
+++ b/crates/fleet-simulation/src/simulation/gateways.rs
@@ -1,113 +1,151 @@
-//! The gateways: events go into their gateways, and actions that come back are carried out.
+//! The gateways: passes events to their policy engines and carries out the actions that these return.
 
 use super::attempts::CallOrigin;
-use super::clients::End;
+use super::clients::RequestOutcome;
 use super::event_queue::SimEvent;
 use super::Simulation;
 use crate::pooling::Pool;
+use crate::random::RandomSource;
 use crate::scenario::{BackendFault, Scenario};
 use cometspool::{
-    Action, Availability, BackendId, Event, ListKind, Outcome, PolicyEngine, Settings, ZoneId,
+    Action, Availability, BackendId, Event, ListKind, Millis, Outcome, PolicyEngine, Settings,
+    ZoneId,
 };
 
-/// A gateway: the module as it serves, and the model of its pool of connections.
+/// A gateway: the policy engine and the connection pool as they run in service.
 pub(super) struct SimulatedGateway {
     pub(super) engine: PolicyEngine,
     pub(super) zone: u32,
     pub(super) pool: Pool,
 }
 
-/// What a gateway is told.
-pub(super) fn gateway_settings(spec: &Scenario, me: u32, zone: u32) -> Settings {
-    let classes = spec
+impl SimulatedGateway {
+    pub(super) fn new(
+        scenario: &Scenario,
+        index: u32,
+        random: &mut RandomSource,
+    ) -> SimulatedGateway {
+        let zone = index % scenario.zones;
+        let settings = gateway_settings(scenario, index, zone);
+        let seed = u64::from(random.next_u32());
+        SimulatedGateway {
+            engine: PolicyEngine::new(settings, seed),
+            zone,
+            pool: Pool::new(scenario.settings.gateways, seed),
+        }
+    }
+}
+
+/// The settings of one gateway of a scenario.
+fn gateway_settings(scenario: &Scenario, index: u32, zone: u32) -> Settings {
+    let classes = scenario
         .classes
         .iter()
-        .map(|class| class.class.clone())
+        .map(|spec| spec.class.clone())
         .collect();
     Settings {
-        gateway_index: me,
+        gateway_index: index,
         zone: ZoneId(zone),
         classes,
-        ..spec.settings.clone()
+        ..scenario.settings.clone()
     }
 }
 
 impl Simulation {
+    /// Passes an event to a gateway's policy and carries out the resulting actions.
     pub(super) fn notify_gateway(&mut self, gateway: usize, event: Event) {
         let mut actions = Vec::new();
         self.gateways[gateway]
             .engine
             .handle(self.now, event, &mut actions);
-        self.carry_out(gateway, actions);
+        for action in actions {
+            self.carry_out(gateway, action);
+        }
     }
 
-    pub(super) fn carry_out(&mut self, gateway: usize, actions: Vec<Action>) {
-        for action in actions {
-            match action {
-                Action::Send {
-                    request,
-                    backend,
-                    timeout: limit,
-                    ..
-                } => self.send(gateway, request.0, backend, limit),
-                Action::Reject {
-                    request,
-                    retry_after,
-                    reason: why,
-                } => {
-                    self.reject(request.0, retry_after, format!("{why:?}"));
-                }
-                Action::Fail(request) => self.finish(request.0, End::Failed),
-                Action::CancelAttempt { request, attempt } => {
-                    let out = &self.requests[request.0 as usize].in_flight;
-                    let is = |call: &&usize| matches!(self.calls[**call].origin, CallOrigin::Gateway { attempt: number, .. } if number == attempt);
-                    if let Some(call) = out.iter().find(is).copied() {
-                        self.settle(call, Outcome::Cancelled);
-                    }
-                }
-                Action::SetTimer { at, timer } => {
-                    self.schedule(at.max(self.now), SimEvent::PolicyTimer(gateway, timer));
-                }
-                Action::Log(text) if text.contains("set aside") => {
-                    let word = text.split(' ').nth(1).and_then(|id| id.parse().ok());
-                    let backend = word.and_then(|id| self.by_id.get(&BackendId(id))).copied();
-                    let ill = backend.is_some_and(|backend| self.is_impaired(gateway, backend));
-                    self.statistics.set_aside[usize::from(ill)] += 1;
-                }
-                Action::CloseIdleConnections(backend) => {
-                    let backend = self.by_id[&backend];
-                    self.pool(gateway, |pool, _, steps| pool.close_idle(backend, steps));
-                }
-                Action::Preconnect { backend, within }
-                    if self.scenario.max_connections_per_backend.is_some() =>
-                {
-                    let backend = self.by_id[&backend];
-                    self.pool(gateway, |pool, now, steps| {
-                        pool.preconnect(now, backend, within, steps);
-                    });
-                }
-                _ => {}
+    fn carry_out(&mut self, gateway: usize, action: Action) {
+        match action {
+            Action::Send {
+                request,
+                backend,
+                timeout,
+                ..
+            } => self.send(gateway, request.0, backend, timeout),
+            Action::Reject {
+                request,
+                retry_after,
+                reason,
+            } => self.reject(request.0, retry_after, format!("{reason:?}")),
+            Action::Fail(request) => self.finish(request.0, RequestOutcome::Failed),
+            Action::CancelAttempt { request, attempt } => self.cancel_attempt(request.0, attempt),
+            Action::SetTimer { at, timer } => {
+                self.schedule(at.max(self.now), SimEvent::PolicyTimer { gateway, timer });
+            }
+            Action::Log(text) if text.contains("set aside") => {
+                self.record_ejection(gateway, &text);
+            }
+            Action::CloseIdleConnections(backend) => {
+                let backend = self.backend_by_id[&backend];
+                let steps = self.gateways[gateway].pool.close_idle(backend);
+                self.apply_pool_steps(gateway, steps);
+            }
+            Action::Preconnect { backend, within } if self.models_connections() => {
+                self.preconnect(gateway, backend, within);
             }
+            _ => {}
         }
     }
 
-    /// What it had at hand is lost; its clients wait in vain.
-    pub(super) fn restart(&mut self, gateway: usize) {
-        let (zone, seed) = (
-            self.gateways[gateway].zone,
-            u64::from(self.random.next_u32()),
+    /// Cancels an attempt of a request, given by its number within the request, if it is in flight.
+    fn cancel_attempt(&mut self, request: u32, attempt: u32) {
+        let in_flight = &self.requests[request as usize].in_flight;
+        let call = in_flight.iter().copied().find(|call| {
+            let origin = self.calls[*call].origin;
+            matches!(origin, CallOrigin::Gateway { attempt: number, .. } if number == attempt)
+        });
+        if let Some(call) = call {
+            self.settle(call, Outcome::Cancelled);
+        }
+    }
+
+    /// Counts the ejection of a backend, whose id is the second word of the policy's log line.
+    fn record_ejection(&mut self, gateway: usize, log_line: &str) {
+        let id = log_line.split(' ').nth(1).and_then(|id| id.parse().ok());
+        let backend = id
+            .and_then(|id| self.backend_by_id.get(&BackendId(id)))
+            .copied();
+        let is_faulty = backend.is_some_and(|backend| self.is_impaired(gateway, backend));
+        if is_faulty {
+            self.statistics.ejections.faulty += 1;
+        } else {
+            self.statistics.ejections.healthy += 1;
+        }
+    }
+
+    fn preconnect(&mut self, gateway: usize, backend: BackendId, within: Millis) {
+        let backend = self.backend_by_id[&backend];
+        let steps = self.gateways[gateway]
+            .pool
+            .preconnect(self.now, backend, within);
+        self.apply_pool_steps(gateway, steps);
+    }
+
+    /// Restarts a gateway's policy with the endpoint list of this time. The requests that it had are lost: their clients
+    /// wait until the deadline.
+    pub(super) fn restart_gateway(&mut self, gateway: usize) {
+        let zone = self.gateways[gateway].zone;
+        let seed = u64::from(self.random.next_u32());
+        let settings = gateway_settings(&self.scenario, gateway as u32, zone);
+        self.gateways[gateway].engine = PolicyEngine::new(settings, seed);
+        let mut endpoints = Vec::new();
+        for (index, backend) in self.backends.iter().enumerate() {
+            if backend.spec.is_listed && backend.spec.fault != BackendFault::Crashed {
+                endpoints.push(self.endpoint(index, Availability::Ready));
+            }
+        }
+        self.notify_gateway(
+            gateway,
+            Event::EndpointsChanged(ListKind::Cached, endpoints),
         );
-        self.gateways[gateway].engine =
-            PolicyEngine::new(gateway_settings(&self.scenario, gateway as u32, zone), seed);
-        let up = |node: &usize| {
-            self.backends[*node].spec.is_listed
-                && self.backends[*node].spec.fault != BackendFault::Crashed
-        };
-        let up: Vec<usize> = (0..self.backends.len()).filter(up).collect();
-        let list = up
-            .into_iter()
-            .map(|node| self.entry(node, Availability::Ready))
-            .collect();
-        self.notify_gateway(gateway, Event::EndpointsChanged(ListKind::Cached, list));
     }
 }
--- a/crates/fleet-simulation/src/simulation/network.rs
+++ b/crates/fleet-simulation/src/simulation/network.rs
@@ -1,9 +1,10 @@
-//! The network: who reaches whom, and how long one way takes.
+//! The network between zones: reachability and delays.
 
 use super::Simulation;
 use cometspool::Millis;
 
 impl Simulation {
+    /// How long a message takes from one zone to another, ms.
     pub(super) fn one_way_delay(&self, from: u32, to: u32) -> Millis {
         if from == to {
             self.scenario.one_way_delays.within_zone
@@ -12,8 +13,28 @@
         }
     }
 
-    pub(super) fn reaches(&self, from: u32, to: u32) -> bool {
-        let cut = |zone| self.partitioned_zones.get(&zone).copied().unwrap_or(false);
-        from == to || !(cut(from) || cut(to))
+    /// Whether messages from one zone arrive in another.
+    pub(super) fn is_reachable(&self, from: u32, to: u32) -> bool {
+        from == to || !(self.is_partitioned(from) || self.is_partitioned(to))
+    }
+
+    /// Whether messages between a gateway and a backend arrive.
+    pub(super) fn is_backend_reachable(&self, gateway: usize, backend: usize) -> bool {
+        self.is_reachable(
+            self.gateways[gateway].zone,
+            self.backends[backend].spec.zone,
+        )
+    }
+
+    /// How long a message takes between a gateway and a backend, ms.
+    pub(super) fn delay_to_backend(&self, gateway: usize, backend: usize) -> Millis {
+        self.one_way_delay(
+            self.gateways[gateway].zone,
+            self.backends[backend].spec.zone,
+        )
+    }
+
+    fn is_partitioned(&self, zone: u32) -> bool {
+        self.partitioned_zones.get(&zone).copied().unwrap_or(false)
     }
 }
--- a/crates/fleet-simulation/src/simulation/statistics.rs
+++ b/crates/fleet-simulation/src/simulation/statistics.rs
@@ -1,66 +1,75 @@
-//! The sums of a run: worth by second, and at the end the work that was of use and that which was wasted.
+//! The statistics of a run: sums by second, and at the end useful and wasted work.
 
 use super::attempts::CallOrigin;
 use super::clients::ClientRequest;
 use super::Simulation;
-use crate::statistics::{FirstAttempts, RunStatistics, SecondWorth};
+use crate::statistics::{FirstAttempts, RunStatistics, WeightSums};
 
 impl Simulation {
-    pub(super) fn current_second(&mut self) -> &mut SecondWorth {
+    /// The index of the current second, to which the sums by second are extended.
+    pub(super) fn current_second(&mut self) -> usize {
         let second = (self.now / 1000.0) as usize;
-        if self.statistics.worth_by_second.len() <= second {
+        if self.statistics.weight_by_second.len() <= second {
             self.statistics
-                .worth_by_second
-                .resize(second + 1, SecondWorth::default());
+                .weight_by_second
+                .resize(second + 1, WeightSums::default());
             self.statistics
                 .first_attempts_by_second
                 .resize(second + 1, FirstAttempts::default());
         }
-        &mut self.statistics.worth_by_second[second]
+        second
     }
 
-    pub(super) fn into_tally(mut self) -> RunStatistics {
+    /// Completes the statistics at the end of a run.
+    pub(super) fn into_statistics(mut self) -> RunStatistics {
         if let Some(clients) = &self.clients {
             self.statistics.quota_account = clients.account.clone();
         }
-        for asked in &self.requests {
-            let mut done = 0.0;
-            for call in &asked.calls {
-                done += self.calls[*call].done;
+        for request in &self.requests {
+            let mut completed_work = 0.0;
+            for call in &request.calls {
+                completed_work += self.calls[*call].completed_work;
             }
-            self.statistics.work += done;
-            // One good answer in time is worth one run of the work at each backend on its way; the rest is waste.
-            let useful = if asked.served_in_time {
-                self.useful(asked)
+            self.statistics.work += completed_work;
+            // A request served in time justifies the work of one call at each tier; the rest is waste.
+            let useful_work = if request.is_served_in_time {
+                self.useful_work(request)
             } else {
                 0.0
             };
-            self.statistics.wasted_work += done - useful;
+            self.statistics.wasted_work += completed_work - useful_work;
             self.statistics.failed_first_attempts +=
-                u64::from(asked.first_attempt_succeeded == Some(false));
+                u64::from(request.first_attempt_succeeded == Some(false));
         }
         self.statistics
     }
 
-    /// Work on the way to the first attempt that came to its end: its own and what it called.
-    fn useful(&self, asked: &ClientRequest) -> f64 {
-        let best = asked
-            .calls
-            .iter()
-            .filter(|call| self.calls[**call].origin.gateway().is_some());
-        let chain = |call: usize| -> f64 {
-            let mut sum = self.calls[call].done;
-            let mut above = call;
-            while let Some(below) = asked
-                .calls
-                .iter()
-                .find(|c| self.calls[**c].origin == (CallOrigin::Backend { call: above }))
-            {
-                sum += self.calls[*below].done;
-                above = *below;
+    /// The greatest work of any attempt of a request, calls below it included.
+    fn useful_work(&self, request: &ClientRequest) -> f64 {
+        let mut greatest: f64 = 0.0;
+        for call in &request.calls {
+            if self.calls[*call].origin.gateway().is_some() {
+                greatest = greatest.max(self.work_of_chain(request, *call));
             }
-            sum
-        };
-        best.map(|call| chain(*call)).fold(0.0, f64::max)
+        }
+        greatest
+    }
+
+    /// Work done for a call, for the call that its backend made, and so on.
+    fn work_of_chain(&self, request: &ClientRequest, call: usize) -> f64 {
+        let mut sum = self.calls[call].completed_work;
+        let mut parent = call;
+        while let Some(child) = self.child_call(request, parent) {
+            sum += self.calls[child].completed_work;
+            parent = child;
+        }
+        sum
+    }
+
+    /// The call that a backend made as part of this one, if any.
+    fn child_call(&self, request: &ClientRequest, parent: usize) -> Option<usize> {
+        let origin = CallOrigin::Backend { parent };
+        let mut calls = request.calls.iter().copied();
+        calls.find(|call| self.calls[*call].origin == origin)
     }
 }
--- a/crates/fleet-simulation/src/statistics.rs
+++ b/crates/fleet-simulation/src/statistics.rs
@@ -1,69 +1,97 @@
-//! The figures of a run.
+//! The statistics of a run.
 
 use crate::client_population::QuotaAccount;
 use cometspool::Millis;
 
-/// What a run gave.
+/// What a run gave. Weights are priority weights, work is in milliseconds of one core of usual speed, and vectors "by
+/// second" are indexed by the whole second of simulated time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RunStatistics {
-    /// Requests of clients.
+    /// Client requests, retries of rejected ones not counted.
     pub requests: u64,
-    /// Their worth, and the worth of those served within their aims.
-    pub requested_worth: f64,
-    /// Worth served in time.
-    pub served_worth: f64,
-    /// Requests served, refused at once and failed.
-    pub ends: [u64; 3],
-    /// Requests that failed after their aim had passed or more than half of their time had.
+    /// Sum of the weights of these requests.
+    pub requested_weight: f64,
+    /// Sum of the weights of the requests that were served within their latency objective.
+    pub served_weight: f64,
+    /// How requests ended, retries of rejected ones included.
+    pub outcomes: OutcomeCounts,
+    /// Requests that were rejected or failed after their latency objective or more than half of their deadline had passed.
     pub late_failures: u64,
-    /// Attempts sent, first ones among them.
+    /// Attempts that gateways sent, first ones included.
     pub attempts: u64,
-    /// First attempts.
+    /// First attempts of requests.
     pub first_attempts: u64,
-    /// First attempts that did not come to a good answer.
+    /// Requests whose first attempt to end did not succeed.
     pub failed_first_attempts: u64,
-    /// Work that backends did, and the part of it for attempts that served nobody in time.
+    /// Work that backends did.
     pub work: f64,
-    /// Wasted work.
+    /// The part of it that did not contribute to a request served in time.
     pub wasted_work: f64,
-    /// Worth asked and served by second.
-    pub worth_by_second: Vec<SecondWorth>,
-    /// First attempts by second, and those of them to backends that were ill or cut off.
+    /// Weight requested and served, by the second in which the requests arrived.
+    pub weight_by_second: Vec<WeightSums>,
+    /// First attempts by second.
     pub first_attempts_by_second: Vec<FirstAttempts>,
-    /// Highest load put on a backend in 2 s, over what it could do in them.
+    /// Highest load of a backend in slow start within 2 s, as a multiple of its capacity then.
     pub peak_over_capacity: f64,
-    /// Attempts that crossed zones.
+    /// Attempts sent from one zone to another.
     pub cross_zone_attempts: u64,
-    /// Times that a gateway set a backend aside: one that is well, and one that is ill or cut off.
-    pub set_aside: [u64; 2],
-    /// Dials, and those of them that a full table refused.
+    /// Times that a gateway ejected a backend as an outlier.
+    pub ejections: EjectionCounts,
+    /// Connections dialed.
     pub dials: u64,
-    /// Dials refused by a full table.
-    pub refused_dials: u64,
+    /// Dials rejected because the backend had no room for another connection.
+    pub rejected_dials: u64,
     /// Dials by second.
     pub dials_by_second: Vec<u32>,
-    /// Most connections open at once at each backend.
+    /// Most connections open at once, by backend.
     pub peak_connections: Vec<usize>,
-    /// Attempts by backend and second.
+    /// Attempts by backend, then by second.
     pub attempts_by_backend: Vec<Vec<u32>>,
-    /// What came to each backend while it was cold, handshakes included.
+    /// Work that arrived while the backend was in slow start, by backend; handshakes included.
     pub cold_work: Vec<Vec<ColdWork>>,
-    /// When each backend started, and until when it took requests.
+    /// Start and end of each backend's process; a restart in place replaces its start.
     pub incarnations: Vec<Incarnation>,
-    /// What came of the customers' quotas.
+    /// Use of the customers' quotas.
     pub quota_account: QuotaAccount,
 }
 
-/// Worth of the requests that came in one second.
+/// Requests by how they ended.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct OutcomeCounts {
+    /// Served, in time or late.
+    pub served: u64,
+    /// Rejected by a gateway.
+    pub rejected: u64,
+    /// Failed, or not answered before the deadline.
+    pub failed: u64,
+}
+
+impl OutcomeCounts {
+    /// All requests that ended.
+    pub fn total(&self) -> u64 {
+        self.served + self.rejected + self.failed
+    }
+}
+
+/// Ejections of backends by whether they were justified.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct EjectionCounts {
+    /// Ejections of backends that were healthy and reachable.
+    pub healthy: u64,
+    /// Ejections of backends that were faulty or unreachable.
+    pub faulty: u64,
+}
+
+/// Weight of the requests that arrived in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct SecondWorth {
-    /// Worth of all of them.
+pub struct WeightSums {
+    /// Weight of all of them.
     pub requested: f64,
-    /// Worth of those that were served in time.
+    /// Weight of those that were served within their latency objective.
     pub served: f64,
 }
 
-/// First attempts of one second.
+/// First attempts sent in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FirstAttempts {
     /// All of them.
@@ -72,36 +100,36 @@
     pub to_faulty: u64,
 }
 
-/// The life of a backend's process.
+/// The lifetime of a backend's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Incarnation {
-    /// When it started; negative infinity for before the run.
+    /// When it started, ms; negative infinity if before the run.
     pub started_at: Millis,
-    /// When it ended; infinity where it did not.
+    /// When it ended, ms; infinity if it did not.
     pub ended_at: Millis,
 }
 
-/// Work that came to a cold backend.
+/// Work that arrived at a backend in slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdWork {
-    /// When.
+    /// When it arrived, ms.
     pub at: Millis,
-    /// How much, ms of a core.
+    /// How much, in milliseconds of one core of usual speed.
     pub work: f64,
-    /// Whether whoever sent it had been told of the backend's start.
+    /// Whether its sender had been notified of the backend's start.
     pub sender_knew_start: bool,
 }
 
 impl RunStatistics {
-    /// Part of the worth asked that was served in time.
+    /// Part of the requested weight that was served in time.
     pub fn served_share(&self) -> f64 {
-        self.served_worth / self.requested_worth.max(1e-9)
+        self.served_weight / self.requested_weight.max(1e-9)
     }
 
-    /// The lowest share served in any ten seconds that begin with a whole one, from `from` on.
+    /// The lowest served share of any ten consecutive seconds, from second `from` on.
     pub fn worst_ten_seconds(&self, from: usize) -> f64 {
-        let seconds = self.worth_by_second.get(from..).unwrap_or(&[]);
-        let served_share = |ten_seconds: &[SecondWorth]| {
+        let seconds = self.weight_by_second.get(from..).unwrap_or(&[]);
+        let served_share = |ten_seconds: &[WeightSums]| {
             let mut requested = 0.0;
             let mut served = 0.0;
             for second in ten_seconds {
--- a/crates/fleet-simulation/tests/simulation.rs
+++ b/crates/fleet-simulation/tests/simulation.rs
@@ -15,11 +15,41 @@
     };
     let faults = vec![
         ScheduledFault::new(2000.0, FleetFault::StartBackend(0)),
-        ScheduledFault::new(2000.0, FleetFault::Announce(0, Availability::Draining)),
-        ScheduledFault::new(3000.0, FleetFault::Backend(0, BackendFault::Crashed)),
-        ScheduledFault::new(4000.0, FleetFault::Partition(1, true)),
-        ScheduledFault::new(5000.0, FleetFault::Partition(1, false)),
-        ScheduledFault::new(5000.0, FleetFault::Backend(3, BackendFault::Errors(0.5))),
+        ScheduledFault::new(
+            2000.0,
+            FleetFault::Announce {
+                backend: 0,
+                availability: Availability::Draining,
+            },
+        ),
+        ScheduledFault::new(
+            3000.0,
+            FleetFault::Backend {
+                backend: 0,
+                fault: BackendFault::Crashed,
+            },
+        ),
+        ScheduledFault::new(
+            4000.0,
+            FleetFault::Partition {
+                zone: 1,
+                is_partitioned: true,
+            },
+        ),
+        ScheduledFault::new(
+            5000.0,
+            FleetFault::Partition {
+                zone: 1,
+                is_partitioned: false,
+            },
+        ),
+        ScheduledFault::new(
+            5000.0,
+            FleetFault::Backend {
+                backend: 3,
+                fault: BackendFault::Errors(0.5),
+            },
+        ),
     ];
     Scenario {
         settings: Settings {
@@ -87,7 +117,7 @@
 fn the_statistics_of_a_run_are_consistent() {
     for seed in 1..6 {
         let statistics = run(scenario(seed));
-        assert_eq!(statistics.ends.iter().sum::<u64>(), statistics.requests);
+        assert_eq!(statistics.outcomes.total(), statistics.requests);
         assert!(
             statistics.wasted_work >= 0.0 && statistics.wasted_work < statistics.work,
             "{} of {}",
--- a/crates/fleet-simulation/tests/slow_start.rs
+++ b/crates/fleet-simulation/tests/slow_start.rs
@@ -287,16 +287,24 @@
 fn half_of_the_backends_returning_at_once_stay_within_their_slow_start_limit() {
     check_limit("half", |fleet, scenario| {
         let half = scenario.backends.len() / 2;
-        scenario.faults.extend(
-            (0..half).map(|i| {
-                ScheduledFault::new(3000.0, FleetFault::Backend(i, BackendFault::Crashed))
-            }),
-        );
-        scenario.faults.extend(
-            (0..half).map(|i| {
-                ScheduledFault::new(3200.0, FleetFault::Announce(i, Availability::Removed))
-            }),
-        );
+        scenario.faults.extend((0..half).map(|i| {
+            ScheduledFault::new(
+                3000.0,
+                FleetFault::Backend {
+                    backend: i,
+                    fault: BackendFault::Crashed,
+                },
+            )
+        }));
+        scenario.faults.extend((0..half).map(|i| {
+            ScheduledFault::new(
+                3200.0,
+                FleetFault::Announce {
+                    backend: i,
+                    availability: Availability::Removed,
+                },
+            )
+        }));
         scenario
             .faults
             .extend((0..half).map(|i| ScheduledFault::new(6000.0, FleetFault::StartBackend(i))));
@@ -328,7 +336,10 @@
                 .push(ScheduledFault::new(at, FleetFault::StartBackend(i)));
             scenario.faults.push(ScheduledFault::new(
                 at,
-                FleetFault::Announce(i, Availability::Draining),
+                FleetFault::Announce {
+                    backend: i,
+                    availability: Availability::Draining,
+                },
             ));
         }
     });
@@ -355,13 +366,23 @@
             .faults
             .push(ScheduledFault::new(5000.0, FleetFault::StartBackend(0)));
         scenario.faults.extend((0..third).map(|i| {
-            ScheduledFault::new(5500.0, FleetFault::Backend(i, BackendFault::Errors(0.5)))
+            ScheduledFault::new(
+                5500.0,
+                FleetFault::Backend {
+                    backend: i,
+                    fault: BackendFault::Errors(0.5),
+                },
+            )
+        }));
+        scenario.faults.extend((0..third / 2).map(|i| {
+            ScheduledFault::new(
+                7000.0,
+                FleetFault::Backend {
+                    backend: i,
+                    fault: BackendFault::Crashed,
+                },
+            )
         }));
-        scenario.faults.extend(
-            (0..third / 2).map(|i| {
-                ScheduledFault::new(7000.0, FleetFault::Backend(i, BackendFault::Crashed))
-            }),
-        );
     });
 }
 
