--- a/crates/fleet-simulation/src/client_population/customer.rs
+++ b/crates/fleet-simulation/src/client_population/customer.rs
@@ -1,48 +1,50 @@
-//! One customer: how it uses its quota, through which gateways its requests come, and its true quota.
+//! A customer: its usage pattern, the gateways that its requests come through, and the true state of its quota.
 
-use super::spec::{ClientPopulationSpec, Interval};
+use super::spec::{ClientPopulationSpec, Interval, UsageShares};
 use crate::RandomSource;
 use cometspool::{Millis, Plan};
 use std::collections::VecDeque;
 
-/// Time that one figure of the use meter covers, in milliseconds.
+/// Length of a meter period, the time that one figure of the usage meter covers, ms.
 pub const METER_PERIOD: Millis = 500.0;
 
-/// Meter periods that are kept of each customer.
+/// Meter periods that are retained for each customer.
 const MAX_METERED_PERIODS: usize = 40;
 
-/// Use of a quota by a customer that stays near its limit, as a fraction of the quota.
-const NEAR_LIMIT_USE: f64 = 0.95;
-/// Use by one that asks for more than its quota all the time.
-const OVER_LIMIT_USE: Interval = Interval {
+/// Usage of a customer that stays near its limit, as a fraction of its quota's rate; so are the usages below.
+const NEAR_LIMIT_USAGE: f64 = 0.95;
+/// Usage of a customer that requests more than its quota all the time.
+const OVER_LIMIT_USAGE: Interval = Interval {
     least: 1.6,
     most: 3.8,
 };
-/// Use by all others, and between bursts.
-const CALM_USE: Interval = Interval {
+/// Usage of all others, and between bursts.
+const CALM_USAGE: Interval = Interval {
     least: 0.15,
     most: 0.5,
 };
-/// Use during a burst.
-const BURST_USE: Interval = Interval {
+/// Usage during a burst.
+const BURST_USAGE: Interval = Interval {
     least: 2.0,
     most: 6.5,
 };
-/// Time from the start of one burst to that of the next, in milliseconds.
+/// Time from the start of one burst to that of the next, ms.
 const BURST_INTERVAL: Interval = Interval {
     least: 10e3,
     most: 25e3,
 };
-/// How long a burst lasts, in milliseconds.
+/// Duration of a burst, ms.
 const BURST_DURATION: Interval = Interval {
     least: 770.0,
     most: 3300.0,
 };
 
-/// A token bucket as the platform counts it, which may be overdrawn.
+/// The true state of a token bucket, with all gateways' requests taken from it. It may be overdrawn.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QuotaBucket {
+    /// Units left; negative where overdrawn.
     pub(super) units: f64,
+    /// Last refill, ms.
     refilled_at: Millis,
 }
 
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Adds what has accrued since the last refill and returns the units there are.
+    /// Adds the units accrued since the last refill, at `rate` a second and up to `burst`, and returns the units left.
     pub(super) fn refill(&mut self, now: Millis, rate: f64, burst: f64) -> f64 {
         self.units = (self.units + rate * (now - self.refilled_at) / 1000.0).min(burst);
         self.refilled_at = now;
@@ -62,12 +64,12 @@
     }
 }
 
-/// How a customer uses its quota; uses are fractions of the quota's rate.
+/// How a customer uses its quota. Usages are fractions of the quota's rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum UsagePattern {
-    Steady {
-        usage: f64,
-    },
+    /// The same usage all the time.
+    Steady { usage: f64 },
+    /// Bursts at a fixed interval; times in ms.
     Bursty {
         calm_usage: f64,
         burst_usage: f64,
@@ -77,18 +79,17 @@
 }
 
 impl UsagePattern {
-    fn draw(spec: &ClientPopulationSpec, random: &mut RandomSource) -> UsagePattern {
+    fn draw(shares: UsageShares, random: &mut RandomSource) -> UsagePattern {
         let kind = random.uniform();
-        let shares = spec.usage_shares;
-        let calm_usage = CALM_USE.draw(random);
+        let calm_usage = CALM_USAGE.draw(random);
         if kind < shares.near_limit {
             return UsagePattern::Steady {
-                usage: NEAR_LIMIT_USE,
+                usage: NEAR_LIMIT_USAGE,
             };
         }
         if kind < shares.near_limit + shares.over_limit {
             return UsagePattern::Steady {
-                usage: OVER_LIMIT_USE.draw(random),
+                usage: OVER_LIMIT_USAGE.draw(random),
             };
         }
         if kind < shares.near_limit + shares.over_limit + shares.bursty {
@@ -96,7 +97,7 @@
             let duration = BURST_DURATION.draw(random);
             return UsagePattern::Bursty {
                 calm_usage,
-                burst_usage: BURST_USE.draw(random),
+                burst_usage: BURST_USAGE.draw(random),
                 interval,
                 duration,
             };
@@ -104,7 +105,7 @@
         UsagePattern::Steady { usage: calm_usage }
     }
 
-    /// The use that stays within the quota, bursts aside.
+    /// The part of the usage that is within the quota, bursts not included.
     fn usage_within_quota(self) -> f64 {
         match self {
             UsagePattern::Steady { usage } => usage.min(1.0),
@@ -112,8 +113,8 @@
         }
     }
 
-    /// The use now, and the time until which it stays.
-    fn at(self, now: Millis, customer: usize) -> CurrentRate {
+    /// The usage of a customer now. The customer's index spreads the bursts of different customers.
+    fn current_usage(self, now: Millis, customer: usize) -> CurrentRate {
         match self {
             UsagePattern::Steady { usage } => CurrentRate {
                 rate: usage,
@@ -138,22 +139,27 @@
     }
 }
 
-/// A rate and the time until which it stays.
+/// A rate that changes at a known time.
 pub(super) struct CurrentRate {
+    /// A fraction of the quota's rate, or units a second.
     pub(super) rate: f64,
+    /// When it changes, ms.
     pub(super) valid_until: Millis,
 }
 
 /// A flood by one customer.
 pub(super) struct CustomerFlood {
-    /// Units a second on top of its usual use.
+    /// Units a second on top of its usual rate.
     pub(super) units_per_second: f64,
+    /// When it begins, ms.
     pub(super) from: Millis,
+    /// When it ends, ms.
     pub(super) until: Millis,
 }
 
 /// Units forwarded in one meter period.
 struct MeteredPeriod {
+    /// Number of the period since the start of the run.
     number: u64,
     units: f64,
 }
@@ -165,67 +171,70 @@
     /// The gateways that its requests come through.
     pub gateways: Vec<usize>,
     usage_pattern: UsagePattern,
+    /// Its flood on top of its usage pattern.
     pub(super) flood: Option<CustomerFlood>,
-    /// Running sums of the weights of its gateways.
-    weights: Vec<f64>,
+    /// Cumulative weights of its gateways.
+    cumulative_weights: Vec<f64>,
+    /// When the weights are drawn again, ms.
     weights_valid_until: Millis,
+    /// Exponent of the Zipf weights.
     weight_exponent: f64,
-    /// What is left of its quota.
+    /// Its quota, from which forwarded requests are taken.
     pub(super) quota: QuotaBucket,
-    /// What would be left of it if a single gateway saw all first attempts.
+    /// Its quota as it would be if a single gateway saw all of its requests.
     pub(super) ideal_quota: QuotaBucket,
-    /// What is left below its ceiling.
+    /// Its ceiling, from which forwarded requests are taken.
     pub(super) ceiling: QuotaBucket,
-    /// Attempts in flight.
+    /// Attempts of gateways for it that are in flight.
     pub attempts_in_flight: u32,
-    /// Units forwarded, by meter period; at most [`MAX_METERED_PERIODS`].
+    /// Units forwarded, by meter period, oldest first; at most [`MAX_METERED_PERIODS`].
     metered_periods: VecDeque<MeteredPeriod>,
 }
 
 impl Customer {
-    /// Draws a customer of a plan, one of those that `gateways` gateways serve.
+    /// Draws a customer of the plan with index `plan`, in a fleet of `gateway_count` gateways.
     pub(super) fn draw(
         spec: &ClientPopulationSpec,
         plan: usize,
         plans: &[Plan],
-        gateways: usize,
+        gateway_count: usize,
         random: &mut RandomSource,
     ) -> Customer {
         let settings = &plans[plan];
-        let usage_pattern = UsagePattern::draw(spec, random);
-        let ceiling_limit = settings
-            .ceiling
-            .map_or(f64::INFINITY, |ceiling| ceiling.burst / 2.0);
-        let wanted = (spec.gateway_fraction.draw(random) * gateways as f64)
-            .min(ceiling_limit)
-            .max(2.0) as usize;
-        let first = random.below(gateways);
-        let count = wanted.min(gateways);
-        let ceiling_burst = settings.ceiling.map_or(0.0, |ceiling| ceiling.burst);
+        let usage_pattern = UsagePattern::draw(spec.usage_shares, random);
+        let ceiling_burst = settings.ceiling.map(|ceiling| ceiling.burst);
+        let drawn_count = spec.gateway_fraction.draw(random) * gateway_count as f64;
+        // A ceiling is divided among the customer's gateways: each must get at least two units of its burst.
+        let count_limit = ceiling_burst.map_or(f64::INFINITY, |burst| burst / 2.0);
+        let wanted_count = drawn_count.min(count_limit).max(2.0) as usize;
+        let count = wanted_count.min(gateway_count);
+        let first = random.below(gateway_count);
         Customer {
             plan,
-            gateways: (0..count).map(|step| (first + step) % gateways).collect(),
+            gateways: (0..count)
+                .map(|offset| (first + offset) % gateway_count)
+                .collect(),
             usage_pattern,
             flood: None,
-            weights: Vec::new(),
+            cumulative_weights: Vec::new(),
             weights_valid_until: 0.0,
             weight_exponent: spec.weight_exponent.draw(random),
             quota: QuotaBucket::full(settings.burst),
             ideal_quota: QuotaBucket::full(settings.burst),
-            ceiling: QuotaBucket::full(ceiling_burst),
+            ceiling: QuotaBucket::full(ceiling_burst.unwrap_or(0.0)),
             attempts_in_flight: 0,
             metered_periods: VecDeque::new(),
         }
     }
 
-    /// The use that stays within its quota, as a fraction of the quota's rate.
+    /// The part of its usage that is within its quota, as a fraction of the quota's rate.
     pub(super) fn usage_within_quota(&self) -> f64 {
         self.usage_pattern.usage_within_quota()
     }
 
-    /// Units a second that it asks for now; `index` is its own, `quota_rate` the rate of its plan.
+    /// Units a second that it requests now; `index` is its own, `quota_rate` its plan's rate in units a second.
     pub(super) fn current_rate(&self, now: Millis, index: usize, quota_rate: f64) -> CurrentRate {
-        let usage = self.usage_pattern.at(now, index);
+        let usage = self.usage_pattern.current_usage(now, index);
         let mut current = CurrentRate {
             rate: usage.rate * quota_rate,
             valid_until: usage.valid_until,
@@ -242,7 +251,7 @@
         current
     }
 
-    /// The gateway that its next request comes through.
+    /// Draws the gateway that its next request comes through; `lifetime` is that of the weights, ms.
     pub(super) fn choose_gateway(
         &mut self,
         now: Millis,
@@ -254,26 +263,29 @@
                 now + lifetime.least + (lifetime.most - lifetime.least) * random.uniform();
             self.draw_weights(random);
         }
-        let point = random.uniform() * self.weights.last().copied().unwrap_or(1.0);
-        let place = self.weights.partition_point(|sum| *sum <= point);
-        self.gateways[place.min(self.gateways.len() - 1)]
+        let total = self.cumulative_weights.last().copied().unwrap_or(1.0);
+        let point = random.uniform() * total;
+        let index = self
+            .cumulative_weights
+            .partition_point(|cumulative| *cumulative <= point);
+        self.gateways[index.min(self.gateways.len() - 1)]
     }
 
-    /// Draws Zipf weights in a random order of the gateways.
+    /// Assigns Zipf weights to the gateways in a random order.
     fn draw_weights(&mut self, random: &mut RandomSource) {
         let mut ranks: Vec<usize> = (1..=self.gateways.len()).collect();
         for i in (1..ranks.len()).rev() {
             ranks.swap(i, random.below(i + 1));
         }
-        let mut sum = 0.0;
-        self.weights.clear();
+        let mut cumulative = 0.0;
+        self.cumulative_weights.clear();
         for rank in ranks {
-            sum += (rank as f64).powf(-self.weight_exponent);
-            self.weights.push(sum);
+            cumulative += (rank as f64).powf(-self.weight_exponent);
+            self.cumulative_weights.push(cumulative);
         }
     }
 
-    /// Counts a forwarded unit for the use meter.
+    /// Counts a forwarded unit in the usage meter.
     pub(super) fn meter_unit(&mut self, now: Millis) {
         let number = (now / METER_PERIOD) as u64;
         match self.metered_periods.back_mut() {
@@ -287,7 +299,7 @@
         }
     }
 
-    /// Units forwarded in a meter period; none where it is not kept.
+    /// Units forwarded in the meter period with this number; 0 where it is not retained.
     pub(super) fn metered_units(&self, number: u64) -> f64 {
         self.metered_periods
             .iter()
--- a/crates/fleet-simulation/src/client_population/mod.rs
+++ b/crates/fleet-simulation/src/client_population/mod.rs
@@ -1,5 +1,5 @@
-//! Customers with quotas, and the account that every attempt of theirs is held to: each customer's true quota, its
-//! ceiling, and the use meter, which is late. The decisions of all gateways are judged by these.
+//! Customers with quotas. For each customer the model has the true state of its quota and ceiling, which no single
+//! gateway sees, and the usage meter, whose figures are delayed. The account measures all gateways' decisions by these.
 
 mod account;
 mod customer;
@@ -13,37 +13,37 @@
 use cometspool::{Millis, Plan};
 use customer::CustomerFlood;
 
-/// All customers, and what came of their attempts.
+/// All customers of a run, and the account of their attempts.
 pub struct ClientPopulation {
     spec: ClientPopulationSpec,
     plans: Vec<Plan>,
     /// The customers.
     pub customers: Vec<Customer>,
-    /// What came of their attempts.
+    /// The account of their attempts.
     pub account: QuotaAccount,
 }
 
-/// When a customer is next looked at, and whether it sends a request then.
+/// The next event of a customer.
 pub struct NextRequest {
-    /// When.
+    /// When it is due, ms.
     pub at: Millis,
-    /// Whether a request is due then; else only the customer's rate changes.
+    /// Whether a request is sent then; otherwise only the customer's rate changes.
     pub is_request: bool,
 }
 
 impl ClientPopulation {
-    /// Draws the customers of these plans, spread over `gateways` gateways.
+    /// Draws the customers of these plans, in a fleet of `gateway_count` gateways.
     pub fn new(
         spec: ClientPopulationSpec,
         plans: &[Plan],
-        gateways: usize,
+        gateway_count: usize,
         random: &mut RandomSource,
     ) -> ClientPopulation {
         let mut customers = Vec::new();
         for (plan, share) in spec.plan_shares.iter().enumerate() {
             let mut units_per_second = 0.0;
             while units_per_second < share * spec.units_per_second {
-                let customer = Customer::draw(&spec, plan, plans, gateways, random);
+                let customer = Customer::draw(&spec, plan, plans, gateway_count, random);
                 units_per_second += customer.usage_within_quota() * plans[plan].rate;
                 customers.push(customer);
             }
@@ -72,7 +72,7 @@
         }
     }
 
-    /// When a customer sends its next request, or when its rate changes before that.
+    /// Draws when a customer sends its next request, or returns when its rate changes if that is earlier.
     pub fn next_request(
         &self,
         customer: usize,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The gateway that an attempt of a customer comes through.
+    /// Draws the gateway that a request of a customer comes through.
     pub fn choose_gateway(
         &mut self,
         customer: usize,
@@ -99,24 +99,25 @@
         self.customers[customer].choose_gateway(now, lifetime, random)
     }
 
-    /// Accounts for a first attempt: what a single gateway with full knowledge would admit is offered.
-    pub fn record_offered(&mut self, customer: usize, now: Millis, worth: f64) {
+    /// Accounts for a client's request, retries not included: its full weight is offered where a single gateway that
+    /// sees all requests would admit it within quota, otherwise the reduced weight.
+    pub fn record_offered(&mut self, customer: usize, now: Millis, weight: f64) {
         let customer = &mut self.customers[customer];
         let plan = &self.plans[customer.plan];
         let within_quota = customer.ideal_quota.refill(now, plan.rate, plan.burst) >= 1.0;
         if within_quota {
             customer.ideal_quota.units -= 1.0;
         }
-        let weight = if within_quota {
+        let weight_fraction = if within_quota {
             1.0
         } else {
             plan.over_quota_weight
         };
-        self.account.offered += worth * plan.weight_factor * weight;
+        self.account.offered += weight * plan.weight_factor * weight_fraction;
     }
 
-    /// Accounts for a request that is forwarded for the first time; returns whether it is within its quota.
-    pub fn record_forwarded(&mut self, customer: usize, now: Millis, worth: f64) -> bool {
+    /// Accounts for the first attempt that a gateway sends for a request; returns whether it is within the quota.
+    pub fn record_forwarded(&mut self, customer: usize, now: Millis, weight: f64) -> bool {
         let customer = &mut self.customers[customer];
         let plan = &self.plans[customer.plan];
         let below_concurrency_limit =
@@ -127,20 +128,20 @@
             customer.quota.units -= 1.0;
             self.account.units_within_quota += 1.0;
         } else {
-            self.account.over_quota_cost += plan.over_quota_cost * plan.weight_factor * worth;
+            self.account.over_quota_cost += plan.over_quota_cost * plan.weight_factor * weight;
             self.account.units_over_quota += 1.0;
         }
         if let Some(ceiling) = plan.ceiling {
-            let left = customer.ceiling.refill(now, ceiling.rate, ceiling.burst) - 1.0;
-            customer.ceiling.units = left;
-            let margin = (left + ceiling.slack) / ceiling.slack;
+            let units_left = customer.ceiling.refill(now, ceiling.rate, ceiling.burst) - 1.0;
+            customer.ceiling.units = units_left;
+            let margin = (units_left + ceiling.slack) / ceiling.slack;
             self.account.min_ceiling_margin = self.account.min_ceiling_margin.min(margin);
         }
         customer.meter_unit(now);
         within_quota
     }
 
-    /// Accounts for a rejected attempt.
+    /// Accounts for a request that a gateway rejected.
     pub fn record_rejected(&mut self, customer: usize, now: Millis, reason: String) {
         let customer = &mut self.customers[customer];
         let plan = &self.plans[customer.plan];
@@ -149,17 +150,17 @@
         *self.account.rejections_by_reason.entry(reason).or_default() += 1;
     }
 
-    /// Accounts for a request that is served in time, by an attempt within its quota or over it.
-    pub fn record_served(&mut self, customer: usize, worth: f64, within_quota: bool) {
+    /// Accounts for a request that was served in time, within its quota or over it.
+    pub fn record_served(&mut self, customer: usize, weight: f64, within_quota: bool) {
         let plan = &self.plans[self.customers[customer].plan];
         if within_quota {
-            self.account.served += worth * plan.weight_factor;
+            self.account.served += weight * plan.weight_factor;
         } else {
-            self.account.served_over_quota += worth * plan.weight_factor * plan.over_quota_weight;
+            self.account.served_over_quota += weight * plan.weight_factor * plan.over_quota_weight;
         }
     }
 
-    /// What a response reports of a customer's use, as a fraction of its quota's rate.
+    /// The usage that a response reports, as a fraction of the quota's rate; `None` where the meter reports nothing.
     pub fn reported_usage(
         &self,
         customer: usize,
--- a/crates/fleet-simulation/src/client_population/spec.rs
+++ b/crates/fleet-simulation/src/client_population/spec.rs
@@ -1,12 +1,12 @@
-//! What a client population is made of: plans in use, traffic patterns, the meter, and retries.
+//! The parameters of a client population: plans in use, traffic patterns, the usage meter, and retries.
 
 use crate::RandomSource;
 use cometspool::Millis;
 
-/// The customers of a run, and how the use meter reports on them.
+/// The customers of a run, and how the usage meter reports on them.
 #[derive(Clone, Debug)]
 pub struct ClientPopulationSpec {
-    /// Units a second that all customers ask for within their quotas, on average.
+    /// Units a second that all customers request within their quotas, on average.
     pub units_per_second: f64,
     /// Each plan's share of that, by the plan's index.
     pub plan_shares: Vec<f64>,
@@ -14,13 +14,13 @@
     pub gateway_fraction: Interval,
     /// Exponent of the Zipf weights by which a customer's requests are spread over its gateways.
     pub weight_exponent: Interval,
-    /// How long these weights stay before they are drawn anew, in milliseconds.
+    /// How long these weights are valid before they are drawn again, ms.
     pub weight_lifetime: Interval,
     /// Fractions of the customers by how they use their quotas.
     pub usage_shares: UsageShares,
     /// A flood by one customer on top of the rest.
     pub flood: Option<Flood>,
-    /// How late the meter's figures are, in milliseconds.
+    /// Delay of the meter's figures, ms.
     pub meter_delay: Interval,
     /// What the meter reports.
     pub meter: Meter,
@@ -38,19 +38,20 @@
 }
 
 impl Interval {
+    /// Draws a figure from the interval.
     pub(super) fn draw(self, random: &mut RandomSource) -> f64 {
         self.least + (self.most - self.least) * random.uniform()
     }
 }
 
-/// Fractions of the customers by how they use their quotas; the rest stay well within.
+/// Fractions of the customers by how they use their quotas; the rest stay well below them.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageShares {
     /// Those that use nearly all of it.
     pub near_limit: f64,
-    /// Those that ask for more than it all the time.
+    /// Those that request more than it all the time.
     pub over_limit: f64,
-    /// Those that ask for more than it in bursts.
+    /// Those that request more than it in bursts.
     pub bursty: f64,
 }
 
@@ -61,28 +62,28 @@
     pub plan: usize,
     /// Its rate, as a fraction of [`ClientPopulationSpec::units_per_second`].
     pub share: f64,
-    /// When it begins.
+    /// When it begins, ms.
     pub from: Millis,
-    /// When it ends.
+    /// When it ends, ms.
     pub until: Millis,
 }
 
-/// How clients retry what is rejected.
+/// How clients retry rejected requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBehavior {
     /// Most retries of one request.
     pub max_retries: u32,
-    /// Mean wait before the first retry where no Retry-After is given; it doubles with each.
+    /// Backoff before the first retry where there is no Retry-After, ms; it doubles with each retry.
     pub mean_wait: Millis,
 }
 
-/// What the use meter reports.
+/// What the usage meter reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Meter {
-    /// The true use.
+    /// The true usage.
     Accurate,
     /// Nothing.
     Silent,
-    /// At random NaN, a negative figure, or a thousand times the use.
+    /// At random NaN, the usage negated, or a thousand times the usage.
     Nonsense,
 }
--- a/crates/fleet-simulation/src/experiments/health.rs
+++ b/crates/fleet-simulation/src/experiments/health.rs
@@ -1,12 +1,12 @@
-//! Backends that answer with errors: how soon and by how many trials the gateways avoid them.
+//! Backends that answer with errors: how soon, and with how many requests to them, gateways avoid them.
 
-use super::{pools, settings};
+use super::{backend_fault, pools, settings};
 use cometspool_fleet_simulation::*;
 
 /// Numbers of gateways that the experiment is run with.
 pub(crate) const FLEET_SIZES: [u32; 3] = [3, 30, 300];
 
-/// What is printed of each seed.
+/// The columns of the table.
 pub(crate) const COLUMNS: [&str; 6] = [
     "to faulty, share",
     "in the last 20 s",
@@ -16,51 +16,47 @@
     "ejected/gw/h",
 ];
 
-/// One backend in eight answers with errors at once from 10 s on; the rest are at six tenths of what they can do, and one
-/// answer in five hundred of theirs is an error too.
+/// Second at which the faults begin.
+const FAULT_START: usize = 10;
+/// First second of the last 20, in which gateways should avoid the faulty backends.
+const LATE_START: usize = 30;
+/// Seconds in which clients send requests.
+const SECONDS: usize = 50;
+/// One backend in this many becomes faulty.
+const FAULTY_INTERVAL: usize = 8;
+/// Fraction of errors of a healthy backend.
+const HEALTHY_ERROR_FRACTION: f64 = 0.002;
+
+/// All responses of one backend in eight are errors from 10 s on. The load is six tenths of the backends' capacity, and
+/// one response in five hundred of the healthy ones is an error too.
 fn scenario(gateways: u32, seed: u64) -> Scenario {
-    let backends = if gateways < 30 {
+    let backend_count = if gateways < 30 {
         12
     } else {
         2 * gateways as usize / 3
     };
     let mut random = RandomSource::new(seed ^ 0x61c8);
-    let spec = |speed| BackendSpec {
-        speed,
-        fault: BackendFault::None,
-        ..BackendSpec::default()
-    };
-    let backends: Vec<_> = (0..backends)
-        .map(|_| spec(0.85 + 0.25 * random.uniform()))
-        .collect();
-    let count = backends.len();
-    let mut faults: Vec<_> = (0..count)
-        .map(|i| {
-            ScheduledFault::new(
-                0.0,
-                FleetFault::Backend {
-                    backend: i,
-                    fault: BackendFault::Errors(0.002),
-                },
-            )
-        })
-        .collect();
-    faults.extend((0..count).step_by(8).map(|i| {
-        ScheduledFault::new(
-            10_000.0,
-            FleetFault::Backend {
-                backend: i,
-                fault: BackendFault::Errors(1.0),
-            },
-        )
-    }));
-    let rate = 0.6 * count as f64 * 4000.0 / 208.0 / f64::from(gateways);
+    let mut backends = Vec::new();
+    let mut faults = Vec::new();
+    for backend in 0..backend_count {
+        backends.push(BackendSpec {
+            speed: 0.85 + 0.25 * random.uniform(),
+            ..BackendSpec::default()
+        });
+        let fault = BackendFault::Errors(HEALTHY_ERROR_FRACTION);
+        faults.push(backend_fault(0.0, backend, fault));
+    }
+    for backend in (0..backend_count).step_by(FAULTY_INTERVAL) {
+        let at = FAULT_START as f64 * 1000.0;
+        faults.push(backend_fault(at, backend, BackendFault::Errors(1.0)));
+    }
+    let rate = 0.6 * backend_count as f64 * 4000.0 / 208.0 / f64::from(gateways);
     Scenario {
         settings: settings(gateways),
         backends,
         zones: 1,
         requests_per_second: rate,
-        duration: 50_000.0,
+        duration: SECONDS as f64 * 1000.0,
         faults,
         max_connections_per_backend: None,
         ..pools::scenario(seed)
@@ -70,29 +66,36 @@
 /// Runs the experiment; the figures are in the order of [`COLUMNS`].
 pub(crate) fn row(gateways: u32, seed: u64) -> Vec<f64> {
     let scenario = scenario(gateways, seed);
-    let faulty = scenario.backends.len().div_ceil(8) as f64;
+    let faulty_backends = scenario.backends.len().div_ceil(FAULTY_INTERVAL) as f64;
     let statistics = run(scenario);
-    let sum = |from: usize, to: usize| {
-        let mut sum = FirstAttempts::default();
-        for second in &statistics.first_attempts_by_second[from..to] {
-            sum.total += second.total;
-            sum.to_faulty += second.to_faulty;
-        }
-        sum
-    };
-    let faulty_share =
-        |attempts: FirstAttempts| attempts.to_faulty as f64 / attempts.total.max(1) as f64;
-    let after_the_fault = sum(10, 50);
-    let late = sum(30, 50);
-    let below_one_percent = (10..49)
-        .find(|second| faulty_share(sum(*second, second + 2)) < 0.01)
-        .unwrap_or(50);
+    let by_second = &statistics.first_attempts_by_second;
+    let after_fault = sum(&by_second[FAULT_START..SECONDS]);
+    let late = sum(&by_second[LATE_START..SECONDS]);
+    let late_seconds = (SECONDS - LATE_START) as f64;
+    let below_one_percent = (FAULT_START..SECONDS - 1)
+        .find(|second| faulty_share(sum(&by_second[*second..second + 2])) < 0.01)
+        .unwrap_or(SECONDS);
     vec![
-        faulty_share(after_the_fault),
+        faulty_share(after_fault),
         faulty_share(late),
-        late.to_faulty as f64 / 20.0 / faulty,
-        below_one_percent as f64 - 10.0,
+        late.to_faulty as f64 / late_seconds / faulty_backends,
+        below_one_percent as f64 - FAULT_START as f64,
         statistics.served_share(),
-        statistics.ejections.healthy as f64 / f64::from(gateways) * 3600.0 / 50.0,
+        statistics.ejections.healthy as f64 / f64::from(gateways) * 3600.0 / SECONDS as f64,
     ]
 }
+
+/// The first attempts of several seconds together.
+fn sum(seconds: &[FirstAttempts]) -> FirstAttempts {
+    let mut sum = FirstAttempts::default();
+    for second in seconds {
+        sum.total += second.total;
+        sum.to_faulty += second.to_faulty;
+    }
+    sum
+}
+
+/// The fraction of first attempts that were sent to faulty backends.
+fn faulty_share(attempts: FirstAttempts) -> f64 {
+    attempts.to_faulty as f64 / attempts.total.max(1) as f64
+}
--- a/crates/fleet-simulation/src/experiments/mod.rs
+++ b/crates/fleet-simulation/src/experiments/mod.rs
@@ -1,4 +1,4 @@
-//! The experiments: the scenario of each, and the figures that are printed of it.
+//! The experiments: the scenario of each, and the figures that are printed for a run.
 
 pub(crate) mod health;
 pub(crate) mod multi_stage;
@@ -6,18 +6,23 @@
 pub(crate) mod quotas;
 
 use cometspool::*;
-use cometspool_fleet_simulation::ClassSpec;
+use cometspool_fleet_simulation::{BackendFault, ClassSpec, FleetFault, ScheduledFault, SlowStart};
 
-/// The classes of the booking service, with their aims, deadlines, worth and work.
+/// Fraction of its capacity that the policy's settings give a backend at its start.
+const START_CAPACITY: f64 = 0.19;
+/// Time after its start at which a backend has its full capacity by the policy's settings, ms.
+const WARM_UP: Millis = 16_000.0;
+/// Slow start of the modelled backends where it is as the settings state it.
+const CONFIGURED_SLOW_START: SlowStart = SlowStart {
+    initial_fraction: START_CAPACITY,
+    duration: WARM_UP,
+};
+/// Time from the drain of a backend that is replaced to the end of its process, ms.
+const DRAIN_DURATION: Millis = 1500.0;
+
+/// The classes of a booking service: idempotent, idempotent with a key, and non-idempotent.
 fn classes() -> Vec<ClassSpec> {
-    let class = |aim, deadline, worth, effect| Class {
-        latency_objective: aim,
-        deadline,
-        priority_weight: worth,
-        idempotency: effect,
-        ..Class::default()
-    };
-    let keyed = Idempotency::WithKey {
+    let with_key = Idempotency::WithKey {
         scope: DeduplicationScope::Cell,
         retention: 2000.0,
     };
@@ -29,7 +34,7 @@
             coefficient_of_variation: 0.9,
         },
         ClassSpec {
-            class: class(1200.0, 3000.0, 3.0, keyed),
+            class: class(1200.0, 3000.0, 3.0, with_key),
             share: 0.27,
             mean_work: 160.0,
             coefficient_of_variation: 1.0,
@@ -43,6 +48,23 @@
     ]
 }
 
+/// A class with a latency objective and a deadline in milliseconds.
+fn class(
+    latency_objective: Millis,
+    deadline: Millis,
+    priority_weight: f64,
+    idempotency: Idempotency,
+) -> Class {
+    Class {
+        latency_objective,
+        deadline,
+        priority_weight,
+        idempotency,
+        ..Class::default()
+    }
+}
+
+/// The policy's settings in a fleet of `gateways` gateways, with one plan whose quota is never exhausted.
 fn settings(gateways: u32) -> Settings {
     Settings {
         gateways,
@@ -59,10 +81,38 @@
         max_retry_after: 2000.0,
         cross_zone_cost: 0.01,
         drain_grace: 250.0,
-        start_capacity: 0.19,
-        warm_up: 16_000.0,
+        start_capacity: START_CAPACITY,
+        warm_up: WARM_UP,
         overload_factor: 2.0,
         overload_window: 2000.0,
         ..Settings::default()
     }
 }
+
+/// A fault of a backend from `at` (ms) on.
+fn backend_fault(at: Millis, backend: usize, fault: BackendFault) -> ScheduledFault {
+    ScheduledFault::new(at, FleetFault::Backend { backend, fault })
+}
+
+/// A notification of all gateways, from `at` (ms) on.
+fn announcement(at: Millis, backend: usize, availability: Availability) -> ScheduledFault {
+    ScheduledFault::new(
+        at,
+        FleetFault::Announce {
+            backend,
+            availability,
+        },
+    )
+}
+
+/// The replacement of a backend from `at` (ms) on: a copy starts, the backend drains, ends and leaves the endpoint
+/// list.
+fn replacement(at: Millis, backend: usize) -> [ScheduledFault; 4] {
+    let end = at + DRAIN_DURATION;
+    [
+        ScheduledFault::new(at, FleetFault::StartBackend(backend)),
+        announcement(at, backend, Availability::Draining),
+        backend_fault(end, backend, BackendFault::Crashed),
+        announcement(end, backend, Availability::Removed),
+    ]
+}
--- a/crates/fleet-simulation/src/experiments/multi_stage.rs
+++ b/crates/fleet-simulation/src/experiments/multi_stage.rs
@@ -1,9 +1,11 @@
 //! Backends that call each other in three tiers: wasted work and late failures when one tier is slow.
 
-use super::{classes, settings};
+use super::{backend_fault, classes, settings, CONFIGURED_SLOW_START};
+use cometspool::Millis;
 use cometspool_fleet_simulation::*;
+use std::ops::Range;
 
-/// What is printed of each seed.
+/// The columns of the table.
 pub(crate) const COLUMNS: [&str; 6] = [
     "wasted share",
     "late failures",
@@ -13,70 +15,42 @@
     "rejected share",
 ];
 
-/// Three tiers, each calling the next while its own core waits. From 10 s to 30 s three in ten of the last tier take five
-/// times as long, and from 18 s to 22 s one in four of the first tier hangs.
+/// Gateways of the fleet.
+const GATEWAYS: u32 = 20;
+/// How long clients send requests, ms.
+const DURATION: Millis = 45_000.0;
+/// Backends of the first tier, the only one that gateways see.
+const FIRST_TIER: Range<usize> = 0..24;
+/// Backends that the first tier calls.
+const SECOND_TIER: Range<usize> = 24..36;
+/// Backends that the second tier calls.
+const THIRD_TIER: Range<usize> = 36..48;
+/// Mean time between two stalls of a gateway in [`impatient_clients`], ms.
+const MEAN_STALL_INTERVAL: Millis = 6000.0;
+
+/// Three tiers, each calling the next while its own core waits. From 10 s to 30 s three in ten of the last tier take
+/// five times as long, and from 18 s to 22 s one in four of the first tier does not respond.
 pub(crate) fn scenario(seed: u64) -> Scenario {
     let mut random = RandomSource::new(seed ^ 0x9e37);
-    let first = 24;
-    let second = 12;
-    let third = 12;
-    let tier = |from: usize, count: usize| (from..from + count).collect::<Vec<_>>();
     let mut backends = Vec::new();
-    for i in 0..first + second + third {
-        let (cores, next, listed) = match i {
-            i if i < first => (24, tier(first, second), true),
-            i if i < first + second => (24, tier(first + second, third), false),
-            _ => (9, Vec::new(), false),
-        };
-        let speed = 0.85 + 0.25 * random.uniform();
+    for _ in FIRST_TIER {
         backends.push(BackendSpec {
-            cores,
-            queue_capacity: 60,
-            speed,
-            next_tier: next,
-            is_listed: listed,
-            ..BackendSpec::default()
+            is_listed: true,
+            ..backend(24, SECOND_TIER, &mut random)
         });
     }
-    let mut faults = Vec::new();
-    for i in 0..third * 3 / 10 {
-        faults.push(ScheduledFault::new(
-            10_000.0,
-            FleetFault::Backend {
-                backend: first + second + i,
-                fault: BackendFault::Slow(5.0),
-            },
-        ));
-        faults.push(ScheduledFault::new(
-            30_000.0,
-            FleetFault::Backend {
-                backend: first + second + i,
-                fault: BackendFault::None,
-            },
-        ));
+    for _ in SECOND_TIER {
+        backends.push(backend(24, THIRD_TIER, &mut random));
     }
-    for i in 0..first / 4 {
-        faults.push(ScheduledFault::new(
-            18_000.0,
-            FleetFault::Backend {
-                backend: i,
-                fault: BackendFault::Silent,
-            },
-        ));
-        faults.push(ScheduledFault::new(
-            22_000.0,
-            FleetFault::Backend {
-                backend: i,
-                fault: BackendFault::None,
-            },
-        ));
+    for _ in THIRD_TIER {
+        backends.push(backend(9, 0..0, &mut random));
     }
     let mut classes = classes();
     for class in &mut classes {
         class.mean_work /= 3.0;
     }
     Scenario {
-        settings: settings(20),
+        settings: settings(GATEWAYS),
         classes,
         backends,
         zones: 1,
@@ -89,34 +63,56 @@
             within_zone: 1.0,
             between_zones: 1.0,
         },
-        duration: 45_000.0,
+        duration: DURATION,
         propagation_delay: 500.0,
-        slow_start: SlowStart {
-            initial_fraction: 0.19,
-            duration: 16_000.0,
-        },
+        slow_start: CONFIGURED_SLOW_START,
         max_connections_per_backend: None,
         seed,
-        faults,
+        faults: faults(),
         clients: None,
     }
 }
 
-/// The three tiers with clients that wait for as little as a thirtieth of their deadline, and with gateways that stall now
-/// and then, each for up to a second.
+/// An unlisted backend that calls those of the next tier.
+fn backend(cores: usize, next_tier: Range<usize>, random: &mut RandomSource) -> BackendSpec {
+    BackendSpec {
+        cores,
+        queue_capacity: 60,
+        speed: 0.85 + 0.25 * random.uniform(),
+        next_tier: next_tier.collect(),
+        is_listed: false,
+        ..BackendSpec::default()
+    }
+}
+
+fn faults() -> Vec<ScheduledFault> {
+    let mut faults = Vec::new();
+    for backend in THIRD_TIER.take(THIRD_TIER.len() * 3 / 10) {
+        faults.push(backend_fault(10_000.0, backend, BackendFault::Slow(5.0)));
+        faults.push(backend_fault(30_000.0, backend, BackendFault::None));
+    }
+    for backend in FIRST_TIER.take(FIRST_TIER.len() / 4) {
+        faults.push(backend_fault(18_000.0, backend, BackendFault::Silent));
+        faults.push(backend_fault(22_000.0, backend, BackendFault::None));
+    }
+    faults
+}
+
+/// The three tiers with clients that wait for as little as 3 % of their class's deadline, and with gateways that stall
+/// from time to time, each for 0.2 s to 1 s.
 pub(crate) fn impatient_clients(seed: u64) -> Scenario {
     let mut random = RandomSource::new(seed ^ 0x517c);
     let mut gateway_stalls = Vec::new();
-    for gateway in 0..20 {
-        let mut at = random.exponential(6000.0);
-        while at < 45_000.0 {
-            let end = at + 200.0 + 800.0 * random.uniform();
+    for gateway in 0..GATEWAYS as usize {
+        let mut from = random.exponential(MEAN_STALL_INTERVAL);
+        while from < DURATION {
+            let until = from + 200.0 + 800.0 * random.uniform();
             gateway_stalls.push(GatewayStall {
                 gateway,
-                from: at,
-                until: end,
+                from,
+                until,
             });
-            at = end + random.exponential(6000.0);
+            from = until + random.exponential(MEAN_STALL_INTERVAL);
         }
     }
     Scenario {
--- a/crates/fleet-simulation/src/experiments/quotas.rs
+++ b/crates/fleet-simulation/src/experiments/quotas.rs
@@ -1,19 +1,19 @@
-//! The experiment on quotas: customers as the operators describe them, through three hundred gateways, on calm days and
-//! on hard ones. Every try is held against its customer's true store.
+//! Quotas: customers with plans, through three hundred gateways, in ordinary and in adverse scenarios. Every attempt is
+//! measured by the true state of its customer's quota.
 
 use super::{pools, settings};
 use cometspool::*;
 use cometspool_fleet_simulation::client_population::{
-    ClientPopulationSpec, Flood, Interval, Meter, RetryBehavior, UsageShares,
+    ClientPopulationSpec, Flood, Interval, Meter, QuotaAccount, RetryBehavior, UsageShares,
 };
 use cometspool_fleet_simulation::*;
 
-/// What is played.
+/// The scenarios, in the order in which they are run: see [`scenario`].
 pub(crate) const SCENARIOS: [&str; 9] = [
     "calm", "silent", "late", "absurd", "moving", "rolling", "killed", "flood", "few",
 ];
 
-/// What is told of each.
+/// The columns of the table.
 pub(crate) const COLUMNS: [&str; 11] = [
     "net value",
     "served within",
@@ -28,7 +28,11 @@
     "ceiling margin",
 ];
 
-/// The plans of the service: many small customers, such as earn beyond their quota too, and few great ones with a ceiling.
+/// Gateways that restart together in the scenario `rolling`.
+const RESTART_GROUP: u32 = 30;
+
+/// The plans of the service: many small customers, with a cost or a reduced weight beyond their quota, and few large
+/// ones with a ceiling.
 fn plans() -> Vec<Plan> {
     let ceiling = Ceiling {
         rate: 22.0,
@@ -62,70 +66,67 @@
     ]
 }
 
-/// 300 gateways (three in `few`) at half of what their backends can do within the quotas. The meter falls silent, tells
-/// its figures 5 s late or nonsense; customers move all of their traffic from gateway to gateway; gateways are restarted a
-/// tenth at a time or seven in ten at once, under a flood; one customer asks for a quarter of all traffic on top.
-fn scenario(scene: &str, seed: u64) -> Scenario {
-    let gateways: u32 = if scene == "few" { 3 } else { 300 };
-    let backends = if scene == "few" { 12 } else { 140 };
-    let rate = 0.5 * backends as f64 * 4000.0 / 208.0;
-    let flood = |plan| Flood {
-        plan,
-        share: 0.25,
-        from: 8_000.0,
-        until: 20_000.0,
-    };
-    let clients = ClientPopulationSpec {
-        units_per_second: rate,
-        plan_shares: vec![0.4, 0.3, 0.3],
-        gateway_fraction: Interval {
-            least: 0.66,
-            most: 1.0,
+/// 300 gateways (three in `few`) at half of their backends' capacity within the quotas.
+///
+/// - `silent`, `late`, `absurd`: the meter reports nothing, reports 5 s late, or reports nonsense.
+/// - `moving`: customers move all of their traffic from gateway to gateway.
+/// - `rolling`, `killed`: gateways restart a tenth at a time, or seven in ten at once during a flood.
+/// - `flood`, `few`: one customer requests a quarter of all traffic on top.
+fn scenario(name: &str, seed: u64) -> Scenario {
+    let is_small = name == "few";
+    let gateways: u32 = if is_small { 3 } else { 300 };
+    let backend_count = if is_small { 12 } else { 140 };
+    let units_per_second = 0.5 * backend_count as f64 * 4000.0 / 208.0;
+    Scenario {
+        settings: Settings {
+            plans: plans(),
+            meter_period: 500.0,
+            ..settings(gateways)
         },
-        weight_exponent: if scene == "moving" {
-            Interval {
-                least: 6.0,
-                most: 6.0,
-            }
+        backends: vec![BackendSpec::default(); backend_count],
+        zones: 1,
+        duration: 26_000.0,
+        max_connections_per_backend: None,
+        faults: faults(name, gateways),
+        clients: Some(clients(name, units_per_second)),
+        ..pools::scenario(seed)
+    }
+}
+
+/// The customers of a scenario.
+fn clients(name: &str, units_per_second: f64) -> ClientPopulationSpec {
+    let is_moving = name == "moving";
+    ClientPopulationSpec {
+        units_per_second,
+        plan_shares: vec![0.4, 0.3, 0.3],
+        gateway_fraction: interval(0.66, 1.0),
+        weight_exponent: if is_moving {
+            interval(6.0, 6.0)
         } else {
-            Interval {
-                least: 0.3,
-                most: 1.5,
-            }
+            interval(0.3, 1.5)
         },
-        weight_lifetime: if scene == "moving" {
-            Interval {
-                least: 3_000.0,
-                most: 6_000.0,
-            }
+        weight_lifetime: if is_moving {
+            interval(3_000.0, 6_000.0)
         } else {
-            Interval {
-                least: 9_400.0,
-                most: 22_000.0,
-            }
+            interval(9_400.0, 22_000.0)
         },
         usage_shares: UsageShares {
             near_limit: 0.16,
             over_limit: 0.08,
             bursty: 0.18,
         },
-        flood: if matches!(scene, "flood" | "few" | "killed") {
-            Some(flood(2))
-        } else {
-            None
-        },
-        meter_delay: if scene == "late" {
-            Interval {
-                least: 5_000.0,
-                most: 6_400.0,
-            }
+        flood: matches!(name, "flood" | "few" | "killed").then_some(Flood {
+            plan: 2,
+            share: 0.25,
+            from: 8_000.0,
+            until: 20_000.0,
+        }),
+        meter_delay: if name == "late" {
+            interval(5_000.0, 6_400.0)
         } else {
-            Interval {
-                least: 420.0,
-                most: 1_400.0,
-            }
+            interval(420.0, 1_400.0)
         },
-        meter: match scene {
+        meter: match name {
             "silent" => Meter::Silent,
             "absurd" => Meter::Nonsense,
             _ => Meter::Accurate,
@@ -134,56 +135,54 @@
             max_retries: 2,
             mean_wait: 300.0,
         },
-    };
-    let restart = |from: f64, step: f64, gateways: u32| {
-        (0..gateways).map(move |gateway| {
-            ScheduledFault::new(
-                from + step * f64::from(gateway / 30),
-                FleetFault::RestartGateway(gateway as usize),
-            )
-        })
-    };
-    let faults = match scene {
-        "rolling" => restart(6_000.0, 1_500.0, gateways).collect(),
-        "killed" => restart(12_000.0, 0.0, gateways * 7 / 10).collect(),
+    }
+}
+
+fn interval(least: f64, most: f64) -> Interval {
+    Interval { least, most }
+}
+
+/// The restarts of gateways in a scenario.
+fn faults(name: &str, gateways: u32) -> Vec<ScheduledFault> {
+    match name {
+        "rolling" => restarts(6_000.0, 1_500.0, gateways),
+        "killed" => restarts(12_000.0, 0.0, gateways * 7 / 10),
         _ => Vec::new(),
-    };
-    let settings = Settings {
-        plans: plans(),
-        meter_period: 500.0,
-        ..settings(gateways)
-    };
-    let base = pools::scenario(seed);
-    let backends = vec![BackendSpec::default(); backends];
-    Scenario {
-        settings,
-        backends,
-        zones: 1,
-        duration: 26_000.0,
-        max_connections_per_backend: None,
-        faults,
-        clients: Some(clients),
-        ..base
     }
 }
 
-/// Plays a day.
-pub(crate) fn row(scene: &str, seed: u64) -> Vec<f64> {
-    let ledger = run(scenario(scene, seed)).quota_account;
-    let tries = ledger.attempts as f64;
-    let why =
-        |name: &str| ledger.rejections_by_reason.get(name).copied().unwrap_or(0) as f64 / tries;
+/// Restarts the first `gateways` gateways from `from` on, with `step` between two groups; times in ms.
+fn restarts(from: Millis, step: Millis, gateways: u32) -> Vec<ScheduledFault> {
+    let mut faults = Vec::new();
+    for gateway in 0..gateways {
+        let group = f64::from(gateway / RESTART_GROUP);
+        let fault = FleetFault::RestartGateway(gateway as usize);
+        faults.push(ScheduledFault::new(from + step * group, fault));
+    }
+    faults
+}
+
+/// Runs a scenario; the figures are in the order of [`COLUMNS`].
+pub(crate) fn row(name: &str, seed: u64) -> Vec<f64> {
+    let account = run(scenario(name, seed)).quota_account;
+    let units = account.units_within_quota + account.units_over_quota;
     vec![
-        ledger.net_value(),
-        ledger.served / ledger.offered,
-        ledger.units_over_quota / (ledger.units_within_quota + ledger.units_over_quota),
-        ledger.over_quota_cost / ledger.offered,
-        ledger.rejected_within_quota as f64 / tries,
-        why("PenaltyBox"),
-        why("LoadShedding"),
-        why("TokenBucket"),
-        why("Ceiling"),
-        why("NoCapacity"),
-        ledger.min_ceiling_margin,
+        account.net_value(),
+        account.served / account.offered,
+        account.units_over_quota / units,
+        account.over_quota_cost / account.offered,
+        account.rejected_within_quota as f64 / account.attempts as f64,
+        rejected_share(&account, "PenaltyBox"),
+        rejected_share(&account, "LoadShedding"),
+        rejected_share(&account, "TokenBucket"),
+        rejected_share(&account, "Ceiling"),
+        rejected_share(&account, "NoCapacity"),
+        account.min_ceiling_margin,
     ]
 }
+
+/// The fraction of all attempts that were rejected for a reason.
+fn rejected_share(account: &QuotaAccount, reason: &str) -> f64 {
+    let rejected = account.rejections_by_reason.get(reason).copied();
+    rejected.unwrap_or(0) as f64 / account.attempts as f64
+}
--- a/crates/fleet-simulation/src/lib.rs
+++ b/crates/fleet-simulation/src/lib.rs
@@ -1,8 +1,12 @@
-//! A seeded simulation of a fleet: many gateways, each with the decision module as it serves, over backends that are
-//! models. Time is simulated; one seed gives one run, on any machine.
+//! A seeded simulation of a fleet: many gateways before modelled backends and clients. Time is simulated; a seed
+//! determines a run on every machine.
 //!
-//! What is real here is the module ([`cometspool::PolicyEngine`]) and whatever cores the experiments bring; what is modelled is stated
-//! with [`BackendSpec`] and [`World`]. The experiments are in `src/main.rs`, one subcommand each.
+//! Each gateway runs the policy engine ([`cometspool::PolicyEngine`]) and the connection pool
+//! ([`cometspool::connection_pool`]) that gateways run in service. All else is a model: the network and the backends
+//! are described by a [`Scenario`], clients with quotas by [`client_population`].
+//!
+//! [`run`] runs a scenario and returns its [`RunStatistics`]. The program `cometspool-fleet-simulation` runs the
+//! experiments behind the figures in `docs/`.
 
 #![forbid(unsafe_code)]
 
@@ -18,7 +22,7 @@
     BackendFault, BackendSpec, ClassSpec, FleetFault, GatewayStall, NetworkDelays, Scenario,
     ScheduledFault, SlowStart,
 };
-pub use simulation::{run, Simulation};
+pub use simulation::run;
 pub use statistics::{
     ColdWork, EjectionCounts, FirstAttempts, Incarnation, OutcomeCounts, RunStatistics, WeightSums,
 };
--- a/crates/fleet-simulation/src/main.rs
+++ b/crates/fleet-simulation/src/main.rs
@@ -1,30 +1,32 @@
-//! The experiments, a subcommand each: `cometspool-fleet-simulation chain [seeds]`.
+//! Runs an experiment: `cometspool-fleet-simulation chain [seeds]`.
 //!
-//! Each prints a line for every seed and, below, the mean and the spread. `experiments/compare` runs the same scenario
-//! with the policy of an earlier commit beside it.
+//! Prints a row of figures for every seed, then the mean, least and most of each column. `experiments/compare` runs the
+//! same scenario with the policy of an earlier commit beside it.
 
 #![forbid(unsafe_code)]
 
 mod experiments;
+mod table;
 
 use cometspool_fleet_simulation::{run, Scenario};
 use experiments::{health, multi_stage, pools, quotas};
 use std::process::ExitCode;
+use table::print_table;
 
-/// Seeds that an experiment is run with unless their number is given.
+/// Number of seeds where the command line gives none.
 const DEFAULT_SEEDS: u64 = 8;
 
 fn main() -> ExitCode {
-    let mut words = std::env::args().skip(1);
-    let name = words.next().unwrap_or_default();
-    let seeds = match words.next() {
-        Some(word) => word.parse().ok(),
+    let mut arguments = std::env::args().skip(1);
+    let experiment = arguments.next().unwrap_or_default();
+    let seeds = match arguments.next() {
+        Some(argument) => argument.parse().ok(),
         None => Some(DEFAULT_SEEDS),
     };
     let Some(seeds) = seeds else {
         return usage();
     };
-    match name.as_str() {
+    match experiment.as_str() {
         "chain" => print_multi_stage(seeds, multi_stage::scenario),
         "hurry" => print_multi_stage(seeds, multi_stage::impatient_clients),
         "pools" => print_pools(seeds, pools::scenario),
@@ -66,39 +68,3 @@
         print_table(&quotas::COLUMNS, seeds, |seed| quotas::row(scenario, seed));
     }
 }
-
-/// Prints a row for each seed, then mean, least and most of each column.
-fn print_table(columns: &[&str], seeds: u64, row: impl Fn(u64) -> Vec<f64>) {
-    println!(
-        "{:>6} {}",
-        "seed",
-        columns
-            .iter()
-            .map(|name| format!("{name:>16}"))
-            .collect::<String>()
-    );
-    let rows: Vec<Vec<f64>> = (1..=seeds).map(&row).collect();
-    let line = |name: &str, values: &[f64]| {
-        println!(
-            "{name:>6} {}",
-            values
-                .iter()
-                .map(|value| format!("{value:>16.4}"))
-                .collect::<String>()
-        );
-    };
-    for (seed, row) in rows.iter().enumerate() {
-        line(&(seed + 1).to_string(), row);
-    }
-    let column = |i: usize| rows.iter().map(move |row| row[i]);
-    let all = |f: &dyn Fn(usize) -> f64| (0..columns.len()).map(f).collect::<Vec<f64>>();
-    line(
-        "mean",
-        &all(&|i| column(i).sum::<f64>() / rows.len().max(1) as f64),
-    );
-    line("least", &all(&|i| column(i).fold(f64::INFINITY, f64::min)));
-    line(
-        "most",
-        &all(&|i| column(i).fold(f64::NEG_INFINITY, f64::max)),
-    );
-}
--- a/crates/fleet-simulation/src/pooling.rs
+++ b/crates/fleet-simulation/src/pooling.rs
@@ -43,7 +43,7 @@
 pub(crate) enum DialResult {
     /// With this connection.
     Connected { connection: usize },
-    /// Without one: it was refused or timed out.
+    /// Without one: the backend rejected it, or it timed out.
     Failed,
 }
 
--- a/crates/fleet-simulation/src/scenario.rs
+++ b/crates/fleet-simulation/src/scenario.rs
@@ -94,7 +94,7 @@
     pub class: Class,
     /// Its share of the requests; the shares are normalized by their sum.
     pub share: f64,
-    /// Mean work of a request at each backend that processes it, in milliseconds of one core of usual speed.
+    /// Mean work of a request at each backend that processes it, in milliseconds of one core of reference speed.
     pub mean_work: f64,
     /// Coefficient of variation of the work.
     pub coefficient_of_variation: f64,
@@ -109,7 +109,7 @@
     pub cores: usize,
     /// Requests that its queue holds; it rejects further ones unprocessed.
     pub queue_capacity: usize,
-    /// Its speed as a multiple of the usual speed.
+    /// Its speed as a multiple of the reference speed.
     pub speed: f64,
     /// Whether it drops queued requests whose deadline has passed.
     pub drops_expired: bool,
@@ -150,7 +150,7 @@
     Slow(f64),
     /// It accepts requests and never responds.
     Silent,
-    /// Its process is gone: connections are refused.
+    /// Its process has ended: connecting to it fails at once.
     Crashed,
 }
 
--- a/crates/fleet-simulation/src/simulation.rs
+++ b/crates/fleet-simulation/src/simulation.rs
@@ -30,7 +30,7 @@
 
 /// The fleet at one instant of simulated time. Gateways, backends, requests, calls and connections are named by their
 /// indices and stay in place for the whole run.
-pub struct Simulation {
+pub(crate) struct Simulation {
     scenario: Scenario,
     /// Simulated time, ms.
     now: Millis,
--- a/crates/fleet-simulation/src/simulation/attempts.rs
+++ b/crates/fleet-simulation/src/simulation/attempts.rs
@@ -6,7 +6,7 @@
 use crate::scenario::BackendFault;
 use cometspool::{AttemptCompleted, BackendId, Event, LoadReport, Millis, Outcome, RequestId};
 
-/// Who made a call.
+/// The process that made a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CallOrigin {
     /// A gateway, as the attempt with this number of its request.
@@ -35,7 +35,7 @@
     sent_at: Millis,
     /// The deadline that was passed to the backend, ms.
     pub(super) deadline: Millis,
-    /// Work that it takes, in milliseconds of one core of usual speed.
+    /// Work that it takes, in milliseconds of one core of reference speed.
     pub(super) work: f64,
     /// Work that its backend has done for it, calls to the next tier not included.
     pub(super) completed_work: f64,
@@ -215,7 +215,8 @@
         self.notify_gateway(gateway, Event::AttemptCompleted(completed));
     }
 
-    /// Ends an attempt in its customer's account; returns the use of the quota that a response reports, if there is one.
+    /// Ends an attempt in its customer's account; returns the usage of the quota that a response reports, if there is
+    /// one.
     fn reported_usage(&mut self, customer: usize, outcome: Outcome) -> Option<f64> {
         let clients = self.clients.as_mut()?;
         clients.customers[customer].attempts_in_flight -= 1;
--- a/crates/fleet-simulation/src/simulation/backends.rs
+++ b/crates/fleet-simulation/src/simulation/backends.rs
@@ -30,7 +30,7 @@
     pub(super) knows_start: Vec<bool>,
 }
 
-/// Work that arrived in one tenth of a second, in milliseconds of one core of usual speed.
+/// Work that arrived in one tenth of a second, in milliseconds of one core of reference speed.
 struct TenthOfWork {
     /// Number of the tenth since the start of the run.
     tenth: u64,
--- a/crates/fleet-simulation/src/simulation/clients.rs
+++ b/crates/fleet-simulation/src/simulation/clients.rs
@@ -39,7 +39,7 @@
     pub(super) sent_attempts: u32,
     /// Whether its client has a final outcome.
     pub(super) has_ended: bool,
-    /// Work of a call at each tier, in milliseconds of one core of usual speed.
+    /// Work of a call at each tier, in milliseconds of one core of reference speed.
     pub(super) work: f64,
     /// All calls made for it, by gateways and backends.
     pub(super) calls: Vec<usize>,
--- a/crates/fleet-simulation/src/simulation/connections.rs
+++ b/crates/fleet-simulation/src/simulation/connections.rs
@@ -9,7 +9,7 @@
 
 /// Time after which an unanswered dial fails, ms.
 const DIAL_TIMEOUT: Millis = 250.0;
-/// Work of a handshake at the backend, in milliseconds of one core of usual speed.
+/// Work of a handshake at the backend, in milliseconds of one core of reference speed.
 const HANDSHAKE_WORK: f64 = 1.0;
 
 /// A connection between a gateway and a backend.
--- a/crates/fleet-simulation/src/simulation/event_queue.rs
+++ b/crates/fleet-simulation/src/simulation/event_queue.rs
@@ -48,7 +48,7 @@
     CheckoutTimeout { call: usize },
     /// A gateway's pool closes expired connections.
     EvictExpired { gateway: usize },
-    /// A gateway's pool asked to be woken for a backend.
+    /// A gateway's pool is woken for a backend, as it requested.
     PoolWake { gateway: usize, backend: usize },
 }
 
--- a/crates/fleet-simulation/src/simulation/gateways.rs
+++ b/crates/fleet-simulation/src/simulation/gateways.rs
@@ -20,6 +20,7 @@
 }
 
 impl SimulatedGateway {
+    /// The gateway with this index; draws the seed of its policy and pool.
     pub(super) fn new(
         scenario: &Scenario,
         index: u32,
@@ -130,8 +131,8 @@
         self.apply_pool_steps(gateway, steps);
     }
 
-    /// Restarts a gateway's policy with the endpoint list of this time. The requests that it had are lost: their clients
-    /// wait until the deadline.
+    /// Restarts a gateway's policy with the endpoint list of this time. The requests that it had are lost: their
+    /// clients wait until the deadline.
     pub(super) fn restart_gateway(&mut self, gateway: usize) {
         let zone = self.gateways[gateway].zone;
         let seed = u64::from(self.random.next_u32());
--- a/crates/fleet-simulation/src/statistics.rs
+++ b/crates/fleet-simulation/src/statistics.rs
@@ -3,8 +3,8 @@
 use crate::client_population::QuotaAccount;
 use cometspool::Millis;
 
-/// What a run gave. Weights are priority weights, work is in milliseconds of one core of usual speed, and vectors "by
-/// second" are indexed by the whole second of simulated time.
+/// The statistics of a run. Weights are priority weights, work is in milliseconds of one core of reference speed, and
+/// vectors "by second" are indexed by the whole second of simulated time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RunStatistics {
     /// Client requests, retries of rejected ones not counted.
@@ -15,7 +15,8 @@
     pub served_weight: f64,
     /// How requests ended, retries of rejected ones included.
     pub outcomes: OutcomeCounts,
-    /// Requests that were rejected or failed after their latency objective or more than half of their deadline had passed.
+    /// Requests that were rejected or failed after their latency objective or more than half of their deadline had
+    /// passed.
     pub late_failures: u64,
     /// Attempts that gateways sent, first ones included.
     pub attempts: u64,
@@ -73,7 +74,7 @@
     }
 }
 
-/// Ejections of backends by whether they were justified.
+/// Ejections of backends, counted by the log lines of the policies, by whether they were justified.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EjectionCounts {
     /// Ejections of backends that were healthy and reachable.
@@ -114,7 +115,7 @@
 pub struct ColdWork {
     /// When it arrived, ms.
     pub at: Millis,
-    /// How much, in milliseconds of one core of usual speed.
+    /// How much, in milliseconds of one core of reference speed.
     pub work: f64,
     /// Whether its sender had been notified of the backend's start.
     pub sender_knew_start: bool,
