--- a/crates/fleet-simulation/tests/common/mod.rs
+++ b/crates/fleet-simulation/tests/common/mod.rs
@@ -4,11 +4,12 @@
     ClientPopulationSpec, Flood, Interval, Meter, RetryBehavior, UsageShares,
 };
 
-/// Customers who ask for `rate` units a second in all, through uneven and moving sets of gateways, with a late but true
-/// meter. One of them floods every gateway of its set for five seconds, and who is refused comes again twice.
-pub(crate) fn flooding_customers(rate: f64) -> ClientPopulationSpec {
+/// Customers that request `units_per_second` in all, through sets of gateways whose weights differ and change, with an
+/// accurate but delayed meter. One of them floods every gateway of its set for five seconds, and clients retry rejected
+/// requests twice.
+pub(crate) fn flooding_customers(units_per_second: f64) -> ClientPopulationSpec {
     ClientPopulationSpec {
-        units_per_second: rate,
+        units_per_second,
         plan_shares: vec![1.0],
         gateway_fraction: Interval {
             least: 0.5,
--- a/crates/fleet-simulation/tests/simulation.rs
+++ b/crates/fleet-simulation/tests/simulation.rs
@@ -6,76 +6,21 @@
 use cometspool_fleet_simulation::*;
 use common::flooding_customers;
 
+/// Most connections that a backend accepts.
+const MAX_CONNECTIONS: usize = 12;
+
+/// Twenty gateways and sixteen backends in two zones, with a replaced backend, a partition, errors and a stall.
 fn scenario(seed: u64) -> Scenario {
-    let class = Class {
-        latency_objective: 1200.0,
-        deadline: 3000.0,
-        idempotency: Idempotency::Idempotent,
-        ..Class::default()
-    };
-    let faults = vec![
-        ScheduledFault::new(2000.0, FleetFault::StartBackend(0)),
-        ScheduledFault::new(
-            2000.0,
-            FleetFault::Announce {
-                backend: 0,
-                availability: Availability::Draining,
-            },
-        ),
-        ScheduledFault::new(
-            3000.0,
-            FleetFault::Backend {
-                backend: 0,
-                fault: BackendFault::Crashed,
-            },
-        ),
-        ScheduledFault::new(
-            4000.0,
-            FleetFault::Partition {
-                zone: 1,
-                is_partitioned: true,
-            },
-        ),
-        ScheduledFault::new(
-            5000.0,
-            FleetFault::Partition {
-                zone: 1,
-                is_partitioned: false,
-            },
-        ),
-        ScheduledFault::new(
-            5000.0,
-            FleetFault::Backend {
-                backend: 3,
-                fault: BackendFault::Errors(0.5),
-            },
-        ),
-    ];
+    let backends = (0..16)
+        .map(|index| BackendSpec {
+            zone: index % 2,
+            ..BackendSpec::default()
+        })
+        .collect();
     Scenario {
-        settings: Settings {
-            gateways: 20,
-            plans: vec![Plan {
-                rate: 1e4,
-                burst: 1e5,
-                ..Plan::default()
-            }],
-            max_attempts: 4,
-            hedging: true,
-            cancellation: true,
-            ..Settings::default()
-        },
-        classes: vec![ClassSpec {
-            class,
-            share: 1.0,
-            mean_work: 150.0,
-            coefficient_of_variation: 1.0,
-        }],
-        backends: (0..16)
-            .map(|i| BackendSpec {
-                zone: i % 2,
-                ..BackendSpec::default()
-            })
-            .collect(),
+        settings: settings(),
+        classes: vec![class()],
+        backends,
         zones: 2,
         requests_per_second: 10.0,
         deducts_network_delay: true,
@@ -96,23 +41,114 @@
             initial_fraction: 0.25,
             duration: 8000.0,
         },
-        max_connections_per_backend: Some(12),
+        max_connections_per_backend: Some(MAX_CONNECTIONS),
         seed,
-        faults,
+        faults: faults(),
         clients: None,
     }
 }
 
-/// Guards the figures: a seed determines the run, and another seed gives another.
+fn settings() -> Settings {
+    Settings {
+        gateways: 20,
+        plans: vec![Plan {
+            rate: 1e4,
+            burst: 1e5,
+            ..Plan::default()
+        }],
+        max_attempts: 4,
+        hedging: true,
+        cancellation: true,
+        ..Settings::default()
+    }
+}
+
+fn class() -> ClassSpec {
+    ClassSpec {
+        class: Class {
+            latency_objective: 1200.0,
+            deadline: 3000.0,
+            idempotency: Idempotency::Idempotent,
+            ..Class::default()
+        },
+        share: 1.0,
+        mean_work: 150.0,
+        coefficient_of_variation: 1.0,
+    }
+}
+
+fn faults() -> Vec<ScheduledFault> {
+    let draining = FleetFault::Announce {
+        backend: 0,
+        availability: Availability::Draining,
+    };
+    let crash = FleetFault::Backend {
+        backend: 0,
+        fault: BackendFault::Crashed,
+    };
+    let partition = |is_partitioned| FleetFault::Partition {
+        zone: 1,
+        is_partitioned,
+    };
+    let errors = FleetFault::Backend {
+        backend: 3,
+        fault: BackendFault::Errors(0.5),
+    };
+    vec![
+        ScheduledFault::new(2000.0, FleetFault::StartBackend(0)),
+        ScheduledFault::new(2000.0, draining),
+        ScheduledFault::new(3000.0, crash),
+        ScheduledFault::new(4000.0, partition(true)),
+        ScheduledFault::new(5000.0, partition(false)),
+        ScheduledFault::new(5000.0, errors),
+    ]
+}
+
+/// The scenario with customers instead, of which one floods every gateway of its set, while 14 of the 20 gateways
+/// restart.
+fn flooded_scenario(seed: u64) -> Scenario {
+    let ceiling = Ceiling {
+        rate: 20.0,
+        burst: 40.0,
+        slack: 4.0,
+    };
+    let plan = Plan {
+        rate: 10.0,
+        burst: 20.0,
+        over_quota_cost: 0.5,
+        ceiling: Some(ceiling),
+        ..Plan::default()
+    };
+    let restarts = (0..14)
+        .map(|gateway| ScheduledFault::new(4000.0, FleetFault::RestartGateway(gateway)))
+        .collect();
+    Scenario {
+        settings: Settings {
+            plans: vec![plan],
+            meter_period: 500.0,
+            ..settings()
+        },
+        faults: restarts,
+        clients: Some(flooding_customers(150.0)),
+        min_deadline_fraction: 0.9,
+        gateway_stalls: Vec::new(),
+        max_connections_per_backend: None,
+        ..scenario(seed)
+    }
+}
+
+/// The same seed gives the same statistics, and another seed gives others.
 #[test]
 fn a_seed_determines_the_run() {
-    let (first, again, other) = (run(scenario(1)), run(scenario(1)), run(scenario(2)));
-    assert_eq!(first, again);
+    let first = run(scenario(1));
+    let repeated = run(scenario(1));
+    let other = run(scenario(2));
+    assert_eq!(first, repeated);
     assert_ne!(first, other);
 }
 
-/// Guards the sums: every request has one end, useful work is no more than was done, tables hold what they hold, and most
-/// of a day with some trouble is served.
+/// Every request has one outcome, useful work is at most the work done, no backend has more connections than it accepts,
+/// and most requests of a run with some faults are served.
 #[test]
 fn the_statistics_of_a_run_are_consistent() {
     for seed in 1..6 {
@@ -129,7 +165,10 @@
                 && statistics.first_attempts <= statistics.attempts
         );
         assert!(
-            statistics.peak_connections.iter().all(|peak| *peak <= 12),
+            statistics
+                .peak_connections
+                .iter()
+                .all(|peak| *peak <= MAX_CONNECTIONS),
             "{:?}",
             statistics.peak_connections
         );
@@ -143,50 +182,18 @@
     }
 }
 
-/// Guards what quotas are judged by: a seed determines the account; what is served within the quotas is no more than was offered,
-/// every attempt is forwarded or rejected for a reason, and no ceiling is passed while one customer floods every gateway of its set and
-/// two thirds of the gateways restart.
+/// A seed determines the account; weight served within the quotas is at most the weight offered, every attempt is
+/// forwarded or rejected for a reason, and no ceiling is exceeded.
 #[test]
-fn the_quota_account_covers_every_attempt_and_no_ceiling_is_passed() {
-    let flooded = |seed| {
-        let ceiling = Ceiling {
-            rate: 20.0,
-            burst: 40.0,
-            slack: 4.0,
-        };
-        let plan = Plan {
-            rate: 10.0,
-            burst: 20.0,
-            over_quota_cost: 0.5,
-            ceiling: Some(ceiling),
-            ..Plan::default()
-        };
-        let clients = flooding_customers(150.0);
-        let mut scenario = scenario(seed);
-        scenario.faults = (0..14)
-            .map(|gateway| ScheduledFault::new(4000.0, FleetFault::RestartGateway(gateway)))
-            .collect();
-        scenario.settings = Settings {
-            plans: vec![plan],
-            meter_period: 500.0,
-            ..scenario.settings
-        };
-        Scenario {
-            clients: Some(clients),
-            min_deadline_fraction: 0.9,
-            gateway_stalls: Vec::new(),
-            max_connections_per_backend: None,
-            ..scenario
-        }
-    };
+fn the_quota_account_covers_every_attempt_and_no_ceiling_is_exceeded() {
     for seed in 1..4 {
-        let account = run(flooded(seed)).quota_account;
-        assert_eq!(account, run(flooded(seed)).quota_account);
-        let refused: u64 = account.rejections_by_reason.values().sum();
-        let sent = account.units_within_quota + account.units_over_quota;
+        let account = run(flooded_scenario(seed)).quota_account;
+        assert_eq!(account, run(flooded_scenario(seed)).quota_account);
+        let rejected: u64 = account.rejections_by_reason.values().sum();
+        let forwarded = account.units_within_quota + account.units_over_quota;
         assert!(
-            sent + refused as f64 >= account.attempts as f64 * 0.95,
-            "{sent}, {refused}: {account:?}"
+            forwarded + rejected as f64 >= account.attempts as f64 * 0.95,
+            "{forwarded}, {rejected}: {account:?}"
         );
         assert!(
             account.served <= account.offered && account.served > 0.5 * account.offered,
@@ -194,7 +201,7 @@
         );
         assert!(
             account.min_ceiling_margin >= 0.0,
-            "a ceiling is passed: {account:?}"
+            "a ceiling is exceeded: {account:?}"
         );
         assert!(
             account.rejections_by_reason.contains_key("Ceiling"),
--- a/crates/fleet-simulation/tests/slow_start.rs
+++ b/crates/fleet-simulation/tests/slow_start.rs
@@ -1,7 +1,7 @@
-//! What backends in slow start get from all gateways together, counted at the backends.
+//! The load that all gateways together put on backends in slow start, counted at the backends.
 //!
-//! The rule: while a backend is cold it gets, in any window of the time that the settings name, work for at most
-//! N + 2 sqrt(N) + 2 requests of mean work, where N is the overload factor times what it can do in such a window by then.
+//! The limit: in any window of [`OVERLOAD_WINDOW`] while a backend is in slow start (cold), it gets work for at most
+//! N + 2 sqrt(N) + 2 requests of mean work, where N is the overload factor times its capacity in such a window then.
 
 mod common;
 
@@ -9,26 +9,26 @@
 use cometspool_fleet_simulation::*;
 use common::flooding_customers;
 
-/// Mean work of a request, in milliseconds of one core.
+/// Mean work of a request, in milliseconds of one core of reference speed.
 const MEAN_WORK: f64 = 150.0;
 /// Load before and after a burst, as a fraction of the capacity of the warm backends.
 const CALM: f64 = 0.5;
-/// Load in a quiet time, likewise.
+/// Load before the burst where hardly any requests arrive, likewise.
 const QUIET: f64 = 0.1;
 /// Load in a burst, likewise.
 const BURST: f64 = 3.0;
-/// Load that customers ask for within their quotas, likewise.
+/// Load that customers request within their quotas, likewise.
 const OFFERED: f64 = 1.0;
 /// How a backend's capacity grows after its start.
 const SLOW_START: SlowStart = SlowStart {
     initial_fraction: 0.19,
     duration: 16_000.0,
 };
-/// Multiple of its present capacity that a cold backend bears within [`OVERLOAD_WINDOW`].
+/// Multiple of its present capacity that a cold backend may get within [`OVERLOAD_WINDOW`].
 const OVERLOAD_FACTOR: f64 = 2.0;
-/// The window in which its load is counted, in milliseconds.
+/// The window in which its load is counted, ms.
 const OVERLOAD_WINDOW: Millis = 2000.0;
-/// How long clients send requests, in milliseconds.
+/// How long clients send requests, ms.
 const DURATION: Millis = 30_000.0;
 
 /// A fleet: its gateways, its backends, and the cores of each backend.
@@ -39,7 +39,7 @@
     cores: usize,
 }
 
-/// The fleets. In the last, every gateway meets every backend, and each of these can do little.
+/// The fleets. In the last, every gateway uses every backend, and backends have little capacity.
 const FLEETS: [Fleet; 4] = [
     Fleet {
         gateways: 20,
@@ -66,58 +66,27 @@
 const SEEDS: std::ops::Range<u64> = 1..6;
 
 impl Fleet {
-    /// Requests a second that a warm backend can do.
+    /// Requests a second that a warm backend can serve.
     fn warm_rate(&self) -> f64 {
         self.cores as f64 * 1000.0 / MEAN_WORK
     }
 
-    /// Requests a second for each gateway that come to this part of what the warm backends can do.
-    fn rate(&self, part: f64) -> f64 {
-        part * self.warm_rate() * self.backends as f64 / f64::from(self.gateways)
+    /// Requests a second for each gateway at this fraction of the capacity of the warm backends.
+    fn rate(&self, load: f64) -> f64 {
+        load * self.warm_rate() * self.backends as f64 / f64::from(self.gateways)
     }
 }
 
+/// A fleet in one zone under light load, without faults.
 fn scenario(fleet: Fleet, seed: u64) -> Scenario {
-    let Fleet {
-        gateways,
-        backends,
-        cores,
-    } = fleet;
-    let class = Class {
-        latency_objective: 1200.0,
-        deadline: 3000.0,
-        idempotency: Idempotency::Idempotent,
-        ..Class::default()
+    let backend = BackendSpec {
+        cores: fleet.cores,
+        ..BackendSpec::default()
     };
     Scenario {
-        settings: Settings {
-            gateways,
-            plans: vec![Plan {
-                rate: 1e4,
-                burst: 1e5,
-                ..Plan::default()
-            }],
-            max_attempts: 4,
-            hedging: true,
-            cancellation: true,
-            start_capacity: SLOW_START.initial_fraction,
-            warm_up: SLOW_START.duration,
-            overload_factor: OVERLOAD_FACTOR,
-            overload_window: OVERLOAD_WINDOW,
-            ..Settings::default()
-        },
-        classes: vec![ClassSpec {
-            class,
-            share: 1.0,
-            mean_work: MEAN_WORK,
-            coefficient_of_variation: 0.0,
-        }],
-        backends: (0..backends)
-            .map(|_| BackendSpec {
-                cores,
-                ..BackendSpec::default()
-            })
-            .collect(),
+        settings: settings(fleet.gateways),
+        classes: vec![class()],
+        backends: vec![backend; fleet.backends],
         zones: 1,
         requests_per_second: fleet.rate(CALM),
         deducts_network_delay: true,
@@ -138,7 +107,40 @@
     }
 }
 
-/// The load of one window beside its limit, both in requests of mean work.
+fn settings(gateways: u32) -> Settings {
+    Settings {
+        gateways,
+        plans: vec![Plan {
+            rate: 1e4,
+            burst: 1e5,
+            ..Plan::default()
+        }],
+        max_attempts: 4,
+        hedging: true,
+        cancellation: true,
+        start_capacity: SLOW_START.initial_fraction,
+        warm_up: SLOW_START.duration,
+        overload_factor: OVERLOAD_FACTOR,
+        overload_window: OVERLOAD_WINDOW,
+        ..Settings::default()
+    }
+}
+
+fn class() -> ClassSpec {
+    ClassSpec {
+        class: Class {
+            latency_objective: 1200.0,
+            deadline: 3000.0,
+            idempotency: Idempotency::Idempotent,
+            ..Class::default()
+        },
+        share: 1.0,
+        mean_work: MEAN_WORK,
+        coefficient_of_variation: 0.0,
+    }
+}
+
+/// The load of one window and its limit, both in requests of mean work.
 #[derive(Clone, Copy, Debug)]
 struct WindowLoad {
     requests: f64,
@@ -151,8 +153,8 @@
     }
 }
 
-/// The fullest window beside its limit, of those that the gateways answer for: two thirds of the work in it was sent by
-/// gateways that had been notified of the backend's start.
+/// The window with the highest load relative to its limit. Only those windows count in which at least two thirds of the
+/// work were sent by gateways that had been notified of the backend's start.
 fn fullest_window(fleet: Fleet, statistics: &RunStatistics) -> WindowLoad {
     let mut fullest = WindowLoad {
         requests: 0.0,
@@ -185,7 +187,7 @@
     fullest
 }
 
-/// Requests of mean work that a backend may get within a window that ends `age` after its start.
+/// Requests of mean work that a backend may get within a window that ends `age` ms after its start.
 fn window_limit(fleet: Fleet, age: Millis) -> f64 {
     let progress = (age / SLOW_START.duration).clamp(0.0, 1.0);
     let capacity = SLOW_START.initial_fraction + (1.0 - SLOW_START.initial_fraction) * progress;
@@ -214,7 +216,7 @@
         }
         assert!(
             cold_arrivals > 0,
-            "{name}: nothing came to a cold backend in {fleet:?}"
+            "{name}: no work arrived at a cold backend in {fleet:?}"
         );
     }
     assert!(
@@ -225,211 +227,188 @@
     );
 }
 
-/// A burst from `from` on, for three seconds.
+/// A burst of three seconds from `from` (ms) on.
 fn burst(fleet: Fleet, scenario: &mut Scenario, from: Millis) {
-    scenario.faults.push(ScheduledFault::new(
-        from,
-        FleetFault::SetRequestRate(fleet.rate(BURST)),
-    ));
-    scenario.faults.push(ScheduledFault::new(
-        from + 3000.0,
-        FleetFault::SetRequestRate(fleet.rate(CALM)),
-    ));
+    let start = FleetFault::SetRequestRate(fleet.rate(BURST));
+    let end = FleetFault::SetRequestRate(fleet.rate(CALM));
+    schedule(scenario, from, start);
+    schedule(scenario, from + 3000.0, end);
+}
+
+/// Adds a fault at a time in milliseconds.
+fn schedule(scenario: &mut Scenario, at: Millis, fault: FleetFault) {
+    scenario.faults.push(ScheduledFault::new(at, fault));
+}
+
+/// Gives a backend a fault from `at` (ms) on.
+fn schedule_backend_fault(
+    scenario: &mut Scenario,
+    at: Millis,
+    backend: usize,
+    fault: BackendFault,
+) {
+    schedule(scenario, at, FleetFault::Backend { backend, fault });
+}
+
+/// Notifies all gateways of a backend's availability, from `at` (ms) on.
+fn announce(scenario: &mut Scenario, at: Millis, backend: usize, availability: Availability) {
+    schedule(
+        scenario,
+        at,
+        FleetFault::Announce {
+            backend,
+            availability,
+        },
+    );
 }
 
-/// A backend that joins in calm.
+/// A backend joins under light load.
 #[test]
 fn a_backend_that_joins_under_light_load_stays_within_its_slow_start_limit() {
     check_limit("calm", |_, scenario| {
-        scenario
-            .faults
-            .push(ScheduledFault::new(5000.0, FleetFault::StartBackend(0)));
+        schedule(scenario, 5000.0, FleetFault::StartBackend(0));
     });
 }
 
-/// A backend that joins as a burst begins.
+/// A backend joins shortly before a burst.
 #[test]
 fn a_backend_that_joins_under_a_burst_stays_within_its_slow_start_limit() {
     check_limit("burst", |fleet, scenario| {
-        scenario
-            .faults
-            .push(ScheduledFault::new(5000.0, FleetFault::StartBackend(0)));
+        schedule(scenario, 5000.0, FleetFault::StartBackend(0));
         burst(fleet, scenario, 5500.0);
     });
 }
 
-/// A burst that begins while a backend has been cold and hardly asked for some time.
+/// A burst begins when a backend has been cold for some time and has got few requests.
 #[test]
 fn a_burst_after_quiet_keeps_a_cold_backend_within_its_slow_start_limit() {
     check_limit("quiet", |fleet, scenario| {
         scenario.requests_per_second = fleet.rate(QUIET);
-        scenario
-            .faults
-            .push(ScheduledFault::new(5000.0, FleetFault::StartBackend(0)));
+        schedule(scenario, 5000.0, FleetFault::StartBackend(0));
         burst(fleet, scenario, 8000.0);
     });
 }
 
-/// A quarter of the backends at once.
+/// As many backends as a quarter of the fleet join at once, before a burst.
 #[test]
 fn several_backends_that_join_at_once_stay_within_their_slow_start_limit() {
     check_limit("several", |fleet, scenario| {
-        let fresh = scenario.backends.len() / 4;
-        scenario
-            .faults
-            .extend((0..fresh).map(|i| ScheduledFault::new(5000.0, FleetFault::StartBackend(i))));
+        let joining = scenario.backends.len() / 4;
+        for backend in 0..joining {
+            schedule(scenario, 5000.0, FleetFault::StartBackend(backend));
+        }
         burst(fleet, scenario, 6000.0);
     });
 }
 
-/// Half of the backends die, and come back cold at once while there is more to do than the other half can.
+/// Half of the backends crash, and return cold at once while the load exceeds the capacity of the other half.
 #[test]
 fn half_of_the_backends_returning_at_once_stay_within_their_slow_start_limit() {
     check_limit("half", |fleet, scenario| {
         let half = scenario.backends.len() / 2;
-        scenario.faults.extend((0..half).map(|i| {
-            ScheduledFault::new(
-                3000.0,
-                FleetFault::Backend {
-                    backend: i,
-                    fault: BackendFault::Crashed,
-                },
-            )
-        }));
-        scenario.faults.extend((0..half).map(|i| {
-            ScheduledFault::new(
-                3200.0,
-                FleetFault::Announce {
-                    backend: i,
-                    availability: Availability::Removed,
-                },
-            )
-        }));
-        scenario
-            .faults
-            .extend((0..half).map(|i| ScheduledFault::new(6000.0, FleetFault::StartBackend(i))));
+        for backend in 0..half {
+            schedule_backend_fault(scenario, 3000.0, backend, BackendFault::Crashed);
+        }
+        for backend in 0..half {
+            announce(scenario, 3200.0, backend, Availability::Removed);
+        }
+        for backend in 0..half {
+            schedule(scenario, 6000.0, FleetFault::StartBackend(backend));
+        }
         burst(fleet, scenario, 5500.0);
     });
 }
 
-/// All backends have just started, and there is more to do than they could if they were warm.
+/// All backends have just started, and the load exceeds even the capacity of warm backends.
 #[test]
 fn a_fleet_that_starts_cold_under_a_burst_stays_within_its_slow_start_limit() {
     check_limit("all", |fleet, scenario| {
-        scenario
-            .backends
-            .iter_mut()
-            .for_each(|backend| backend.started_at = Some(0.0));
+        for backend in &mut scenario.backends {
+            backend.started_at = Some(0.0);
+        }
         burst(fleet, scenario, 1000.0);
     });
 }
 
-/// All backends, one after another: each goes as its successor joins.
+/// All backends are replaced in turn: each drains as its successor joins.
 #[test]
 fn backends_replaced_in_turn_stay_within_their_slow_start_limit() {
     check_limit("replaced", |_, scenario| {
         let count = scenario.backends.len();
-        for i in 0..count {
-            let at = 2000.0 + 20_000.0 * i as f64 / count as f64;
-            scenario
-                .faults
-                .push(ScheduledFault::new(at, FleetFault::StartBackend(i)));
-            scenario.faults.push(ScheduledFault::new(
-                at,
-                FleetFault::Announce {
-                    backend: i,
-                    availability: Availability::Draining,
-                },
-            ));
+        for backend in 0..count {
+            let at = 2000.0 + 20_000.0 * backend as f64 / count as f64;
+            schedule(scenario, at, FleetFault::StartBackend(backend));
+            announce(scenario, at, backend, Availability::Draining);
         }
     });
 }
 
-/// Gateways hear of a backend over six seconds, one of them late in its warming.
+/// Gateways are notified of a backend over six seconds, so that some learn of it late in its slow start.
 #[test]
 fn endpoint_updates_at_different_times_keep_the_slow_start_limit() {
     check_limit("late", |fleet, scenario| {
         scenario.propagation_delay = 6000.0;
-        scenario
-            .faults
-            .push(ScheduledFault::new(5000.0, FleetFault::StartBackend(0)));
+        schedule(scenario, 5000.0, FleetFault::StartBackend(0));
         burst(fleet, scenario, 6500.0);
     });
 }
 
-/// A third of the backends errs, half of it dies, and what failed is sent again.
+/// A third of the backends responds with errors, half of that third crashes, and gateways retry what failed.
 #[test]
 fn retries_keep_a_cold_backend_within_its_slow_start_limit() {
     check_limit("retries", |_, scenario| {
         let third = scenario.backends.len() / 3;
-        scenario
-            .faults
-            .push(ScheduledFault::new(5000.0, FleetFault::StartBackend(0)));
-        scenario.faults.extend((0..third).map(|i| {
-            ScheduledFault::new(
-                5500.0,
-                FleetFault::Backend {
-                    backend: i,
-                    fault: BackendFault::Errors(0.5),
-                },
-            )
-        }));
-        scenario.faults.extend((0..third / 2).map(|i| {
-            ScheduledFault::new(
-                7000.0,
-                FleetFault::Backend {
-                    backend: i,
-                    fault: BackendFault::Crashed,
-                },
-            )
-        }));
+        schedule(scenario, 5000.0, FleetFault::StartBackend(0));
+        for backend in 0..third {
+            schedule_backend_fault(scenario, 5500.0, backend, BackendFault::Errors(0.5));
+        }
+        for backend in 0..third / 2 {
+            schedule_backend_fault(scenario, 7000.0, backend, BackendFault::Crashed);
+        }
     });
 }
 
-/// A third of the gateways starts anew while a backend is cold: each begins without what it had given it.
+/// A third of the gateways restarts while a backend is cold, and loses its record of what it sent to it.
 #[test]
 fn restarted_gateways_keep_a_cold_backend_within_its_slow_start_limit() {
     check_limit("anew", |_, scenario| {
-        scenario
-            .faults
-            .push(ScheduledFault::new(5000.0, FleetFault::StartBackend(0)));
+        schedule(scenario, 5000.0, FleetFault::StartBackend(0));
         let third = scenario.settings.gateways as usize / 3;
-        scenario.faults.extend(
-            (0..third)
-                .map(|gateway| ScheduledFault::new(6000.0, FleetFault::RestartGateway(gateway))),
-        );
+        for gateway in 0..third {
+            schedule(scenario, 6000.0, FleetFault::RestartGateway(gateway));
+        }
     });
 }
 
-/// Half of the backends start anew one after another under their old names, and gateways hear of it over two seconds:
-/// until then they take them for warm, afterwards they begin anew with them.
+/// Half of the backends restart in turn under their old ids, and gateways are notified over two seconds; until then
+/// gateways treat them as warm.
 #[test]
 fn backends_restarted_in_place_stay_within_their_slow_start_limit() {
     check_limit("in place", |_, scenario| {
         scenario.propagation_delay = 2000.0;
         let half = scenario.backends.len() / 2;
-        scenario.faults.extend((0..half).map(|i| {
-            ScheduledFault::new(3000.0 + 500.0 * i as f64, FleetFault::RestartBackend(i))
-        }));
+        for backend in 0..half {
+            let at = 3000.0 + 500.0 * backend as f64;
+            schedule(scenario, at, FleetFault::RestartBackend(backend));
+        }
     });
 }
 
-/// Customers within their quotas ask for what the backends can do when warm, one of them for as much again, all have just
-/// started, and clients that are refused come again.
+/// All backends have just started; customers request the capacity of the warm backends within their quotas, one of them
+/// as much again, and clients retry rejected requests.
 #[test]
 fn retrying_customers_keep_cold_backends_within_their_slow_start_limit() {
     check_limit("customers", |fleet, scenario| {
-        let able = fleet.warm_rate() * fleet.backends as f64;
+        let capacity = fleet.warm_rate() * fleet.backends as f64;
         scenario.settings.plans = vec![Plan {
             rate: 5.0,
             burst: 10.0,
             ..Plan::default()
         }];
         scenario.settings.meter_period = 500.0;
-        scenario
-            .backends
-            .iter_mut()
-            .for_each(|backend| backend.started_at = Some(0.0));
-        scenario.clients = Some(flooding_customers(able * OFFERED));
+        for backend in &mut scenario.backends {
+            backend.started_at = Some(0.0);
+        }
+        scenario.clients = Some(flooding_customers(capacity * OFFERED));
     });
 }
