--- a/crates/fault-injection/src/proxy.rs
+++ b/crates/fault-injection/src/proxy.rs
@@ -71,7 +71,7 @@
                 if accepting.await.is_err() {
                     return;
                 }
-                listener = listen_again(self.listen_address).await;
+                listener = rebind(self.listen_address).await;
             }
             tokio::select! {
                 accepted = listener.accept() => match accepted {
@@ -185,7 +185,7 @@
 }
 
 /// Binds the address again; connections that are still closing can keep it in use for a moment.
-async fn listen_again(address: SocketAddr) -> TcpListener {
+async fn rebind(address: SocketAddr) -> TcpListener {
     loop {
         match listen(address) {
             Ok(listener) => return listener,
--- a/crates/fault-injection/src/schedule/run.rs
+++ b/crates/fault-injection/src/schedule/run.rs
@@ -227,22 +227,33 @@
                 ahead_ms,
             } => self.step_clock(processes, if starts { *ahead_ms } else { 0.0 })?,
             FaultAction::FillDisk { processes } => {
-                for process in processes {
-                    self.cluster.processes[*process].set_disk_full(starts)?;
-                }
+                self.set_disks_full(processes, starts)?;
             }
             FaultAction::ChangeBackend { backend, behavior } => {
-                let behavior = if starts {
-                    behavior.clone()
-                } else {
-                    BackendBehavior::default()
-                };
-                self.cluster.set_backend_behavior(*backend, behavior);
+                self.change_backend(*backend, behavior, starts);
             }
         }
         Ok(())
     }
 
+    /// Fills the disks of these processes, or frees them.
+    fn set_disks_full(&mut self, processes: &[usize], is_full: bool) -> io::Result<()> {
+        for process in processes {
+            self.cluster.processes[*process].set_disk_full(is_full)?;
+        }
+        Ok(())
+    }
+
+    /// Has a backend behave in a way, or as usual again.
+    fn change_backend(&mut self, backend: usize, behavior: &BackendBehavior, starts: bool) {
+        let behavior = if starts {
+            behavior.clone()
+        } else {
+            BackendBehavior::default()
+        };
+        self.cluster.set_backend_behavior(backend, behavior);
+    }
+
     /// Adds or removes the conditions of a fault, and sets each link to the combination of all that are active.
     fn change_links(
         &mut self,
--- a/src/net/downstream/request.rs
+++ b/src/net/downstream/request.rs
@@ -13,7 +13,7 @@
 use cometspool::{ClassId, CustomerId, Idempotency, Millis, PlanId, Settings};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Bytes, Incoming as IncomingBody};
-use hyper::header::{HeaderName, CONTENT_TYPE, COOKIE, HOST, TRANSFER_ENCODING};
+use hyper::header::{HeaderName, HeaderValue, CONTENT_TYPE, COOKIE, HOST, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
 use hyper::{HeaderMap, Method, StatusCode, Uri};
@@ -143,15 +143,18 @@
             method: head.method.clone(),
             uri: Uri::from(path.clone()),
             key: headers.get(IDEMPOTENCY_KEY).cloned(),
-            // A malformed one says nothing about the body, so it is left out.
-            content_type: header_text(headers, &CONTENT_TYPE)
-                .ok()
-                .and_then(|_| headers.get(CONTENT_TYPE).cloned()),
+            content_type: content_type(headers),
             body: Bytes::new(),
         },
     })
 }
 
+/// The content type, if there is one. A malformed one says nothing about the body, so it is left out.
+fn content_type(headers: &HeaderMap) -> Option<HeaderValue> {
+    header_text(headers, &CONTENT_TYPE).ok()?;
+    headers.get(CONTENT_TYPE).cloned()
+}
+
 /// Reads a body, which has to be complete by `deadline`. A request without one has an empty body.
 pub(crate) async fn read_body(
     body: IncomingBody,
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -103,13 +103,16 @@
 }
 
 impl Driver {
-    /// A driver with an empty endpoint list, whose attempts go over sockets. `woken` records when the event loop
+    /// A driver with an empty endpoint list, whose attempts go over sockets. `wake_recorder` records when the event loop
     /// woke since the process started.
     ///
     /// # Errors
     ///
     /// [`DriverError::Handover`], if the hand-over file cannot be read or written.
-    pub(super) fn new(config: &Config, woken: WakeRecorder) -> Result<Rc<Driver>, DriverError> {
+    pub(super) fn new(
+        config: &Config,
+        wake_recorder: WakeRecorder,
+    ) -> Result<Rc<Driver>, DriverError> {
         let settings = &config.parsed;
         let clock = Clock::skewed(config.clock);
         let memory_bytes = config.limits.memory_mb << 20;
@@ -128,19 +131,19 @@
             clock,
         };
         let executor = socket_executor(transport);
-        Driver::with_executor(config, woken, clock, connections, executor)
+        Driver::with_executor(config, wake_recorder, clock, connections, executor)
     }
 
     /// A driver whose attempts are carried out by `executor`.
     fn with_executor(
         config: &Config,
-        woken: WakeRecorder,
+        wake_recorder: WakeRecorder,
         clock: Clock,
         connections: Rc<UpstreamConnections>,
         executor: Box<AttemptExecutor>,
     ) -> Result<Rc<Driver>, DriverError> {
         let settings = &config.parsed;
-        let context = Rc::new(RuntimeContext::new(settings, woken, clock));
+        let context = Rc::new(RuntimeContext::new(settings, wake_recorder, clock));
         let handover = match &config.handover {
             Some(path) => Some(open_handover(path, &context)?),
             None => None,
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -150,7 +150,7 @@
         }
         let is_retried = !pending.stream_started
             && self.retry.may_retry(now, &pending)
-            && self.send_again(now, &pending, actions);
+            && self.send_retry(now, &pending, actions);
         if !is_retried {
             actions.push(self.final_answer(now, &pending));
             self.pending.remove(&id);
@@ -187,7 +187,7 @@
     }
 
     /// Sends one more attempt, from the retry budget; `false` if no backend may be sent it.
-    fn send_again(
+    fn send_retry(
         &mut self,
         now: Millis,
         pending: &PendingRequest,
@@ -218,7 +218,7 @@
             && self.retry.may_retry(now, pending);
         if may_hedge {
             let pending = pending.clone();
-            self.send_again(now, &pending, actions);
+            self.send_retry(now, &pending, actions);
         }
     }
 
--- a/src/policy/backends.rs
+++ b/src/policy/backends.rs
@@ -42,7 +42,7 @@
     /// Time over load at the send, over recent responses.
     unit_time: DecayingRatio,
     /// When an attempt there last ended, ms.
-    last_news_at: Millis,
+    last_outcome_at: Millis,
     /// When it last answered each class that it was sent, ms.
     answered_at: BTreeMap<ClassId, Millis>,
     pub faults: FaultHistory,
@@ -55,7 +55,7 @@
             entry,
             in_flight: BTreeMap::new(),
             unit_time: DecayingRatio::default(),
-            last_news_at: now,
+            last_outcome_at: now,
             answered_at: BTreeMap::new(),
             faults: FaultHistory::new(latency_objective),
             budget: SlowStartBudget::with_debt(now, debt),
@@ -160,7 +160,7 @@
             } else if backend.faults.is_hanging(now, attempt.class) {
                 continue;
             } else {
-                self.overdue_since(now, backend, attempt, backend.last_news_at)
+                self.overdue_since(now, backend, attempt, backend.last_outcome_at)
             };
             longest = f64::max(longest, overdue);
         }
@@ -183,10 +183,10 @@
         now: Millis,
         backend: &Backend,
         attempt: &InFlight,
-        news_at: Millis,
+        outcome_at: Millis,
     ) -> Millis {
         let expected = OVERDUE_FACTOR * self.unit_time(backend) * attempt.load;
-        now - attempt.sent_at.max(news_at) - expected
+        now - attempt.sent_at.max(outcome_at) - expected
     }
 
     /// Whether an attempt of a request hangs at a backend.
@@ -239,7 +239,7 @@
         }
         let backend = &mut self.all[index];
         backend.answered_at.entry(request.class).or_insert(now);
-        backend.last_news_at = now;
+        backend.last_outcome_at = now;
         if matches!(
             completed.outcome,
             Outcome::Ok | Outcome::Error | Outcome::Rejected
@@ -268,7 +268,7 @@
             timed_out: matches!(outcome, Outcome::Timeout | Outcome::Cancelled),
             was_hanging: attempt
                 .is_some_and(|attempt| self.overdue_within_class(now, backend, &attempt) > 0.0),
-            was_silent: attempt.is_some_and(|attempt| attempt.sent_at >= backend.last_news_at),
+            was_silent: attempt.is_some_and(|attempt| attempt.sent_at >= backend.last_outcome_at),
         }
     }
 
@@ -319,11 +319,11 @@
     pub(super) fn update_list(
         &mut self,
         now: Millis,
-        is_whole: bool,
+        is_full_list: bool,
         entries: &[BackendEntry],
         rng: &mut Pcg32,
     ) {
-        if is_whole {
+        if is_full_list {
             for backend in &mut self.all {
                 backend.entry.availability = Availability::Removed;
             }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -279,17 +279,17 @@
         if self.context.settings.discovery == DiscoveryMode::OnRequest {
             match kind {
                 ListKind::Cached => actions.push(Action::Subscribe),
-                ListKind::Failed => actions.push(self.poll_again(now)),
+                ListKind::Failed => actions.push(self.schedule_poll_retry(now)),
                 ListKind::Full | ListKind::Changes => {}
             }
         }
-        let is_whole = matches!(kind, ListKind::Full | ListKind::Cached);
+        let is_full_list = matches!(kind, ListKind::Full | ListKind::Cached);
         self.backends
-            .update_list(now, is_whole, entries, &mut self.rng);
+            .update_list(now, is_full_list, entries, &mut self.rng);
     }
 
     /// Polls the endpoint list again after a part of the poll interval, with jitter.
-    fn poll_again(&mut self, now: Millis) -> Action {
+    fn schedule_poll_retry(&mut self, now: Millis) -> Action {
         let interval = self.context.settings.poll_interval;
         let pause = interval / POLL_RETRIES_PER_INTERVAL * (0.5 + uniform(&mut self.rng));
         Action::SetTimer {
