--- a/crates/fleet-simulation/src/client_population/customer.rs
+++ b/crates/fleet-simulation/src/client_population/customer.rs
@@ -69,30 +69,33 @@
 enum UsagePattern {
     /// The same usage all the time.
     Steady { usage: f64 },
-    /// Bursts at a fixed interval; times in ms.
+    /// Bursts at a fixed interval.
     Bursty {
         calm_usage: f64,
         burst_usage: f64,
+        /// From the start of one burst to that of the next, ms.
         interval: Millis,
+        /// Of a burst, ms.
         duration: Millis,
     },
 }
 
 impl UsagePattern {
+    /// Draws the pattern of a customer.
     fn draw(shares: UsageShares, random: &mut RandomSource) -> UsagePattern {
-        let kind = random.uniform();
+        let point = random.uniform();
         let calm_usage = CALM_USAGE.draw(random);
-        if kind < shares.near_limit {
+        if point < shares.near_limit {
             return UsagePattern::Steady {
                 usage: NEAR_LIMIT_USAGE,
             };
         }
-        if kind < shares.near_limit + shares.over_limit {
+        if point < shares.near_limit + shares.over_limit {
             return UsagePattern::Steady {
                 usage: OVER_LIMIT_USAGE.draw(random),
             };
         }
-        if kind < shares.near_limit + shares.over_limit + shares.bursty {
+        if point < shares.near_limit + shares.over_limit + shares.bursty {
             let interval = BURST_INTERVAL.draw(random);
             let duration = BURST_DURATION.draw(random);
             return UsagePattern::Bursty {
@@ -114,10 +117,10 @@
     }
 
     /// The usage of a customer now. The customer's index spreads the bursts of different customers.
-    fn current_usage(self, now: Millis, customer: usize) -> CurrentRate {
+    fn current_usage(self, now: Millis, customer: usize) -> CurrentUsage {
         match self {
-            UsagePattern::Steady { usage } => CurrentRate {
-                rate: usage,
+            UsagePattern::Steady { usage } => CurrentUsage {
+                usage,
                 valid_until: f64::INFINITY,
             },
             UsagePattern::Bursty {
@@ -130,8 +133,8 @@
                 let in_burst = phase < duration;
                 let usage = if in_burst { burst_usage } else { calm_usage };
                 let end = if in_burst { duration } else { interval };
-                CurrentRate {
-                    rate: usage,
+                CurrentUsage {
+                    usage,
                     valid_until: now + (end - phase).max(1.0),
                 }
             }
@@ -139,10 +142,17 @@
     }
 }
 
+/// A usage that changes at a known time.
+struct CurrentUsage {
+    /// As a fraction of the quota's rate.
+    usage: f64,
+    /// When it changes, ms.
+    valid_until: Millis,
+}
+
 /// A rate that changes at a known time.
 pub(super) struct CurrentRate {
-    /// A fraction of the quota's rate, or units a second.
-    pub(super) rate: f64,
+    pub(super) units_per_second: f64,
     /// When it changes, ms.
     pub(super) valid_until: Millis,
 }
@@ -208,11 +218,11 @@
         let count_limit = ceiling_burst.map_or(f64::INFINITY, |burst| burst / 2.0);
         let wanted_count = drawn_count.min(count_limit).max(2.0) as usize;
         let count = wanted_count.min(gateway_count);
-        let first = random.below(gateway_count);
+        let first_gateway = random.below(gateway_count);
         Customer {
             plan,
             gateways: (0..count)
-                .map(|offset| (first + offset) % gateway_count)
+                .map(|offset| (first_gateway + offset) % gateway_count)
                 .collect(),
             usage_pattern,
             flood: None,
@@ -234,10 +244,10 @@
 
     /// Units a second that it requests now; `index` is its own, `quota_rate` its plan's rate in units a second.
     pub(super) fn current_rate(&self, now: Millis, index: usize, quota_rate: f64) -> CurrentRate {
-        let usage = self.usage_pattern.current_usage(now, index);
+        let current_usage = self.usage_pattern.current_usage(now, index);
         let mut current = CurrentRate {
-            rate: usage.rate * quota_rate,
-            valid_until: usage.valid_until,
+            units_per_second: current_usage.usage * quota_rate,
+            valid_until: current_usage.valid_until,
         };
         let Some(flood) = &self.flood else {
             return current;
@@ -245,7 +255,7 @@
         if now < flood.from {
             current.valid_until = current.valid_until.min(flood.from);
         } else if now < flood.until {
-            current.rate += flood.units_per_second;
+            current.units_per_second += flood.units_per_second;
             current.valid_until = current.valid_until.min(flood.until);
         }
         current
--- a/crates/fleet-simulation/src/client_population/mod.rs
+++ b/crates/fleet-simulation/src/client_population/mod.rs
@@ -81,7 +81,7 @@
     ) -> NextRequest {
         let quota_rate = self.plans[self.customers[customer].plan].rate;
         let current = self.customers[customer].current_rate(now, customer, quota_rate);
-        let at = now + random.exponential(1000.0 / current.rate);
+        let at = now + random.exponential(1000.0 / current.units_per_second);
         NextRequest {
             at: at.min(current.valid_until),
             is_request: at < current.valid_until,
@@ -104,11 +104,11 @@
     pub fn record_offered(&mut self, customer: usize, now: Millis, weight: f64) {
         let customer = &mut self.customers[customer];
         let plan = &self.plans[customer.plan];
-        let within_quota = customer.ideal_quota.refill(now, plan.rate, plan.burst) >= 1.0;
-        if within_quota {
+        let is_within_quota = customer.ideal_quota.refill(now, plan.rate, plan.burst) >= 1.0;
+        if is_within_quota {
             customer.ideal_quota.units -= 1.0;
         }
-        let weight_fraction = if within_quota {
+        let weight_fraction = if is_within_quota {
             1.0
         } else {
             plan.over_quota_weight
@@ -122,9 +122,9 @@
         let plan = &self.plans[customer.plan];
         let below_concurrency_limit =
             plan.max_concurrency == 0 || customer.attempts_in_flight < plan.max_concurrency;
-        let within_quota =
+        let is_within_quota =
             below_concurrency_limit && customer.quota.refill(now, plan.rate, plan.burst) >= 1.0;
-        if within_quota {
+        if is_within_quota {
             customer.quota.units -= 1.0;
             self.account.units_within_quota += 1.0;
         } else {
@@ -138,7 +138,7 @@
             self.account.min_ceiling_margin = self.account.min_ceiling_margin.min(margin);
         }
         customer.meter_unit(now);
-        within_quota
+        is_within_quota
     }
 
     /// Accounts for a request that a gateway rejected.
@@ -151,9 +151,9 @@
     }
 
     /// Accounts for a request that was served in time, within its quota or over it.
-    pub fn record_served(&mut self, customer: usize, weight: f64, within_quota: bool) {
+    pub fn record_served(&mut self, customer: usize, weight: f64, is_within_quota: bool) {
         let plan = &self.plans[self.customers[customer].plan];
-        if within_quota {
+        if is_within_quota {
             self.account.served += weight * plan.weight_factor;
         } else {
             self.account.served_over_quota += weight * plan.weight_factor * plan.over_quota_weight;
--- a/crates/fleet-simulation/tests/simulation.rs
+++ b/crates/fleet-simulation/tests/simulation.rs
@@ -147,8 +147,8 @@
     assert_ne!(first, other);
 }
 
-/// Every request has one outcome, useful work is at most the work done, no backend has more connections than it accepts,
-/// and most requests of a run with some faults are served.
+/// Every request has one outcome, useful work is at most the work done, no backend has more connections than it
+/// accepts, and most requests of a run with some faults are served.
 #[test]
 fn the_statistics_of_a_run_are_consistent() {
     for seed in 1..6 {
