--- a/crates/fault-injection/src/address_block.rs
+++ b/crates/fault-injection/src/address_block.rs
@@ -20,7 +20,7 @@
 pub const MAX_PROCESSES: usize = 16_384;
 /// The most stub services in one cluster: their addresses end below the sentinel's.
 pub const MAX_STUBS: usize = 32_768;
-/// The port, TCP and UDP, on which a process receives traffic of other front doors.
+/// The port, TCP and UDP, on which a process receives traffic of other gateways.
 pub const FLEET_PORT: u16 = 9100;
 /// The TCP port on which a process serves clients, and a stub service its callers.
 pub const CLIENT_PORT: u16 = 9000;
@@ -88,7 +88,7 @@
         self.process_address(process, CLIENT_PORT)
     }
 
-    /// Where a process receives traffic of other front doors.
+    /// Where a process receives traffic of other gateways.
     pub fn fleet_address(&self, process: usize) -> SocketAddr {
         self.process_address(process, FLEET_PORT)
     }
--- a/crates/fault-injection/src/check.rs
+++ b/crates/fault-injection/src/check.rs
@@ -100,7 +100,7 @@
     }
 }
 
-/// Every request that a front door accepted has exactly one response, and a successful response is that of the request
+/// Every request that a gateway accepted has exactly one response, and a successful response is that of the request
 /// itself. A process that was unavailable meanwhile may have lost the request. A request without a response at the end of
 /// the history breaks no rule.
 pub fn final_responses(events: &[Event]) -> Vec<Violation> {
--- a/crates/fault-injection/src/cluster/mod.rs
+++ b/crates/fault-injection/src/cluster/mod.rs
@@ -337,7 +337,7 @@
         })
     }
 
-    /// The names of the front doors that are present according to a process.
+    /// The names of the gateways that are present according to a process.
     pub fn present_members(&self, process: usize) -> Vec<String> {
         let report = self.last_fleet_report(process);
         let names = report
--- a/crates/fault-injection/src/cost.rs
+++ b/crates/fault-injection/src/cost.rs
@@ -1,4 +1,4 @@
-//! What the fault injection itself costs, so that figures taken with it can be read, and what a request costs a front door.
+//! What the fault injection itself costs, so that figures taken with it can be read, and what a request costs a gateway.
 
 use crate::address_block::AddressBlock;
 use crate::cluster::{process_name, Cluster, ClusterConfig};
@@ -265,8 +265,8 @@
     })
 }
 
-/// The user-space instructions that one front door executes for each request, as `perf stat` counts them over `count`
-/// requests. The front door has a fleet section with so many others (those beyond `processes` are not running), or none.
+/// The user-space instructions that one gateway executes for each request, as `perf stat` counts them over `count`
+/// requests. The gateway has a fleet section with so many others (those beyond `processes` are not running), or none.
 ///
 /// # Errors
 ///
--- a/crates/fault-injection/src/gateway_client.rs
+++ b/crates/fault-injection/src/gateway_client.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 client for one front door that reuses its connections.
+//! An HTTP/1.1 client for one gateway that reuses its connections.
 
 use std::collections::HashMap;
 use std::io;
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// The most idle connections to one front door.
+/// The most idle connections to one gateway.
 const MAX_IDLE_CONNECTIONS: usize = 32;
 
 /// A response with its complete body.
@@ -21,7 +21,7 @@
 /// Why a request has no response.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RequestError {
-    /// The front door never received the request: there was no connection.
+    /// The gateway never received the request: there was no connection.
     #[error("no connection")]
     NotConnected,
     /// The connection was closed after the request was written, before a byte of the response.
@@ -32,7 +32,7 @@
     Io(#[from] io::Error),
 }
 
-/// A client for one front door.
+/// A client for one gateway.
 pub(crate) struct GatewayClient {
     address: SocketAddr,
     idle_connections: Mutex<Vec<BufReader<TcpStream>>>,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Whether the front door's health check succeeds, on a connection of its own.
+    /// Whether the gateway's health check succeeds, on a connection of its own.
     pub(crate) async fn check_health(&self) -> io::Result<bool> {
         let mut connection = BufReader::new(TcpStream::connect(self.address).await?);
         connection
--- a/crates/fault-injection/src/load_generator.rs
+++ b/crates/fault-injection/src/load_generator.rs
@@ -1,7 +1,7 @@
-//! Scripted clients behind the platform's dispatcher: requests of many customers, each to a front door of its customer's
+//! Scripted clients behind the platform's dispatcher: requests of many customers, each to a gateway of its customer's
 //! set.
 //!
-//! The dispatcher sends to a front door once that has passed its health check after a start, and notices a dead one late,
+//! The dispatcher sends to a gateway once that has passed its health check after a start, and notices a dead one late,
 //! as the platform's does. Each request is sent once; what it was and how it ended stands in the history.
 
 use crate::gateway_client::{GatewayClient, RequestError, Response};
@@ -18,9 +18,9 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long a dead front door stays in rotation, s (given by the operators of the platform).
+/// How long a dead gateway stays in rotation, s (given by the operators of the platform).
 const DETECTION_DELAY_S: std::ops::Range<f64> = 1.3..3.0;
-/// The pause between two health checks of a front door.
+/// The pause between two health checks of a gateway.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The time after which a health check counts as failed.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
@@ -52,7 +52,7 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// The name, as in the settings of the front doors.
+    /// The name, as in the settings of the gateways.
     pub name: String,
     /// The fraction of all requests.
     pub fraction: f64,
@@ -63,7 +63,7 @@
 /// The rate plan of all customers.
 #[derive(Clone, Debug)]
 pub struct RatePlan {
-    /// The name, as in the settings of the front doors.
+    /// The name, as in the settings of the gateways.
     pub name: String,
     /// The rate, units per second.
     pub units_per_s: f64,
@@ -76,7 +76,7 @@
     pub requests_per_s: f64,
     /// Customers among whom the requests are spread.
     pub customers: u32,
-    /// Front doors in the set of each customer.
+    /// Gateways in the set of each customer.
     pub gateways_per_customer: usize,
     /// The classes; their fractions sum up to 1.
     pub classes: Vec<RequestClass>,
@@ -111,7 +111,7 @@
     }
 }
 
-/// A front door to which requests are sent.
+/// A gateway to which requests are sent.
 #[derive(Clone, Debug)]
 pub struct Target {
     /// The name of its process.
@@ -145,7 +145,7 @@
     id: String,
     /// The request as it is written to the connection.
     text: String,
-    /// The index of the front door.
+    /// The index of the gateway.
     gateway: usize,
     timeout: Duration,
 }
@@ -196,7 +196,7 @@
         self.state.sent.load(Ordering::Relaxed)
     }
 
-    /// The number of front doors to which the dispatcher sends.
+    /// The number of gateways to which the dispatcher sends.
     pub fn gateways_in_rotation(&self) -> usize {
         self.state
             .gateways
@@ -258,7 +258,7 @@
         }
     }
 
-    /// Draws the next request and records it; `None` if no front door of its customer's set is in rotation.
+    /// Draws the next request and records it; `None` if no gateway of its customer's set is in rotation.
     fn next_request(&self, profile: &LoadProfile, rng: &mut StdRng) -> Option<ClientRequest> {
         let customer = rng.random_range(0..profile.customers);
         let set_size = profile.gateways_per_customer.min(self.gateways.len());
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Several front doors with faults between them.
+/// Several gateways with faults between them.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -51,12 +51,12 @@
         /// The history.
         file: PathBuf,
     },
-    /// Counts the instructions of a front door for each request, with `perf`.
+    /// Counts the instructions of a gateway for each request, with `perf`.
     Instructions {
         /// Requests that are counted.
         #[arg(long, default_value_t = 2000)]
         count: usize,
-        /// Other front doors in its fleet section; without it, there is no section.
+        /// Other gateways in its fleet section; without it, there is no section.
         #[arg(long)]
         fleet: Option<usize>,
         /// Processes that run.
--- a/crates/fault-injection/src/scripted_peers/connection.rs
+++ b/crates/fault-injection/src/scripted_peers/connection.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// One end of a TCP connection to or from the front door.
+/// One end of a TCP connection to or from the gateway.
 pub struct ScriptedConnection {
     /// The stream, with the bytes that have been received and not read yet.
     pub reader: BufReader<TcpStream>,
@@ -53,9 +53,9 @@
         }
     }
 
-    /// Connects to an address on which a front door accepts connections.
+    /// Connects to an address on which a gateway accepts connections.
     pub fn connect(address: SocketAddr) -> ScriptedConnection {
-        ScriptedConnection::new(TcpStream::connect(address).expect("the front door accepts"))
+        ScriptedConnection::new(TcpStream::connect(address).expect("the gateway accepts"))
     }
 
     /// Writes all of these bytes.
--- a/crates/fault-injection/src/scripted_peers/fixture.rs
+++ b/crates/fault-injection/src/scripted_peers/fixture.rs
@@ -1,4 +1,4 @@
-//! A front door with scripted peers, its settings, and well-formed requests to it.
+//! A gateway with scripted peers, its settings, and well-formed requests to it.
 
 use super::listener::try_accept_any;
 use super::{wait_for, GatewayProcess, ScriptedConnection, TestListener, WatchStream};
@@ -51,9 +51,9 @@
     json!({"seq": seq, "whole": complete, "hosts": hosts})
 }
 
-/// A front door with scripted backends and a scripted discovery service whose endpoint list it watches.
+/// A gateway with scripted backends and a scripted discovery service whose endpoint list it watches.
 pub struct TestFixture {
-    /// The front door.
+    /// The gateway.
     pub program: GatewayProcess,
     /// The listener of the discovery service.
     pub discovery: TestListener,
@@ -64,12 +64,12 @@
 }
 
 impl TestFixture {
-    /// A front door with [`default_settings`] and this many backends.
+    /// A gateway with [`default_settings`] and this many backends.
     pub fn new(backends: usize) -> TestFixture {
         TestFixture::with_settings(default_settings(), backends)
     }
 
-    /// A front door with these settings and this many backends, all listed in version 7 of the endpoint list.
+    /// A gateway with these settings and this many backends, all listed in version 7 of the endpoint list.
     pub fn with_settings(settings: Value, backends: usize) -> TestFixture {
         let discovery = TestListener::new();
         let backends: Vec<TestListener> = (0..backends).map(|_| TestListener::new()).collect();
--- a/crates/fault-injection/src/scripted_peers/gateway_process.rs
+++ b/crates/fault-injection/src/scripted_peers/gateway_process.rs
@@ -15,7 +15,7 @@
 /// Numbers the temporary files of this process.
 static FILES: AtomicU32 = AtomicU32::new(0);
 
-/// A running gateway ("front door") that serves clients.
+/// A running gateway that serves clients.
 pub struct GatewayProcess {
     /// The process.
     pub child: Child,
@@ -158,7 +158,7 @@
         client
     }
 
-    /// Sends requests until one reaches a backend that has just been listed, and serves that one; until the front door knows
+    /// Sends requests until one reaches a backend that has just been listed, and serves that one; until the gateway knows
     /// of the backend it must reject them.
     ///
     /// # Panics
--- a/crates/fault-injection/src/scripted_peers/listener.rs
+++ b/crates/fault-injection/src/scripted_peers/listener.rs
@@ -26,7 +26,7 @@
         self.socket.local_addr().expect("a bound address")
     }
 
-    /// Waits for the next connection that the front door opens to this listener.
+    /// Waits for the next connection that the gateway opens to this listener.
     pub fn accept(&self) -> ScriptedConnection {
         wait_for("a connection", || self.try_accept())
     }
@@ -38,7 +38,7 @@
         connection
     }
 
-    /// Waits for the next connection; `None` if the front door sends something to `client` first.
+    /// Waits for the next connection; `None` if the gateway sends something to `client` first.
     pub fn accept_unless_answered(
         &self,
         client: &ScriptedConnection,
@@ -67,7 +67,7 @@
 }
 
 /// Waits for the next connection to any of these listeners, and returns it with the listener's index; `None` if the
-/// front door sends something to `client` first.
+/// gateway sends something to `client` first.
 pub fn accept_any_unless_answered(
     listeners: &[TestListener],
     client: &ScriptedConnection,
--- a/crates/fault-injection/src/scripted_peers/mod.rs
+++ b/crates/fault-injection/src/scripted_peers/mod.rs
@@ -1,6 +1,6 @@
-//! Scripted clients, backends and discovery services: a test plays each peer of one front door message by message.
+//! Scripted clients, backends and discovery services: a test plays each peer of one gateway message by message.
 //!
-//! The front door is the built program in a process of its own ([`GatewayProcess`]); all traffic runs over loopback
+//! The gateway is the built program in a process of its own ([`GatewayProcess`]); all traffic runs over loopback
 //! sockets. A scripted peer reads a request before it responds: a response that comes before its request makes an HTTP
 //! client close the connection. Nothing here sleeps. Whatever does not happen within [`MAX_WAIT`] fails the test with a
 //! panic.
--- a/crates/fault-injection/src/stub_services.rs
+++ b/crates/fault-injection/src/stub_services.rs
@@ -1,4 +1,4 @@
-//! Stub services for all that a front door talks to, by the platform's protocol: backends with their usage meter,
+//! Stub services for all that a gateway talks to, by the platform's protocol: backends with their usage meter,
 //! the discovery service, and the counter service.
 //!
 //! They respond by themselves and record in the history what they saw; [`crate::scripted_peers`] has peers that a test
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -286,7 +286,7 @@
     );
 }
 
-/// Guards load reports: repeated as a front door does, they reach all members, and the latest one
+/// Guards load reports: repeated as a gateway does, they reach all members, and the latest one
 /// counts even where an earlier one arrives after it.
 #[test]
 fn load_reports_reach_all_members_and_the_latest_wins() {
--- a/src/net/control/fleet_section.rs
+++ b/src/net/control/fleet_section.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Another front door, as it is written. Operators read the type's name where the parser finds
+/// Another gateway, as it is written. Operators read the type's name where the parser finds
 /// something else, so it stays.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -67,15 +67,15 @@
     address: String,
 }
 
-/// What is paced by the number of front doors that seem present.
+/// What is paced by the number of gateways that seem present.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Pace {
     /// Calls for the endpoint list that were rejected.
     pub discovery: bool,
-    /// Dials to backends; never for fewer front doors than are configured.
+    /// Dials to backends; never for fewer gateways than are configured.
     pub dials: bool,
-    /// Trial requests to ejected backends; never for fewer front doors than are configured either.
+    /// Trial requests to ejected backends; never for fewer gateways than are configured either.
     pub trials: bool,
 }
 
@@ -151,22 +151,22 @@
     10_000
 }
 
-/// The checked section: a front door's fleet, and the limits of its transport.
+/// The checked section: a gateway's fleet, and the limits of its transport.
 #[derive(Clone, Debug)]
 pub(crate) struct FleetSection {
-    /// The name of this front door among the others.
+    /// The name of this gateway among the others.
     pub local_name: String,
     /// The fleet's name: frames of another fleet are rejected.
     pub fleet_name: String,
     /// Distinguishes fleets of the same name: frames of another epoch are rejected.
     pub epoch: u32,
-    /// Where this front door listens for others, on TCP and UDP.
+    /// Where this gateway listens for others, on TCP and UDP.
     pub listen: SocketAddr,
-    /// The address that others are given for this front door.
+    /// The address that others are given for this gateway.
     pub advertise: SocketAddr,
     /// The configured addresses of others, by name.
     pub peers: BTreeMap<String, SocketAddr>,
-    /// The zone of this front door, empty if it has none.
+    /// The zone of this gateway, empty if it has none.
     pub zone: String,
     /// Whether membership runs.
     pub membership_enabled: bool,
@@ -192,7 +192,7 @@
 }
 
 impl FleetSection {
-    /// Reads and checks the section of the front door called `local_name`.
+    /// Reads and checks the section of the gateway called `local_name`.
     pub(crate) fn parse(value: &Value, local_name: &str) -> Result<FleetSection, SectionError> {
         let raw: Raw = serde_json::from_value(value.clone())?;
         raw.check(local_name)
@@ -268,7 +268,7 @@
     }
 }
 
-/// The addresses of the other front doors by name. One list may serve all of them, so the entry of
+/// The addresses of the other gateways by name. One list may serve all of them, so the entry of
 /// this one is skipped; a repeated entry adds nothing.
 fn check_peers(
     peers: Vec<Peer>,
--- a/src/net/fleet/frame.rs
+++ b/src/net/fleet/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: the unit in which front doors send each other messages, on connections and in datagrams.
+//! Frames: the unit in which gateways send each other messages, on connections and in datagrams.
 //!
 //! A frame is a header of 24 bytes and a body in postcard. Numbers of the header are in network
 //! byte order. The header is checked before a byte of the body is read:
@@ -14,7 +14,7 @@
 //! | 16..20 | the body's length |
 //! | 20..24 | CRC-32C of the header before it, and of the body |
 //!
-//! Versions: a front door reads its own, the next, and the one before. Bodies only ever grow at
+//! Versions: a gateway reads its own, the next, and the one before. Bodies only ever grow at
 //! their end. Fields that a newer sender appends are ignored; those that an older sender does not
 //! know read as zero, empty or none, which is what postcard makes of zero bytes, so that value of a
 //! new field must mean the same as its absence. A frame of an unknown kind is counted and ignored.
@@ -64,7 +64,7 @@
     }
 }
 
-/// Why bytes are not a frame that this front door accepts.
+/// Why bytes are not a frame that this gateway accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum FrameError {
     /// It does not begin with the magic bytes.
@@ -224,7 +224,7 @@
 /// Why no more frames can be read from a connection, or written to it.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectionError {
-    /// The peer sent something that is not a frame for this front door.
+    /// The peer sent something that is not a frame for this gateway.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// The connection failed.
--- a/src/net/fleet/frame/tests.rs
+++ b/src/net/fleet/frame/tests.rs
@@ -150,7 +150,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Guards the bytes of a frame: front doors of two versions run side by side. The body begins after
+/// Guards the bytes of a frame: gateways of two versions run side by side. The body begins after
 /// the checksum.
 #[test]
 fn a_frame_keeps_its_bytes_for_every_kind() {
--- a/src/net/fleet/membership.rs
+++ b/src/net/fleet/membership.rs
@@ -23,7 +23,7 @@
 /// What is new with each start of the process.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ProcessStart {
-    /// Front doors of the fleet by the settings.
+    /// Gateways of the fleet by the settings.
     pub configured_size: u32,
     /// Drawn at random: distinguishes this process from all others under its name.
     pub instance_id: u64,
@@ -31,7 +31,7 @@
     pub seed: u64,
 }
 
-/// The membership of this front door, and the socket that it runs on.
+/// The membership of this gateway, and the socket that it runs on.
 pub(super) struct MembershipService {
     membership: RefCell<Membership>,
     socket: UdpSocket,
@@ -40,7 +40,7 @@
     local_name: String,
     /// Notified when a timer may be due earlier than before.
     rescheduled: Notify,
-    /// Called with the number of front doors that are present or failed of late.
+    /// Called with the number of gateways that are present or failed of late.
     on_fleet_size: Box<dyn Fn(u32)>,
 }
 
@@ -83,7 +83,7 @@
         })
     }
 
-    /// Reads datagrams and fires timers for as long as the front door runs.
+    /// Reads datagrams and fires timers for as long as the gateway runs.
     pub(super) async fn run(self: Rc<Self>) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
@@ -125,13 +125,13 @@
             .send(from, address, Lane::BestEffort, FrameKind::Compare, &reply);
     }
 
-    /// Reports to the others how busy this front door is, in thousandths of its capacity.
+    /// Reports to the others how busy this gateway is, in thousandths of its capacity.
     pub(super) fn report_load(&self, load: u16) {
         let now = self.clock.now();
         self.membership.borrow_mut().report_load(now, load);
     }
 
-    /// Notifies the others that this front door leaves.
+    /// Notifies the others that this gateway leaves.
     pub(super) fn leave(&self) {
         let effects = self.membership.borrow_mut().leave(self.clock.now());
         self.apply(effects);
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Front doors that act together.
+//! Gateways that act together.
 //!
 //! Off unless the configuration has a `fleet` section: then none of this exists, neither a socket
 //! nor a task nor a call. `docs/FLEET.md` describes the layers and what each guarantees.
@@ -32,7 +32,7 @@
     },
 }
 
-/// The fleet layer, as its front door uses it.
+/// The fleet layer, as its gateway uses it.
 pub(super) struct Fleet {
     section: FleetSection,
     transport: Rc<Transport>,
@@ -41,11 +41,11 @@
 }
 
 impl Fleet {
-    /// Listens for the other front doors and starts to contact them.
+    /// Listens for the other gateways and starts to contact them.
     ///
     /// `configured_size` is the fleet's size by the settings; `seed` is new with each start; `load`
-    /// returns how busy this front door is, in thousandths of its capacity; `on_fleet_size` is
-    /// called with the number of front doors that are present or failed of late whenever that
+    /// returns how busy this gateway is, in thousandths of its capacity; `on_fleet_size` is
+    /// called with the number of gateways that are present or failed of late whenever that
     /// changes.
     ///
     /// # Errors
@@ -83,7 +83,7 @@
         Ok(fleet)
     }
 
-    /// Notifies the others that this front door leaves: a graceful shutdown begins.
+    /// Notifies the others that this gateway leaves: a graceful shutdown begins.
     pub(super) fn leave(&self) {
         if let Some(membership) = &self.membership {
             membership.leave();
@@ -105,7 +105,7 @@
     }
 
     /// Reports the load to the others and the status to the log at intervals, for as long as the
-    /// front door runs.
+    /// gateway runs.
     async fn report_status(self: Rc<Self>) {
         loop {
             tokio::time::sleep(self.section.report_interval).await;
--- a/src/net/fleet/transport.rs
+++ b/src/net/fleet/transport.rs
@@ -1,4 +1,4 @@
-//! The transport between front doors: a listener, and one kept connection for each peer that is
+//! The transport between gateways: a listener, and one kept connection for each peer that is
 //! needed.
 //!
 //! A connection carries frames in both directions, whichever side dialed. It begins with a
@@ -38,8 +38,8 @@
     /// The body is longer than a frame's may be.
     #[error("the body is too long")]
     BodyTooLong,
-    /// The receiver is this front door.
-    #[error("the receiver is this front door")]
+    /// The receiver is this gateway.
+    #[error("the receiver is this gateway")]
     ToSelf,
     /// The receiver's name cannot be one, or too many peers are known.
     #[error("the receiver's name is invalid, or too many peers are known")]
@@ -79,7 +79,7 @@
 }
 
 impl Transport {
-    /// The transport of a front door whose process has this `instance_id`.
+    /// The transport of a gateway whose process has this `instance_id`.
     pub(super) fn new(section: FleetSection, instance_id: u64) -> Rc<Transport> {
         let codec = FrameCodec::new(&section.fleet_name, section.epoch, section.max_body_bytes);
         Rc::new(Transport {
@@ -112,7 +112,7 @@
         counts
     }
 
-    /// Where to reach a front door: the configured address takes precedence over the advertised
+    /// Where to reach a gateway: the configured address takes precedence over the advertised
     /// one.
     pub(super) fn address_of(
         &self,
@@ -233,7 +233,7 @@
         true
     }
 
-    /// Whether this front door's name comes before the peer's. Of two front doors that dialed each
+    /// Whether this gateway's name comes before the peer's. Of two gateways that dialed each
     /// other at the same time, the connection stays that was dialed by the one whose name comes
     /// first.
     fn has_first_name(&self, peer: &Peer) -> bool {
--- a/src/net/fleet/transport/counters.rs
+++ b/src/net/fleet/transport/counters.rs
@@ -54,7 +54,7 @@
     /// Rejected for the length of their body.
     #[serde(rename = "size")]
     pub too_long: u64,
-    /// Handshakes that were meant for, or came from, another front door.
+    /// Handshakes that were meant for, or came from, another gateway.
     pub wrong_name: u64,
     /// Frames of a kind that this version does not know.
     #[serde(rename = "unknown")]
--- a/src/net/fleet/transport/handshake.rs
+++ b/src/net/fleet/transport/handshake.rs
@@ -22,7 +22,7 @@
 pub(super) struct Hello {
     /// The sender's name.
     pub(super) name: String,
-    /// The name of the front door that the sender means: its address may have passed to another.
+    /// The name of the gateway that the sender means: its address may have passed to another.
     pub(super) to: String,
     /// The sender's instance id, drawn at its start.
     pub(super) instance_id: u64,
@@ -34,8 +34,8 @@
     /// No hello could be read or written.
     #[error(transparent)]
     Connection(#[from] ConnectionError),
-    /// The hello is meant for another front door, or comes from another than was dialed.
-    #[error("the hello is not from, or not for, the expected front door")]
+    /// The hello is meant for another gateway, or comes from another than was dialed.
+    #[error("the hello is not from, or not for, the expected gateway")]
     WrongName,
 }
 
@@ -86,7 +86,7 @@
 }
 
 impl Transport {
-    /// Sends this front door's hello to the one called `to`.
+    /// Sends this gateway's hello to the one called `to`.
     pub(super) async fn send_hello(
         &self,
         writer: &mut OwnedWriteHalf,
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    /// Receives the peer's hello. One that does not mean this front door is counted.
+    /// Receives the peer's hello. One that does not mean this gateway is counted.
     pub(super) async fn receive_hello(
         &self,
         reader: &mut FrameReader,
--- a/src/net/fleet/transport/listener.rs
+++ b/src/net/fleet/transport/listener.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, timeout};
 
 impl Transport {
-    /// Accepts connections for as long as the front door runs.
+    /// Accepts connections for as long as the gateway runs.
     pub(crate) async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
--- a/src/net/fleet/transport/tests.rs
+++ b/src/net/fleet/transport/tests.rs
@@ -111,7 +111,7 @@
     stream
 }
 
-/// Guards the time of other peers and the memory of this front door: a peer that never reads fills
+/// Guards the time of other peers and the memory of this gateway: a peer that never reads fills
 /// its own outbox and no more, loses its connection, and delays nobody; one that sends a byte at a
 /// time and one that sends nothing lose theirs.
 #[test]
@@ -191,7 +191,7 @@
         // The address of `x` is now that of `b`.
         let local = transport("a", &[("x", other.address)]).await;
         assert_eq!(local.send("x", Some(other.address), b"for x"), Ok(()));
-        wait_for("a hello for another front door", || {
+        wait_for("a hello for another gateway", || {
             other.counters().wrong_name >= 1
         })
         .await;
@@ -231,7 +231,7 @@
 }
 
 /// Guards the number of connections: no more are dialed or accepted than the section allows, the
-/// least recently used one is closed, and two front doors that dial each other keep one.
+/// least recently used one is closed, and two gateways that dial each other keep one.
 #[test]
 fn connections_stay_within_their_limits_and_simultaneous_dials_keep_one() {
     run(async {
@@ -284,7 +284,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Guards the bytes of a hello: front doors of two versions shake hands.
+/// Guards the bytes of a hello: gateways of two versions shake hands.
 #[test]
 fn a_hello_keeps_its_bytes_on_the_connection() {
     let body = encode_body(&Hello {
--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -72,7 +72,7 @@
     assert_eq!(client.read().body, b"ok", "{name}");
 }
 
-/// The attempt of a client that disconnects is canceled long before its deadline, and the front door goes on serving.
+/// The attempt of a client that disconnects is canceled long before its deadline, and the gateway goes on serving.
 #[test]
 fn a_disconnected_clients_attempt_is_canceled() {
     let fixture = TestFixture::with_settings(with_long_reads(default_settings()), 1);
@@ -235,7 +235,7 @@
     for how in DISCONNECTS {
         for count in [1, 3] {
             let fixture = TestFixture::new(1);
-            // The front door has accepted the connection.
+            // The gateway has accepted the connection.
             let mut client = fixture.program.connect_healthy_client();
             fixture.program.pause();
             for i in 0..count {
@@ -314,7 +314,7 @@
     });
 }
 
-/// Starts a front door whose backends establish no connection, with no deadline that a slow machine could reach.
+/// Starts a gateway whose backends establish no connection, with no deadline that a slow machine could reach.
 fn start_with_closed_backends(
     cancel: bool,
     discovery: &TestListener,
--- a/tests/complete_responses.rs
+++ b/tests/complete_responses.rs
@@ -22,7 +22,7 @@
     ForwardedRequest { client, backend }
 }
 
-/// Returns once the front door has served another request: it has read by then what arrived before.
+/// Returns once the gateway has served another request: it has read by then what arrived before.
 fn serve_another(fixture: &TestFixture, id: &str) {
     let ForwardedRequest {
         mut client,
@@ -136,7 +136,7 @@
             mut client,
             mut backend,
         } = forward_request(&fixture, "id-1", "charge");
-        // The front door may close before all is written.
+        // The gateway may close before all is written.
         let _ = backend.reader.get_mut().write_all(start.as_bytes());
         assert_eq!(client.read().status(), 502, "{name}");
         backend.expect_close();
@@ -183,7 +183,7 @@
         let mut backend = fixture.backends[0].accept();
         backend.read();
         let start = Instant::now();
-        // The front door may close before all is written.
+        // The gateway may close before all is written.
         let _ = backend.reader.get_mut().write_all(text.as_bytes());
         assert_eq!(client.read().status(), 502, "{name}");
         assert!(
@@ -229,7 +229,7 @@
     let long = "0123456789abcdef".repeat(25_000);
     client.write(request_with("id-0", "charge", "wide", LONG_TIMEOUT));
     let mut backend = fixture.backends[0].accept();
-    // Together they are longer than the memory of the front door.
+    // Together they are longer than the memory of the gateway.
     for number in 1..=200 {
         backend.read();
         if number % 2 == 0 {
@@ -315,7 +315,7 @@
     }
 }
 
-/// Sends requests for long responses, one after another, and reads none until the front door can write no more and the
+/// Sends requests for long responses, one after another, and reads none until the gateway can write no more and the
 /// deadline of the last one has just passed. Returns whether all of them then arrive completely, or `None` if the machine
 /// was too slow to tell.
 fn read_just_after_the_deadline() -> Option<bool> {
@@ -329,7 +329,7 @@
     let body = "0123456789abcdef".repeat(60_000);
     let mut responses = 0;
     let mut last = Instant::now();
-    // The system buffers some MB for a client that does not read; the rest waits in the front door.
+    // The system buffers some MB for a client that does not read; the rest waits in the gateway.
     while backend.receives_within(Duration::from_millis(300)) {
         last = Instant::now();
         backend.read();
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of a front door at its start and on SIGHUP, over loopback sockets.
+//! The configuration of a gateway at its start and on SIGHUP, over loopback sockets.
 
 use cometspool_fault_injection::scripted_peers::*;
 use serde_json::{json, Value};
--- a/tests/connection_limits.rs
+++ b/tests/connection_limits.rs
@@ -1,10 +1,10 @@
-//! A front door whose file descriptors clients use up, over loopback sockets: the discovery service, health checks and
+//! A gateway whose file descriptors clients use up, over loopback sockets: the discovery service, health checks and
 //! backends keep theirs, idle connections are closed to make room, and every client with a request gets in.
 
 use cometspool_fault_injection::scripted_peers::*;
 use std::time::{Duration, Instant};
 
-/// The descriptor limit of the front door.
+/// The descriptor limit of the gateway.
 const DESCRIPTORS: u32 = 64;
 /// Idle clients: far more than there are descriptors for.
 const IDLE_CLIENTS: usize = 200;
@@ -15,7 +15,7 @@
 /// The time within which a list is in force after the discovery service can be reached.
 const IN_FORCE: Duration = Duration::from_secs(6);
 
-/// A front door with few descriptors, its discovery service, and the one backend that it knows.
+/// A gateway with few descriptors, its discovery service, and the one backend that it knows.
 struct LimitedGateway {
     program: GatewayProcess,
     discovery: TestListener,
@@ -139,7 +139,7 @@
         backend: _backend,
     } = LimitedGateway::start();
     let idle = idle_clients(&program, CLIENT_ROOM);
-    // All of these requests have arrived when the front door looks next.
+    // All of these requests have arrived when the gateway looks next.
     program.pause();
     let mut clients: Vec<ScriptedConnection> =
         (0..BURST).map(|_| program.connect_client()).collect();
@@ -155,7 +155,7 @@
     drop(idle);
 }
 
-/// A front door full of idle connections closes some to let new clients in.
+/// A gateway full of idle connections closes some to let new clients in.
 #[test]
 fn idle_connections_make_room_for_new_clients() {
     let LimitedGateway {
--- a/tests/connection_reuse.rs
+++ b/tests/connection_reuse.rs
@@ -40,7 +40,7 @@
     backend.respond(200, "", "one");
     assert_eq!(client.read().body, b"one");
     backend.reader.get_mut().shutdown(Shutdown::Write).unwrap();
-    // Once the front door has closed its own side, it has seen the close.
+    // Once the gateway has closed its own side, it has seen the close.
     backend.expect_close();
     client.write(request_with("id-2", "charge", "wide", LONG_TIMEOUT));
     let mut backend = fixture.backends[0].accept();
@@ -134,7 +134,7 @@
     assert_eq!(clients[0].read().status(), 200);
 }
 
-/// A front door with one backend, and a first request that has reached it over the only connection.
+/// A gateway with one backend, and a first request that has reached it over the only connection.
 struct FirstRequest {
     program: GatewayProcess,
     backend: TestListener,
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -109,7 +109,7 @@
     socket.set_recv_buffer_size(4096).expect("a small buffer");
     socket
         .connect(&program.address.into())
-        .expect("the front door accepts");
+        .expect("the gateway accepts");
     let client = TcpStream::from(socket);
     client.set_read_timeout(Some(MAX_WAIT)).expect("a socket");
     client
@@ -122,11 +122,11 @@
     let fixture = TestFixture::new(1);
     let before = fixture.program.descriptor_count();
     let mut client = connect_with_small_buffer(&fixture.program);
-    // The system buffers some MB for a client that does not read; the rest waits in the front door.
+    // The system buffers some MB for a client that does not read; the rest waits in the gateway.
     for id in 0..48 {
         client
             .write_all(request_with(&format!("id-{id}"), "charge", "wide", "3").as_bytes())
-            .expect("a front door that reads");
+            .expect("a gateway that reads");
     }
     let mut backend = fixture.backends[0].accept();
     backend.read();
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -51,7 +51,7 @@
     client.write(request_with("id-2", "read", "wide", LONG_TIMEOUT));
     assert_eq!(client.read().status(), 429);
     assert!(fixture.no_backend_contacted());
-    // Until the watch event has arrived, the front door rejects.
+    // Until the watch event has arrived, the gateway rejects.
     let up = endpoint("s-0", fixture.backends[0].address(), "up");
     fixture
         .watch
@@ -220,7 +220,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
                 list.len()
             );
-            // The front door has closed its end.
+            // The gateway has closed its end.
             let _ = connection.reader.get_mut().write_all(head.as_bytes());
         };
         if !late {
--- a/tests/endpoint_watch.rs
+++ b/tests/endpoint_watch.rs
@@ -17,7 +17,7 @@
 /// The time of the slowest response within the timeout of any call.
 const SLOWEST_RESPONSE: Duration = Duration::from_millis(2800);
 
-/// A watch that ends is resumed from the version last received, and an unreadable line makes the front door request the
+/// A watch that ends is resumed from the version last received, and an unreadable line makes the gateway request the
 /// complete list.
 #[test]
 fn a_watch_resumes_and_an_unreadable_line_requests_the_complete_list() {
@@ -143,7 +143,7 @@
                 connection.write(&case.sent);
                 let mut next = wait_for(case.name, || {
                     if case.drips {
-                        // The front door may have closed its end by now.
+                        // The gateway may have closed its end by now.
                         let _ = connection.reader.get_mut().write_all(b"1\r\n \r\n");
                         std::thread::sleep(Duration::from_millis(50));
                     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -4,7 +4,7 @@
 use cometspool_fault_injection::{check, Cluster, ClusterConfig};
 use nix::sys::signal::Signal;
 
-/// Guards the fault injection itself, on front doors that do not know each other: under load, a
+/// Guards the fault injection itself, on gateways that do not know each other: under load, a
 /// process that is killed, one that is paused and one that shuts down violate no invariant, and
 /// those that run on lose nothing.
 #[test]
@@ -47,7 +47,7 @@
     );
 }
 
-/// Guards the hand-over file against a disk that is full for a while, and a running front door
+/// Guards the hand-over file against a disk that is full for a while, and a running gateway
 /// against a clock step: it reports what it cannot hand over, goes on serving, writes the file
 /// again once there is space, and what its predecessor has run is not run again.
 #[test]
@@ -115,7 +115,7 @@
 /// that heals, and a graceful shutdown, under load; requests are served by the rules throughout.
 #[test]
 fn membership_converges_after_kill_pause_partition_and_leave() {
-    // With everything enabled that is paced by the number of front doors present.
+    // With everything enabled that is paced by the number of gateways present.
     let pace = serde_json::json!({"pace": {"discovery": true, "dials": true, "trials": true}});
     let plan = ClusterConfig {
         processes: 6,
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -210,7 +210,7 @@
     assert_eq!(program.wait_for_exit().code(), Some(0));
 }
 
-/// Serves one request per connection until a front door accepts no more connections; returns the ids of the requests.
+/// Serves one request per connection until a gateway accepts no more connections; returns the ids of the requests.
 fn serve_until_exit(listener: &TestListener, gateway: std::net::SocketAddr) -> Vec<String> {
     let mut ids = Vec::new();
     loop {
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of many front doors and many backends: neither has a limit below 1,024.
+//! Lists of many gateways and many backends: neither has a limit below 1,024.
 
 use cometspool_fault_injection::scripted_peers::*;
 use cometspool_fault_injection::stub_services::BackendBehavior;
@@ -6,12 +6,12 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 
-/// Front doors and backends that have to be supported at least.
+/// Gateways and backends that have to be supported at least.
 const REQUIRED: usize = 1_024;
 /// The length of the lists here.
 const LISTED: usize = 1_500;
 
-/// One front door accepts a list of 1,500 backends and serves from more than 1,024 of them.
+/// One gateway accepts a list of 1,500 backends and serves from more than 1,024 of them.
 #[test]
 fn requests_are_spread_over_a_list_of_1500_backends() {
     let config = ClusterConfig {
@@ -56,7 +56,7 @@
     assert!(served.len() > REQUIRED, "{} backends served", served.len());
 }
 
-/// A front door that is configured with 1,500 peers, and may connect to 1,024 of them, starts, serves, and is found by the
+/// A gateway that is configured with 1,500 peers, and may connect to 1,024 of them, starts, serves, and is found by the
 /// one of them that is running.
 #[test]
 fn a_fleet_section_with_1500_peers_is_accepted() {
--- a/tests/outlier_detection_over_loopback.rs
+++ b/tests/outlier_detection_over_loopback.rs
@@ -1,4 +1,4 @@
-//! Faults of backends, and of the front door itself, over loopback sockets: which of them count against a backend.
+//! Faults of backends, and of the gateway itself, over loopback sockets: which of them count against a backend.
 
 use cometspool_fault_injection::scripted_peers::*;
 use std::io::Read;
@@ -37,7 +37,7 @@
     assert_eq!(client.read().body, b"done");
 }
 
-/// The front door's own lack of descriptors is no fault of a backend: without room for a further connection a request is
+/// The gateway's own lack of descriptors is no fault of a backend: without room for a further connection a request is
 /// rejected at once, and no backend is ejected.
 #[test]
 fn a_lack_of_descriptors_ejects_no_backend() {
--- a/tests/request_forwarding.rs
+++ b/tests/request_forwarding.rs
@@ -1,4 +1,4 @@
-//! What a front door forwards, over loopback sockets: requests and responses unchanged, each request id once, and no more
+//! What a gateway forwards, over loopback sockets: requests and responses unchanged, each request id once, and no more
 //! than a customer's quota.
 
 use cometspool_fault_injection::scripted_peers::*;
--- a/tests/request_validation.rs
+++ b/tests/request_validation.rs
@@ -1,4 +1,4 @@
-//! Requests that a front door must not forward, over loopback sockets: each gets one response, and nothing of it reaches a
+//! Requests that a gateway must not forward, over loopback sockets: each gets one response, and nothing of it reaches a
 //! backend.
 
 use cometspool_fault_injection::scripted_peers::*;
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -116,7 +116,7 @@
     assert_eq!(client.read().body, b"in time");
 }
 
-/// A front door with three backends, the last in a cell of its own.
+/// A gateway with three backends, the last in a cell of its own.
 struct Cells {
     program: GatewayProcess,
     backends: Vec<TestListener>,
@@ -124,7 +124,7 @@
 }
 
 impl Cells {
-    /// Starts a front door for which a cell remembers an idempotency key for `memory_ms`.
+    /// Starts a gateway for which a cell remembers an idempotency key for `memory_ms`.
     fn start(memory_ms: f64) -> Cells {
         let mut settings = default_settings();
         settings["grades"][1]["group"] = "cell".into();
--- a/tests/startup.rs
+++ b/tests/startup.rs
@@ -1,16 +1,16 @@
-//! The start of a front door, over loopback sockets: when it reports that it is healthy, and many that start at once.
+//! The start of a gateway, over loopback sockets: when it reports that it is healthy, and many that start at once.
 
 use cometspool_fault_injection::scripted_peers::*;
 use cometspool_fault_injection::{Cluster, ClusterConfig};
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
 
-/// Front doors that are restarted together.
+/// Gateways that are restarted together.
 const GATEWAYS: usize = 40;
 /// Backends in their endpoint list.
 const BACKENDS: usize = 200;
 
-/// A front door is healthy only when it has an endpoint list.
+/// A gateway is healthy only when it has an endpoint list.
 #[test]
 fn the_health_check_fails_until_there_is_an_endpoint_list() {
     let discovery = TestListener::new();
@@ -28,7 +28,7 @@
     assert_eq!(client.read().status(), 200);
 }
 
-/// Waits until the health check of a front door succeeds; it may not listen yet.
+/// Waits until the health check of a gateway succeeds; it may not listen yet.
 fn wait_until_healthy(name: &str, address: SocketAddr) {
     wait_for(&format!("a healthy {name}"), || {
         let mut client = ScriptedConnection::new(TcpStream::connect(address).ok()?);
@@ -37,7 +37,7 @@
     });
 }
 
-/// All front doors are restarted at once, as after a power cut: each becomes healthy, also where none has stored an
+/// All gateways are restarted at once, as after a power cut: each becomes healthy, also where none has stored an
 /// endpoint list and all have to request it from the discovery service in the same moment.
 #[test]
 fn forty_gateways_that_start_at_once_all_become_healthy() {
