--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,7 +8,7 @@
 /// process that is killed, one that is paused and one that shuts down violate no invariant, and
 /// those that run on lose nothing.
 #[test]
-fn front_doors_without_a_fleet_serve_through_kills_pauses_and_shutdowns() {
+fn gateways_without_a_fleet_serve_through_kills_pauses_and_shutdowns() {
     let mut cluster = Cluster::start(&ClusterConfig {
         processes: 4,
         fleet: None,
