--- a/crates/fault-injection/src/scripted_peers/connection.rs
+++ b/crates/fault-injection/src/scripted_peers/connection.rs
@@ -36,6 +36,18 @@
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
+
+    /// The timeout that a request grants to a backend, in seconds.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the message has no `Request-Timeout` in seconds.
+    pub fn granted_timeout(&self) -> f64 {
+        self.header("request-timeout")
+            .expect("a timeout")
+            .parse()
+            .expect("seconds")
+    }
 }
 
 /// One end of a TCP connection to or from the gateway.
--- a/crates/fleet-simulation/tests/common/mod.rs
+++ b/crates/fleet-simulation/tests/common/mod.rs
@@ -1,8 +1,34 @@
 //! Fixtures that several tests of the simulation share.
 
+use cometspool::{Class, Idempotency, Plan};
 use cometspool_fleet_simulation::client_population::{
     ClientPopulationSpec, Flood, Interval, Meter, RetryBehavior, UsageShares,
 };
+use cometspool_fleet_simulation::ClassSpec;
+
+/// A plan whose quota no scenario reaches.
+pub(crate) fn unlimited_plan() -> Plan {
+    Plan {
+        rate: 1e4,
+        burst: 1e5,
+        ..Plan::default()
+    }
+}
+
+/// The only class of a scenario: idempotent requests of this mean work, in milliseconds of one core.
+pub(crate) fn only_class(mean_work: f64, coefficient_of_variation: f64) -> ClassSpec {
+    ClassSpec {
+        class: Class {
+            latency_objective: 1200.0,
+            deadline: 3000.0,
+            idempotency: Idempotency::Idempotent,
+            ..Class::default()
+        },
+        share: 1.0,
+        mean_work,
+        coefficient_of_variation,
+    }
+}
 
 /// Customers that request `units_per_second` in all, through sets of gateways whose weights differ and change, with an
 /// accurate but delayed meter. One of them floods every gateway of its set for five seconds, and clients retry rejected
--- a/crates/fleet-simulation/tests/simulation.rs
+++ b/crates/fleet-simulation/tests/simulation.rs
@@ -4,7 +4,7 @@
 
 use cometspool::*;
 use cometspool_fleet_simulation::*;
-use common::flooding_customers;
+use common::{flooding_customers, only_class, unlimited_plan};
 
 /// Most connections that a backend accepts.
 const MAX_CONNECTIONS: usize = 12;
@@ -19,7 +19,7 @@
         .collect();
     Scenario {
         settings: settings(),
-        classes: vec![class()],
+        classes: vec![only_class(150.0, 1.0)],
         backends,
         zones: 2,
         requests_per_second: 10.0,
@@ -51,11 +51,7 @@
 fn settings() -> Settings {
     Settings {
         gateways: 20,
-        plans: vec![Plan {
-            rate: 1e4,
-            burst: 1e5,
-            ..Plan::default()
-        }],
+        plans: vec![unlimited_plan()],
         max_attempts: 4,
         hedging: true,
         cancellation: true,
@@ -63,20 +59,6 @@
     }
 }
 
-fn class() -> ClassSpec {
-    ClassSpec {
-        class: Class {
-            latency_objective: 1200.0,
-            deadline: 3000.0,
-            idempotency: Idempotency::Idempotent,
-            ..Class::default()
-        },
-        share: 1.0,
-        mean_work: 150.0,
-        coefficient_of_variation: 1.0,
-    }
-}
-
 fn faults() -> Vec<ScheduledFault> {
     let draining = FleetFault::Announce {
         backend: 0,
--- a/crates/fleet-simulation/tests/slow_start.rs
+++ b/crates/fleet-simulation/tests/slow_start.rs
@@ -7,7 +7,7 @@
 
 use cometspool::*;
 use cometspool_fleet_simulation::*;
-use common::flooding_customers;
+use common::{flooding_customers, only_class, unlimited_plan};
 
 /// Mean work of a request, in milliseconds of one core of reference speed.
 const MEAN_WORK: f64 = 150.0;
@@ -85,7 +85,7 @@
     };
     Scenario {
         settings: settings(fleet.gateways),
-        classes: vec![class()],
+        classes: vec![only_class(MEAN_WORK, 0.0)],
         backends: vec![backend; fleet.backends],
         zones: 1,
         requests_per_second: fleet.rate(CALM),
@@ -110,11 +110,7 @@
 fn settings(gateways: u32) -> Settings {
     Settings {
         gateways,
-        plans: vec![Plan {
-            rate: 1e4,
-            burst: 1e5,
-            ..Plan::default()
-        }],
+        plans: vec![unlimited_plan()],
         max_attempts: 4,
         hedging: true,
         cancellation: true,
@@ -126,20 +122,6 @@
     }
 }
 
-fn class() -> ClassSpec {
-    ClassSpec {
-        class: Class {
-            latency_objective: 1200.0,
-            deadline: 3000.0,
-            idempotency: Idempotency::Idempotent,
-            ..Class::default()
-        },
-        share: 1.0,
-        mean_work: MEAN_WORK,
-        coefficient_of_variation: 0.0,
-    }
-}
-
 /// The load of one window and its limit, both in requests of mean work.
 #[derive(Clone, Copy, Debug)]
 struct WindowLoad {
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -5,15 +5,6 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// The timeout that a backend is granted, s.
-fn granted_timeout(request: &Message) -> f64 {
-    request
-        .header("request-timeout")
-        .expect("a timeout")
-        .parse()
-        .expect("seconds")
-}
-
 /// A silent backend is given up in time by closing its connection, and the client has its response before it stops waiting.
 /// A late response is discarded, and the next request gets its own.
 #[test]
@@ -59,7 +50,7 @@
     let waited = written.elapsed().as_secs_f64();
     fixture.program.resume();
     let mut backend = fixture.backends[0].accept();
-    let granted = granted_timeout(&backend.read());
+    let granted = backend.read().granted_timeout();
     assert!(
         granted > 0.0 && granted <= 3.0 - waited + 0.002,
         "granted {granted} after {waited}"
--- a/tests/hand_over.rs
+++ b/tests/hand_over.rs
@@ -4,15 +4,6 @@
 use serde_json::json;
 use std::time::Instant;
 
-/// The time that a backend is granted, s.
-fn granted_timeout(request: &Message) -> f64 {
-    request
-        .header("request-timeout")
-        .expect("a timeout")
-        .parse()
-        .expect("seconds")
-}
-
 /// What the former process may have run is not run again by its successor, and a request that it had only accepted has
 /// what is left of its timeout.
 #[test]
@@ -40,7 +31,7 @@
     backend.read();
     idempotent.write(request_with("id-2", "read", "wide", "10"));
     let mut backend = listener.accept();
-    let granted = granted_timeout(&backend.read());
+    let granted = backend.read().granted_timeout();
     let received = Instant::now();
     first.child.kill().expect("a process");
     first.wait_for_exit();
@@ -58,7 +49,7 @@
         Some("id-2"),
         "the non-idempotent request was forwarded again"
     );
-    let remaining = granted_timeout(&repeated);
+    let remaining = repeated.granted_timeout();
     assert!(
         remaining <= granted - passed + 0.003,
         "{remaining} after {granted} less {passed}"
