--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,6 +1,7 @@
-//! The engine's side of attempts: sending, hedging and retrying them, and the final answer of a request.
+//! The part of the engine that handles attempts: it sends, hedges and retries them, and gives a request its final
+//! answer.
 
-use super::backends::InFlight;
+use super::backends::InFlightAttempt;
 use super::load_balancing::Selection;
 use super::overload;
 use super::pending::{Attempt, PendingRequest};
@@ -9,20 +10,20 @@
 use super::{PolicyEngine, Rejection};
 use crate::policy_api::*;
 
-/// Least units that an attempt counts as load: a request of zero units takes time as well.
+/// Minimum units that an attempt counts as load: a request of zero units takes time as well.
 const MIN_LOAD_UNITS: f64 = 0.01;
 
-/// How long an attempt may take.
+/// The time limits of one attempt.
 struct AttemptTiming {
     /// Attempt timeout, ms.
     timeout: Millis,
-    /// Time after which the request may be hedged, if it may be, ms.
+    /// Time after which the request may be hedged, ms; `None` if it must not be.
     hedge_after: Option<Millis>,
 }
 
 impl PolicyEngine {
-    /// Sends an attempt of a pending request.
-    pub(super) fn send(
+    /// Sends an attempt of a pending request to the selected backend.
+    pub(super) fn send_attempt(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -56,16 +57,16 @@
             begin_before: self.retry.key_expires_at(pending),
             delivery: self.retry.delivery(now, pending),
         });
-        let in_flight = InFlight {
+        let in_flight = InFlightAttempt {
             sent_at: now,
             class: pending.request.class,
             load,
             units,
         };
-        self.record_sent(now, id, index, in_flight, selection.even_rate);
+        self.record_sent(now, id, index, in_flight, selection.warm_backend_rate);
     }
 
-    /// How long the next attempt of a request may take, which is `expected` to take so long.
+    /// Computes the time limits of a request's next attempt, whose expected time is `expected`, in ms.
     fn attempt_timing(
         &self,
         now: Millis,
@@ -78,7 +79,7 @@
         let timeout = self
             .retry
             .attempt_timeout(now, pending, expected, has_capacity);
-        // A hedge costs less than a timeout: the first attempt may still be answered.
+        // A hedge costs less than a timeout, since the first attempt may still be answered.
         let is_hedged = settings.hedging && timeout < time_left;
         let limit = if is_hedged {
             time_left
@@ -91,14 +92,14 @@
         }
     }
 
-    /// Counts an attempt that is sent with its customer, its backend and its request.
+    /// Counts an attempt that is sent, for its customer, its backend and its request.
     fn record_sent(
         &mut self,
         now: Millis,
         id: RequestId,
         index: usize,
-        in_flight: InFlight,
-        even_rate: f64,
+        in_flight: InFlightAttempt,
+        warm_backend_rate: f64,
     ) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
@@ -106,7 +107,7 @@
         let backend = &mut self.backends.all[index];
         let settings = &self.context.settings;
         self.quotas.attempt_sent(pending.request.customer);
-        backend.attempt_sent(now, id, in_flight, even_rate, settings);
+        backend.attempt_sent(now, id, in_flight, warm_backend_rate, settings);
         pending.in_flight.push(Attempt {
             index: pending.attempts_sent,
             backend: backend.entry.id,
@@ -117,7 +118,7 @@
         pending.attempts_sent += 1;
     }
 
-    /// Records the end of an attempt, and retries or answers its request.
+    /// Records the end of an attempt. Then closes its request, retries it or gives it a final answer, as needed.
     pub(super) fn attempt_completed(
         &mut self,
         now: Millis,
@@ -138,13 +139,13 @@
         self.observe_completion(now, &pending, completed, actions);
         let is_served = completed.outcome == Outcome::Ok;
         if completed.request_closed || pending.is_answered || is_served {
-            // A hedge that is still in flight serves nobody.
+            // A hedged attempt that is still in flight is of no use any more.
             if pending.in_flight.is_empty() || !pending.is_answered {
-                self.abandon(id, actions);
+                self.close_request(id, actions);
             }
             return;
         }
-        // Another attempt in flight has all of the time that both had.
+        // No retry: the other attempt in flight may use all of the time that both had.
         if !pending.in_flight.is_empty() {
             return;
         }
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Records what the end of an attempt shows of latency, its backend and its customer.
+    /// Records what the end of an attempt shows about latency, its backend and its customer.
     fn observe_completion(
         &mut self,
         now: Millis,
@@ -181,16 +182,16 @@
             }
         }
         if completed.broken_connections > 0 {
-            self.retry.connection_broke(now);
+            self.retry.record_broken_connection(now);
         }
-        let from_backend = self
-            .backends
-            .attempt_completed(now, request, completed, &mut self.rng);
-        actions.extend(from_backend);
+        let backend_actions =
+            self.backends
+                .attempt_completed(now, request, completed, &mut self.rng);
+        actions.extend(backend_actions);
         self.quotas.attempt_completed(now, request, completed);
     }
 
-    /// Sends one more attempt, from the retry budget; `false` if no backend may be sent it.
+    /// Sends one more attempt and charges it to the retry budget. Returns `false` if no backend may be sent it.
     fn send_retry(
         &mut self,
         now: Millis,
@@ -200,12 +201,13 @@
         let Some(selection) = self.select_backend(now, pending) else {
             return false;
         };
-        self.retry.spend();
-        self.send(now, pending.request.id, selection, actions);
+        self.retry.withdraw();
+        self.send_attempt(now, pending.request.id, selection, actions);
         true
     }
 
-    /// Hedges a request whose attempt has been in flight for too long: a second attempt, within the same time.
+    /// Hedges a request whose attempt has been in flight too long: sends a second attempt, with the same final
+    /// deadline.
     pub(super) fn hedge(
         &mut self,
         now: Millis,
@@ -216,8 +218,8 @@
         let Some(pending) = self.unanswered(id) else {
             return;
         };
-        let is_alone = pending.in_flight.len() == 1 && pending.in_flight[0].index == attempt;
-        let may_hedge = is_alone
+        let is_only_attempt = pending.in_flight.len() == 1 && pending.in_flight[0].index == attempt;
+        let may_hedge = is_only_attempt
             && self.window.has_capacity_for_retries()
             && self.retry.may_retry(now, pending);
         if may_hedge {
@@ -226,8 +228,8 @@
         }
     }
 
-    /// Counts a request as slow, or answers it at its final deadline.
-    pub(super) fn request_overdue(
+    /// Records that a request is slow, or gives it its final answer at its final deadline.
+    pub(super) fn request_timer_fired(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -239,15 +241,15 @@
         let final_deadline = self.retry.final_deadline(pending);
         if now >= final_deadline || pending.is_slow {
             actions.push(self.final_answer(now, pending));
-            self.abandon(id, actions);
+            self.close_request(id, actions);
             return;
         }
         actions.push(Action::SetTimer {
             at: final_deadline,
             timer: PolicyTimer::RequestDeadline(id).id(),
         });
-        // An attempt that hangs is no sign of queues: a window that closed for it would reject what the backends
-        // have capacity for.
+        // An attempt that hangs is no sign of queues. If it narrowed the admission window, requests would be rejected
+        // that the backends have capacity for.
         let is_hanging = pending
             .in_flight
             .first()
@@ -260,7 +262,7 @@
         }
     }
 
-    /// The final answer of a request that will not be served: a rejection only where a retry is safe.
+    /// The final answer of a request that was not served: a rejection only if the client can safely retry.
     fn final_answer(&self, now: Millis, pending: &PendingRequest) -> Action {
         let id = pending.request.id;
         if self.retry.scope(now, pending) == RetryScope::Anywhere {
@@ -270,8 +272,8 @@
         }
     }
 
-    /// Ends a request, and cancels its attempts in flight.
-    pub(super) fn abandon(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Closes a request and cancels its attempts in flight.
+    pub(super) fn close_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
@@ -290,7 +292,7 @@
         }
     }
 
-    /// A request to which nothing has been answered yet.
+    /// A pending request, unless any part of an answer has gone to the client.
     fn unanswered(&self, id: RequestId) -> Option<&PendingRequest> {
         self.pending
             .get(&id)
--- a/src/policy/backends.rs
+++ b/src/policy/backends.rs
@@ -1,4 +1,5 @@
-//! What a gateway keeps of each backend: its entry of the endpoint list, attempts in flight, and time per unit.
+//! The state that a gateway keeps of each backend: its entry of the endpoint list, its attempts in flight, its response
+//! time per unit of load, its faults and its slow-start budget.
 
 use super::outlier_detection::{self, AttemptEvidence, FaultHistory};
 use super::slow_start::SlowStartBudget;
@@ -9,41 +10,42 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Least subset of one of many gateways, in warm backends: few enough that its connections are reused and that it
-/// hears from each often, enough that losing some leaves capacity.
+/// Minimum size of a gateway's subset, in warm backends. It is small enough that connections are reused and that
+/// responses from each backend are frequent, and large enough that capacity remains when some backends fail.
 pub(super) const MIN_SUBSET: f64 = 12.0;
-/// Responses over which a backend's time per unit of load is averaged.
+/// Number of responses over which a backend's time per unit of load is averaged.
 const UNIT_TIME_MEMORY: f64 = 16.0;
-/// Units of load in a shortest latency objective, assumed before the first response.
+/// Units of load that a backend is assumed to serve within the shortest latency objective, before the first response.
 const INITIAL_UNITS_PER_OBJECTIVE: f64 = 10.0;
-/// Multiple of its oldest attempt's expected time after which a backend is overdue.
+/// Multiple of its expected time after which an attempt is overdue.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// Range of the weights that are accepted from the endpoint list.
+/// Minimum weight of a backend; lower values in the endpoint list are raised to it.
 const MIN_WEIGHT: f64 = 0.01;
-/// See [`MIN_WEIGHT`].
+/// Maximum weight of a backend; higher values in the endpoint list are lowered to it.
 const MAX_WEIGHT: f64 = 1e6;
 
 /// An attempt in flight at a backend.
 #[derive(Clone, Copy)]
-pub(super) struct InFlight {
-    /// When it was sent, ms.
+pub(super) struct InFlightAttempt {
+    /// When the attempt was sent, ms.
     pub sent_at: Millis,
     pub class: ClassId,
-    /// Units in flight there from this gateway at that time, its own included.
+    /// Units that this gateway had in flight at the backend when it sent the attempt, the attempt's own included.
     pub load: f64,
-    /// Its own units.
+    /// Units of the attempt itself.
     pub units: f64,
 }
 
-/// What a gateway keeps of one backend.
+/// The state that a gateway keeps of one backend.
 pub(super) struct Backend {
     pub entry: BackendEntry,
-    pub in_flight: BTreeMap<RequestId, InFlight>,
-    /// Time over load at the send, over recent responses.
+    pub in_flight: BTreeMap<RequestId, InFlightAttempt>,
+    /// Response time divided by the load at the time of sending, over recent responses.
     unit_time: DecayingRatio,
-    /// When an attempt there last ended, ms.
+    /// When an attempt at the backend last ended, ms.
     last_outcome_at: Millis,
-    /// When it last answered each class that it was sent, ms.
+    /// When the backend last answered each class, ms. Before the first answer, it is when the first attempt of the
+    /// class ended.
     answered_at: BTreeMap<ClassId, Millis>,
     pub faults: FaultHistory,
     pub budget: SlowStartBudget,
@@ -62,22 +64,24 @@
         }
     }
 
-    /// Units that this gateway has in flight there. Load reports are not counted: they are late and every gateway
-    /// reads the same ones; what others send shows in the time per unit.
+    /// Units that this gateway has in flight at the backend. Load reports are not used: they are late, and every
+    /// gateway reads the same ones. What other gateways send shows in the time per unit.
     pub(super) fn load(&self) -> f64 {
         self.in_flight.values().map(|attempt| attempt.units).sum()
     }
 
-    /// Counts an attempt that is sent there.
+    /// Counts an attempt that is sent to the backend.
     pub(super) fn attempt_sent(
         &mut self,
         now: Millis,
         id: RequestId,
-        attempt: InFlight,
-        even_rate: f64,
+        attempt: InFlightAttempt,
+        warm_backend_rate: f64,
         settings: &Settings,
     ) {
-        let available = self.budget.available(now, settings, &self.entry, even_rate);
+        let available = self
+            .budget
+            .available(now, settings, &self.entry, warm_backend_rate);
         self.budget.set(now, available - attempt.units);
         self.in_flight.insert(id, attempt);
     }
@@ -88,11 +92,11 @@
     context: Arc<PolicyContext>,
     /// All backends, sorted by id.
     pub all: Vec<Backend>,
-    /// Indices in `all` of those that accept requests.
+    /// Indices in `all` of the backends that accept requests.
     pub ready: Vec<usize>,
-    /// Gateways that seem alive: never fewer than the settings have.
+    /// Number of gateways that seem alive, never less than the number in the settings.
     live_gateways: f64,
-    /// Time over load at the send, over recent responses of all backends.
+    /// Response time divided by the load at the time of sending, over recent responses of all backends.
     unit_time: DecayingRatio,
 }
 
@@ -114,30 +118,32 @@
             .ok()
     }
 
-    /// Takes an estimate of how many gateways are alive.
+    /// Stores an estimate of how many gateways are alive.
     pub(super) fn set_live_gateways(&mut self, gateways: u32) {
         self.live_gateways = self.context.gateways.max(gateways.into());
     }
 
-    /// Time per unit of load over all backends, ms.
+    /// Time per unit of load, averaged over all backends, ms.
     pub(super) fn mean_unit_time(&self) -> Millis {
         self.unit_time
             .value()
             .unwrap_or(self.context.latency_objective / INITIAL_UNITS_PER_OBJECTIVE)
     }
 
-    /// Time per unit of load at a backend, ms; the fewer its responses, the nearer to the mean.
+    /// Time per unit of load at a backend, ms. The fewer responses the backend has given, the closer to the mean of
+    /// all.
     pub(super) fn unit_time(&self, backend: &Backend) -> Millis {
-        let prior = if self.unit_time.denominator > 0.0 {
+        let prior_weight = if self.unit_time.denominator > 0.0 {
             self.unit_time.denominator / UNIT_TIME_MEMORY
         } else {
             1.0
         };
-        (backend.unit_time.numerator + prior * self.mean_unit_time())
-            / (backend.unit_time.denominator + prior)
+        (backend.unit_time.numerator + prior_weight * self.mean_unit_time())
+            / (backend.unit_time.denominator + prior_weight)
     }
 
-    /// The least time until a request sent now would be begun at any backend, as far as own attempts show, ms.
+    /// The shortest expected queueing delay at any backend that accepts requests, as far as this gateway's own attempts
+    /// show, ms.
     pub(super) fn least_queue_delay(&self) -> Millis {
         let ready = || self.ready.iter().map(|index| &self.all[*index]);
         if ready().any(|backend| backend.in_flight.is_empty()) {
@@ -149,14 +155,14 @@
             .unwrap_or(0.0)
     }
 
-    /// How long the oldest attempt at a backend is overdue without news, ms. It turns the selection elsewhere but
-    /// rejects nothing: responses may be lost where there is no queue. An attempt of a class that is known to hang
-    /// there counts only for its own class.
+    /// How long the most overdue attempt at a backend is overdue, ms; 0 if none is. It steers the selection to other
+    /// backends but rejects no request, since a response may be lost where there is no queue. An attempt of a class
+    /// that is known to hang there counts only for requests of that class.
     pub(super) fn overdue(&self, now: Millis, backend: &Backend, class: ClassId) -> Millis {
         let mut longest = 0.0;
         for attempt in backend.in_flight.values() {
             let overdue = if attempt.class == class {
-                self.overdue_within_class(now, backend, attempt)
+                self.overdue_for_class(now, backend, attempt)
             } else if backend.faults.is_hanging(now, attempt.class) {
                 continue;
             } else {
@@ -167,8 +173,13 @@
         longest
     }
 
-    /// How long an attempt is overdue without news of its class from its backend, ms.
-    fn overdue_within_class(&self, now: Millis, backend: &Backend, attempt: &InFlight) -> Millis {
+    /// How long an attempt is overdue since the backend last answered its class, ms.
+    fn overdue_for_class(
+        &self,
+        now: Millis,
+        backend: &Backend,
+        attempt: &InFlightAttempt,
+    ) -> Millis {
         let answered_at = backend.answered_at.get(&attempt.class).copied();
         self.overdue_since(
             now,
@@ -182,43 +193,44 @@
         &self,
         now: Millis,
         backend: &Backend,
-        attempt: &InFlight,
+        attempt: &InFlightAttempt,
         outcome_at: Millis,
     ) -> Millis {
         let expected = OVERDUE_FACTOR * self.unit_time(backend) * attempt.load;
         now - attempt.sent_at.max(outcome_at) - expected
     }
 
-    /// Whether an attempt of a request hangs at a backend.
+    /// Whether the attempt of a request at a backend hangs.
     pub(super) fn is_hanging(&self, now: Millis, backend: BackendId, request: RequestId) -> bool {
         let Some(index) = self.find(backend) else {
             return false;
         };
         let backend = &self.all[index];
         match backend.in_flight.get(&request) {
-            Some(attempt) => self.overdue_within_class(now, backend, attempt) > 0.0,
-            // It was sent to an incarnation that has ended.
+            Some(attempt) => self.overdue_for_class(now, backend, attempt) > 0.0,
+            // The attempt was sent to an earlier incarnation of the backend, which has ended.
             None => true,
         }
     }
 
-    /// Whether so many backends are ejected that ejection is to be ignored.
-    pub(super) fn is_panic(&self, now: Millis) -> bool {
+    /// Whether so many backends are ejected that ejections are ignored.
+    pub(super) fn in_panic_mode(&self, now: Millis) -> bool {
         let ejected = self
             .ready
             .iter()
             .filter(|index| self.all[**index].faults.is_ejected(now))
             .count();
-        outlier_detection::is_panic(ejected, self.ready.len())
+        outlier_detection::in_panic_mode(ejected, self.ready.len())
     }
 
-    /// Number of gateways that meet each backend, by the subset that each keeps to.
-    fn meeting_gateways(&self) -> f64 {
-        let others = self.ready.len().saturating_sub(1).max(1) as f64;
-        self.live_gateways * (MIN_SUBSET / others).min(1.0)
+    /// Number of gateways that use each backend, on average, if each keeps to a subset of [`MIN_SUBSET`] backends.
+    fn gateways_per_backend(&self) -> f64 {
+        let other_backends = self.ready.len().saturating_sub(1).max(1) as f64;
+        self.live_gateways * (MIN_SUBSET / other_backends).min(1.0)
     }
 
-    /// Records the end of an attempt. It may be logged, and close connections.
+    /// Records the end of an attempt. Returns actions that log a change of the backend's health or close its idle
+    /// connections.
     pub(super) fn attempt_completed(
         &mut self,
         now: Millis,
@@ -230,7 +242,7 @@
         let Some(index) = self.find(completed.backend) else {
             return actions;
         };
-        // What was sent to an earlier incarnation says nothing of this one.
+        // The outcome of an attempt sent to an earlier incarnation says nothing about the present one.
         let Some(attempt) = self.all[index].in_flight.remove(&request.id) else {
             return actions;
         };
@@ -252,32 +264,35 @@
             .faults
             .record_outcome(now, request, completed, &evidence);
         self.update_ejection(now, index, attempt, completed.outcome, rng);
-        let changed = self.all[index].faults.update_set_aside(now);
-        actions.extend(changed.map(|is_set_aside| set_aside_log(completed, is_set_aside)));
+        let changed = self.all[index].faults.update_logged_health(now);
+        actions.extend(
+            changed.map(|is_logged_unhealthy| health_change_log(completed, is_logged_unhealthy)),
+        );
         actions
     }
 
-    /// What the end of an attempt shows, before its news are recorded.
+    /// What the end of an attempt shows, judged before the outcome is recorded.
     fn evidence(
         &self,
         now: Millis,
         index: usize,
-        attempt: InFlight,
+        attempt: InFlightAttempt,
         outcome: Outcome,
     ) -> AttemptEvidence {
         let backend = &self.all[index];
         AttemptEvidence {
             timed_out: matches!(outcome, Outcome::Timeout | Outcome::Cancelled),
-            was_hanging: self.overdue_within_class(now, backend, &attempt) > 0.0,
+            was_hanging: self.overdue_for_class(now, backend, &attempt) > 0.0,
             was_silent: attempt.sent_at >= backend.last_outcome_at,
         }
     }
 
-    /// Observes the time per unit of a response, or the time that an attempt was in flight at least.
+    /// Records the time per unit of load of a successful response. For an attempt that timed out or was cancelled
+    /// without hanging, the time that it was in flight counts: its response would have taken at least as long.
     fn observe_unit_time(
         &mut self,
         index: usize,
-        attempt: &InFlight,
+        attempt: &InFlightAttempt,
         completed: &AttemptCompleted,
         evidence: &AttemptEvidence,
     ) {
@@ -286,29 +301,29 @@
             return;
         }
         let elapsed = completed.elapsed.max(0.0);
-        let others = self.all.len().saturating_sub(1).max(1) as f64;
+        let other_backends = self.all.len().saturating_sub(1).max(1) as f64;
         self.all[index]
             .unit_time
             .record(UNIT_TIME_MEMORY, elapsed, attempt.load);
         self.unit_time
-            .record(UNIT_TIME_MEMORY * others, elapsed, attempt.load);
+            .record(UNIT_TIME_MEMORY * other_backends, elapsed, attempt.load);
     }
 
-    /// Ejects a backend whose responses are errors, or takes an ejection off after a successful trial.
+    /// Ejects a backend whose responses are errors, or removes an ejection after a successful trial.
     fn update_ejection(
         &mut self,
         now: Millis,
         index: usize,
-        attempt: InFlight,
+        attempt: InFlightAttempt,
         outcome: Outcome,
         rng: &mut Pcg32,
     ) {
-        let meeting_gateways = self.meeting_gateways();
+        let gateways_per_backend = self.gateways_per_backend();
         let faults = &mut self.all[index].faults;
         let is_trial = faults.is_trial(attempt.sent_at);
         match outcome {
             Outcome::Error if is_trial || faults.is_outlier(now) => {
-                let duration = faults.next_ejection_time(meeting_gateways, rng);
+                let duration = faults.next_ejection_time(gateways_per_backend, rng);
                 faults.eject(now, duration);
             }
             Outcome::Ok if is_trial => faults.record_successful_trial(),
@@ -316,7 +331,7 @@
         }
     }
 
-    /// Takes the endpoint list, the whole of it or its changes.
+    /// Applies the endpoint list: the complete list, or its changes.
     pub(super) fn update_list(
         &mut self,
         now: Millis,
@@ -340,14 +355,15 @@
             .collect();
     }
 
-    /// Takes one entry of the list. A backend that has restarted keeps nothing: attempts that were sent to its earlier
-    /// incarnation count neither as its load nor, when they end, for or against it.
+    /// Applies one entry of the list. A backend that has restarted loses its earlier state: attempts sent to its
+    /// earlier incarnation do not count as load and, when they end, count neither for nor against it.
     fn update_entry(&mut self, now: Millis, entry: BackendEntry, rng: &mut Pcg32) {
         let entry = BackendEntry {
             weight: in_range(entry.weight, MIN_WEIGHT, MAX_WEIGHT, 1.0),
             ..entry
         };
-        // Each gateway has yet to earn its first request there, so that not all send theirs in one instant.
+        // Each gateway first has to accrue a random number of units for a new backend, so that not all gateways send it
+        // their first request at the same instant.
         let debt = self.context.settings.max_units.max(1.0) * uniform(rng);
         let fresh = Backend::new(entry, now, debt, self.context.latency_objective);
         let position = self
@@ -363,17 +379,17 @@
     }
 }
 
-/// Whether the other connections to a backend may be as broken as that of an attempt.
+/// Whether the other connections to a backend may be as broken as the connection of an attempt that got no response.
 fn suggests_broken_connections(outcome: Outcome, evidence: &AttemptEvidence) -> bool {
     let is_overdue =
         outcome == Outcome::Timeout || (outcome == Outcome::Cancelled && evidence.was_hanging);
     evidence.was_silent && is_overdue
 }
 
-fn set_aside_log(completed: &AttemptCompleted, is_set_aside: bool) -> Action {
+fn health_change_log(completed: &AttemptCompleted, is_logged_unhealthy: bool) -> Action {
     let backend = completed.backend.0;
     let outcome = completed.outcome;
-    Action::Log(if is_set_aside {
+    Action::Log(if is_logged_unhealthy {
         format!("backend {backend} set aside: {outcome:?}")
     } else {
         format!("backend {backend} taken back")
--- a/src/policy/demand.rs
+++ b/src/policy/demand.rs
@@ -1,10 +1,11 @@
-//! Demand: the load within the quotas that reaches this gateway, and how much of it the backends are known to serve.
+//! Demand: the load within the quotas that arrives at this gateway, and how much of it the backends are known to serve.
 //!
-//! Each gateway sends a backend in slow start a share of its demand, and the shares of all gateways add up to what the
-//! backend gets. A request that comes again after a rejection is offered twice, to any gateway, and is still one request:
-//! a marked retry was counted by the gateway that rejected it. Where clients mark none, a request that was rejected for
-//! want of capacity may come back as often as [`MAX_CLIENT_RETRIES`]. All gateways reject alike, so the fraction that this
-//! one rejects tells how often each request comes.
+//! Each gateway sends a warming backend a share of its own demand, and the shares of all gateways add up to the load of
+//! that backend. So a request that a client retries after a rejection must count only once, although it arrives twice,
+//! perhaps at different gateways. A retry that the client marked is not counted, since the gateway that rejected the
+//! request has counted it. Where clients mark no retries, a request that was rejected for lack of capacity may be
+//! retried up to [`MAX_CLIENT_RETRIES`] times. All gateways reject about the same fraction of requests, so the fraction
+//! that this gateway rejects tells how often each request arrives.
 
 use super::PolicyContext;
 use crate::measure::Cewma;
@@ -12,31 +13,31 @@
 use std::f64::consts::LN_2;
 use std::sync::Arc;
 
-/// Halflives of the demand's average in the time in which a backend warms up.
+/// Number of halflives of the demand's average in the time that a backend takes to warm up.
 pub(super) const HALFLIVES_PER_WARM_UP: f64 = 4.0;
-/// Times that clients who mark no retries are assumed to retry a rejected request.
+/// How often clients that mark no retries are assumed to retry a rejected request.
 const MAX_CLIENT_RETRIES: i32 = 2;
-/// Halflives of the demand's average over which what was served is remembered.
-const SERVED_MEMORY: f64 = 4.0;
-/// Halflife of the rejected fraction, in shortest latency objectives.
-const REJECTION_MEMORY: f64 = 2.0;
+/// Halflife of the long-term average of served units, in halflives of the demand's average.
+const LONG_TERM_HALFLIFE_FACTOR: f64 = 4.0;
+/// Halflife of the rejected fraction, in multiples of the shortest latency objective.
+const REJECTION_HALFLIFE: f64 = 2.0;
 
-/// The demand at one gateway.
+/// Averages of the demand at one gateway, and of what was rejected and served.
 pub(super) struct Demand {
     context: Arc<PolicyContext>,
-    /// Units within the quotas, retries included.
+    /// Units of requests within the quotas, retries included.
     offered: Cewma,
-    /// The same with each request counted once.
+    /// The same units, with each request counted once.
     distinct: Cewma,
-    /// Requests within the quotas.
+    /// Number of requests within the quotas, marked retries excluded.
     requests: Cewma,
-    /// Those of them that were rejected for want of capacity.
+    /// Number of requests within the quotas that were rejected for lack of capacity.
     rejected: Cewma,
-    /// Units served in time.
+    /// Units that were served within their latency objective.
     served: Cewma,
-    /// The same over a longer time.
-    served_before: Cewma,
-    /// Whether a client has marked a retry, so that all can be taken to mark theirs.
+    /// The same units, averaged over a longer time.
+    served_long_term: Cewma,
+    /// Whether any client has marked a retry. From then on, all clients are assumed to mark theirs.
     are_retries_marked: bool,
 }
 
@@ -49,12 +50,12 @@
             requests: Cewma::default(),
             rejected: Cewma::default(),
             served: Cewma::default(),
-            served_before: Cewma::default(),
+            served_long_term: Cewma::default(),
             are_retries_marked: false,
         }
     }
 
-    /// Records a request within the quotas.
+    /// Records a request that is within its customer's quota.
     pub(super) fn record(&mut self, now: Millis, request: &Request) {
         let decay_rate = self.decay_rate();
         self.offered.record(now, request.units, decay_rate);
@@ -62,13 +63,13 @@
         if request.is_retry {
             return;
         }
-        let counted_times = 1.0 + self.expected_retries(now);
+        let times_recorded = 1.0 + self.expected_retries(now);
         self.requests.record(now, 1.0, self.rejection_decay_rate());
         self.distinct
-            .record(now, request.units / counted_times, decay_rate);
+            .record(now, request.units / times_recorded, decay_rate);
     }
 
-    /// Records that a request within the quotas is rejected for want of capacity.
+    /// Records that a request within its customer's quota is rejected for lack of capacity.
     pub(super) fn record_rejection(&mut self, now: Millis) {
         self.rejected.record(now, 1.0, self.rejection_decay_rate());
     }
@@ -77,28 +78,31 @@
     pub(super) fn record_served(&mut self, now: Millis, units: f64) {
         let decay_rate = self.decay_rate();
         self.served.record(now, units, decay_rate);
-        self.served_before
-            .record(now, units, decay_rate / SERVED_MEMORY);
+        self.served_long_term
+            .record(now, units, decay_rate / LONG_TERM_HALFLIFE_FACTOR);
     }
 
-    /// Units a second, retries included.
+    /// Average demand, retries included, units a second.
     pub(super) fn offered_rate(&self, now: Millis) -> f64 {
         self.offered.rate(now, self.decay_rate())
     }
 
-    /// Units a second, each request counted once.
+    /// Average demand with each request counted once, units a second.
     pub(super) fn distinct_rate(&self, now: Millis) -> f64 {
         self.distinct.rate(now, self.decay_rate())
     }
 
-    /// Units a second that the backends have served in time, of late or before if that is more.
+    /// Rate that the backends have served within the latency objectives, units a second: the recent or the long-term
+    /// average, whichever is higher.
     pub(super) fn served_rate(&self, now: Millis) -> f64 {
         let decay_rate = self.decay_rate();
-        let before = self.served_before.rate(now, decay_rate / SERVED_MEMORY);
-        self.served.rate(now, decay_rate).max(before)
+        let long_term = self
+            .served_long_term
+            .rate(now, decay_rate / LONG_TERM_HALFLIFE_FACTOR);
+        self.served.rate(now, decay_rate).max(long_term)
     }
 
-    /// How often each request is recorded again on average, since its client retries it unmarked.
+    /// How often each request is recorded again on average because its client retries it without marking the retry.
     fn expected_retries(&self, now: Millis) -> f64 {
         if self.are_retries_marked {
             return 0.0;
@@ -111,13 +115,13 @@
             .sum()
     }
 
-    /// Decay rate of the demand's average, 1/ms.
+    /// Decay rate of the average of demand, 1/ms.
     fn decay_rate(&self) -> f64 {
         LN_2 / (self.context.settings.warm_up / HALFLIVES_PER_WARM_UP).max(1.0)
     }
 
     /// Decay rate of the rejected fraction, 1/ms.
     fn rejection_decay_rate(&self) -> f64 {
-        LN_2 / (REJECTION_MEMORY * self.context.latency_objective)
+        LN_2 / (REJECTION_HALFLIFE * self.context.latency_objective)
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,13 +1,15 @@
-//! The policy of one gateway: pure decisions, from events to actions.
+//! The policy of one gateway: a pure function from events to actions.
 //!
-//! [`PolicyEngine`] takes each event and calls the parts that it concerns:
+//! [`PolicyEngine`] receives every event and calls the modules that it concerns:
 //!
-//! - Admission: [`quota`], with the figures of [`local_quota`], the evidence of [`usage`], the penalty box of
-//!   [`rate_limit`] and the shares of [`concurrency`], under the window that [`overload`] leaves open.
-//! - Selection: [`load_balancing`] selects one of the [`backends`], by the [`demand`] and within what [`slow_start`] and
-//!   [`outlier_detection`] permit.
-//! - Attempts: [`retry`] bounds those of the [`pending`] requests, [`attempts`] sends and ends them, and [`timers`]
-//!   names what is to happen later.
+//! - Admission: [`quota`] decides whether a request is within its customer's quota. It uses this gateway's share of the
+//!   quota ([`local_quota`]), the evidence of the customer's usage ([`usage`]), the penalty box ([`rate_limit`]) and
+//!   the gateway's shares of the hard ceiling and the concurrency limit ([`concurrency`]). The admission window
+//!   ([`overload`]) scales down what is admitted when the backends are short of capacity.
+//! - Backend selection: [`load_balancing`] selects one of the [`backends`] by expected cost. [`demand`] and
+//!   [`slow_start`] limit what a warming backend gets, and [`outlier_detection`] ejects failing ones.
+//! - Attempts: [`attempts`] sends, hedges, retries and ends the attempts of the [`pending`] requests, within the limits
+//!   of [`retry`]. [`timers`] encodes the timers that the policy sets.
 
 mod attempts;
 mod backends;
@@ -39,21 +41,22 @@
 use std::sync::Arc;
 use timers::PolicyTimer;
 
-/// Multiple of the expected response time that a request's client must still wait: half of the responses take
-/// longer than expected, and a client that leaves before would retry after work done in vain.
+/// Minimum time left until the client's deadline, as a multiple of the expected response time. Half of the responses
+/// take longer than expected. A client that stops waiting before its response arrives retries, and the backend's work
+/// is wasted.
 const DEADLINE_MARGIN: f64 = 1.5;
-/// Parts of the poll interval after which a failed poll is repeated, on average.
+/// Average number of retries of a failed poll in one poll interval.
 const POLL_RETRIES_PER_INTERVAL: f64 = 8.0;
 
-/// Why a request is rejected, and how long the reason will last if that is known.
+/// Why a request is rejected, and how long that reason will last if known.
 struct Rejection {
     reason: RejectReason,
-    /// Time until the reason no longer holds, ms.
+    /// Time until the reason no longer applies, ms; `None` if unknown.
     retry_after: Option<Millis>,
 }
 
 impl Rejection {
-    /// A rejection that nothing is known of when to retry.
+    /// A rejection for which the time to retry is unknown.
     fn new(reason: RejectReason) -> Rejection {
         Rejection {
             reason,
@@ -61,8 +64,8 @@
         }
     }
 
-    /// A rejection whose reason lasts so long.
-    fn until(reason: RejectReason, retry_after: Millis) -> Rejection {
+    /// A rejection whose reason applies for `retry_after`, in ms.
+    fn with_retry_after(reason: RejectReason, retry_after: Millis) -> Rejection {
         Rejection {
             reason,
             retry_after: Some(retry_after),
@@ -70,10 +73,10 @@
     }
 }
 
-/// What all parts of the policy depend on: the settings and two figures derived from them.
+/// The settings and two values derived from them, shared by all modules of the policy.
 struct PolicyContext {
     settings: Settings,
-    /// The shortest latency objective of a class, ms.
+    /// The shortest latency objective of all classes, ms.
     latency_objective: Millis,
     /// Number of gateways, at least 1.
     gateways: f64,
@@ -97,11 +100,11 @@
     }
 }
 
-/// The decisions of one gateway.
+/// The policy of one gateway: handles its events and decides what the driver does.
 pub struct PolicyEngine {
     context: Arc<PolicyContext>,
     rng: Pcg32,
-    /// Time of the first event, ms.
+    /// Time of the first event, ms; `None` before it.
     started_at: Option<Millis>,
     quotas: CustomerQuotas,
     window: AdmissionWindow,
@@ -109,12 +112,13 @@
     load_balancer: LoadBalancer,
     retry: RetryPolicy,
     pending: BTreeMap<RequestId, PendingRequest>,
-    /// Once a graceful shutdown has begun, when all requests will have been answered, ms.
+    /// Time at which a graceful shutdown ends, ms: all requests have their final answer by then. `None` until a
+    /// shutdown starts.
     shutdown_ends_at: Option<Millis>,
 }
 
 impl PolicyEngine {
-    /// A gateway with these settings; `seed` is its only source of randomness.
+    /// Creates the policy of a gateway with these settings. `seed` is its only source of randomness.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let context = Arc::new(PolicyContext::new(settings));
         PolicyEngine {
@@ -131,7 +135,7 @@
         }
     }
 
-    /// Handles one event that happened at `now`, and appends what the driver is to do.
+    /// Handles one event that happened at `now`, and appends the actions that the driver has to take.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.started_at.get_or_insert(now);
         match event {
@@ -141,17 +145,17 @@
             Event::RequestArrived(request) => self.request_arrived(now, request, actions),
             Event::StreamStarted(id) => self.stream_started(id),
             Event::AttemptCompleted(completed) => self.attempt_completed(now, &completed, actions),
-            Event::ClientDisconnected(id) => self.abandon(id, actions),
+            Event::ClientDisconnected(id) => self.close_request(id, actions),
             Event::TimerFired(timer) => self.timer_fired(now, timer, actions),
             Event::ShutdownStarted(ends_at) => self.shutdown_ends_at = Some(ends_at),
             Event::FleetSizeChanged(gateways) => self.backends.set_live_gateways(gateways),
-            // No health checks are requested: backends are judged by this gateway's own attempts.
+            // The policy requests no health checks: it judges backends by this gateway's own attempts.
             Event::HealthCheckCompleted { .. } => {}
         }
         actions.append(&mut self.load_balancer.preconnects);
     }
 
-    /// Number of customers that the gateway keeps an entry of.
+    /// Number of customers for which the gateway stores an entry.
     pub fn tracked_customers(&self) -> usize {
         self.quotas.len()
     }
@@ -159,7 +163,7 @@
     fn timer_fired(&mut self, now: Millis, timer: TimerId, actions: &mut Vec<Action>) {
         match PolicyTimer::from_id(timer) {
             PolicyTimer::PollList => actions.push(Action::Subscribe),
-            PolicyTimer::RequestDeadline(id) => self.request_overdue(now, id, actions),
+            PolicyTimer::RequestDeadline(id) => self.request_timer_fired(now, id, actions),
             PolicyTimer::Hedge { request, attempt } => self.hedge(now, request, attempt, actions),
         }
     }
@@ -179,7 +183,7 @@
         };
         if let Some(ends_at) = self.shutdown_ends_at {
             let retry_after = (ends_at - now).max(0.0);
-            let rejection = Rejection::until(RejectReason::ShuttingDown, retry_after);
+            let rejection = Rejection::with_retry_after(RejectReason::ShuttingDown, retry_after);
             actions.push(self.reject(id, &rejection));
             return;
         }
@@ -187,20 +191,20 @@
         let pending = PendingRequest::new(request, now);
         match self.admit(now, &pending) {
             Ok(selection) => {
-                self.retry.earn();
+                self.retry.deposit();
                 let final_deadline = self.retry.final_deadline(&pending);
                 actions.push(Action::SetTimer {
                     at: self.slow_at(&pending).min(final_deadline),
                     timer: PolicyTimer::RequestDeadline(id).id(),
                 });
                 self.pending.insert(id, pending);
-                self.send(now, id, selection, actions);
+                self.send_attempt(now, id, selection, actions);
             }
             Err(rejection) => actions.push(self.reject(id, &rejection)),
         }
     }
 
-    /// Admits a request and selects its backend, or rejects it.
+    /// Admits a request and selects its backend, or rejects the request.
     fn admit(&mut self, now: Millis, pending: &PendingRequest) -> Result<Selection, Rejection> {
         let request = &pending.request;
         let least_delay = self.backends.least_queue_delay();
@@ -210,12 +214,12 @@
         self.load_balancer.record_demand(now, request);
         let selection = self
             .select_backend(now, pending)
-            .filter(|selection| !self.is_too_late(now, pending, selection));
+            .filter(|selection| !self.would_be_served_too_late(now, pending, selection));
         let Some(selection) = selection else {
             self.load_balancer.record_rejection(now);
             return Err(Rejection::new(RejectReason::NoCapacity));
         };
-        self.quotas.take(now, request);
+        self.quotas.consume(now, request);
         Ok(selection)
     }
 
@@ -229,12 +233,18 @@
         }
     }
 
-    /// Whether a request would be served too late at the backend selected for it.
-    fn is_too_late(&self, now: Millis, pending: &PendingRequest, selection: &Selection) -> bool {
+    /// Whether the selected backend would respond too late: after the client's deadline or the final deadline of the
+    /// request, or with a longer queueing delay than the limit.
+    fn would_be_served_too_late(
+        &self,
+        now: Millis,
+        pending: &PendingRequest,
+        selection: &Selection,
+    ) -> bool {
         let request = &pending.request;
         let expected = selection.queue_delay + selection.unit_time * request.units;
         DEADLINE_MARGIN * expected > request.deadline - now
-            || !self.retry.has_time(now, pending)
+            || !self.retry.has_time_for_attempt(now, pending)
             || self.window.exceeds_queue_limit(selection.queue_delay)
     }
 
@@ -248,8 +258,8 @@
         self.load_balancer.select(&request, &mut self.rng)
     }
 
-    /// The action for a rejection. Clients get a Retry-After only where the settings permit it, and none longer than
-    /// they follow.
+    /// Builds the action for a rejection. It carries a Retry-After only if the settings permit one, limited to the
+    /// longest that clients follow.
     fn reject(&self, request: RequestId, rejection: &Rejection) -> Action {
         let settings = &self.context.settings;
         let retry_after = rejection
@@ -263,7 +273,8 @@
         }
     }
 
-    /// When a request becomes slow, ms. It is observed at that time: a timeout is news when queues have long filled.
+    /// Time from which a request counts as slow, ms. The admission window observes a slow request at that time instead
+    /// of waiting for its timeout: by the timeout, queues would long have filled.
     fn slow_at(&self, pending: &PendingRequest) -> Millis {
         let request = &pending.request;
         let objective = self.context.class(request.class).latency_objective;
@@ -290,7 +301,7 @@
             .update_list(now, is_full_list, entries, &mut self.rng);
     }
 
-    /// Polls the endpoint list again after a part of the poll interval, with jitter.
+    /// Schedules the next poll of the endpoint list, after a fraction of the poll interval with jitter.
     fn schedule_poll_retry(&mut self, now: Millis) -> Action {
         let interval = self.context.settings.poll_interval;
         let pause = interval / POLL_RETRIES_PER_INTERVAL * (0.5 + uniform(&mut self.rng));
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,84 +1,89 @@
-//! Outlier detection: what each backend is at fault in, and the ejection of backends that answer with errors.
+//! Outlier detection: scores the faults of each backend, and ejects backends that answer with errors.
 
 use crate::measure::{uniform, DecayingScore};
 use crate::policy_api::*;
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 
-/// Halflife of a fault without news, in shortest latency objectives.
+/// Halflife of a fault score, in multiples of the shortest latency objective.
 const FAULT_HALFLIFE: f64 = 4.0;
-/// Halflife of hanging, in shortest latency objectives: a trial costs a request all of its time.
+/// Halflife of a [`FaultKind::Hanging`] score, in multiples of the shortest latency objective. It is longer than
+/// [`FAULT_HALFLIFE`] because a trial request that hangs again loses all of its time.
 const HANGING_HALFLIFE: f64 = 8.0;
-/// Fault score that is no hindrance: it permits a trial request.
+/// Fault score up to which a backend is selected as if it had no fault, so that it gets trial requests.
 pub(super) const NEGLIGIBLE_FAULT: f64 = 0.1;
 /// Step of a fault score toward 1 for one failure.
 const FAILURE_STEP: f64 = 0.4;
-/// Step for a broken connection: one that is refused or silent says far more.
+/// Step of a fault score toward 1 for a connection that broke. A refused connection or a missing response is much
+/// stronger evidence of a fault.
 const BROKEN_CONNECTION_STEP: f64 = 0.1;
 /// Step of a fault score toward 0 for one good response.
 const RECOVERY_STEP: f64 = 0.2;
-/// Step of hanging toward 0 for one response of the class.
+/// Step of a [`FaultKind::Hanging`] score toward 0 for one response of the class.
 const RESPONSIVE_STEP: f64 = 0.5;
-/// Fault score above which a backend is logged as set aside, and half of which takes it back; also the score of
-/// errors above which it is ejected.
+/// Score of [`FaultKind::Failures`] above which a backend is logged as set aside; below half of it, the backend is
+/// logged as taken back. Also the score of [`FaultKind::ErrorResponses`] above which a backend is ejected.
 const OUTLIER_THRESHOLD: f64 = 0.5;
 
-/// Least ejection time, in shortest latency objectives. It is one objective for each gateway that meets the backend
-/// where that is more: together they try it once an objective.
+/// Minimum ejection time, in multiples of the shortest latency objective. If more gateways than this use the backend,
+/// the ejection time is one objective for each of them, so that together they try the backend once per objective.
 const MIN_EJECTION_TIME: f64 = 4.0;
-/// Failed trials that double the ejection time.
+/// Maximum number of times that the ejection time is doubled by failed trials.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// Fraction of the backends ejected above which ejection is ignored: what all have in common is no fault of theirs.
-const PANIC_FRACTION: f64 = 0.5;
+/// Fraction of ejected backends above which ejections are ignored (panic mode): a failure that most backends have in
+/// common is not the fault of any of them.
+const PANIC_THRESHOLD: f64 = 0.5;
 
-/// What a backend is at fault in.
+/// The kinds of fault that are scored for a backend.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Fault {
-    /// Anything that fails, for all requests alike.
-    Failing,
-    /// Its responses are errors.
-    Errors,
-    /// It rejects one plan while it has capacity for others. One that is full for all is found full for each.
-    Full(PlanId),
-    /// It lets a class hang, and answers others or hangs for all. It costs a detour; an answer that was lost by
-    /// itself looks the same.
+enum FaultKind {
+    /// Attempts of any request that fail, except by a rejection.
+    Failures,
+    /// Responses that are errors.
+    ErrorResponses,
+    /// Rejections of one plan, while the backend may have capacity for others. A backend that is full for all plans
+    /// gets a score for each.
+    PlanRejections(PlanId),
+    /// Attempts of one class that hang, whether or not the backend answers other classes. A single response that was
+    /// lost looks the same; mistaking it for a hang costs little, as the class only uses other backends for a while.
     Hanging(ClassId),
 }
 
-impl Fault {
-    /// Halflife of its score without news, ms.
+impl FaultKind {
+    /// Halflife of the score, ms.
     fn halflife(self, latency_objective: Millis) -> Millis {
         let objectives = match self {
-            // Only good responses clear it: a backend that is seldom used would otherwise be tried again for ever.
-            Fault::Errors => f64::INFINITY,
-            Fault::Hanging(_) => HANGING_HALFLIFE,
-            Fault::Failing | Fault::Full(_) => FAULT_HALFLIFE,
+            // Only good responses lower this score: if it decayed, a backend that is seldom used would be tried again
+            // and again.
+            FaultKind::ErrorResponses => f64::INFINITY,
+            FaultKind::Hanging(_) => HANGING_HALFLIFE,
+            FaultKind::Failures | FaultKind::PlanRejections(_) => FAULT_HALFLIFE,
         };
         objectives * latency_objective
     }
 }
 
-/// What the end of an attempt shows of its backend.
+/// What the end of an attempt shows about its backend.
 pub(super) struct AttemptEvidence {
-    /// Whether it ended by its timeout, or was cancelled: the last attempt of a request is cancelled at the final
-    /// deadline, before its own timeout.
+    /// Whether the attempt ended by its timeout or was cancelled. The last attempt of a request ends by a cancellation:
+    /// it is cancelled at the request's final deadline, before its own timeout.
     pub timed_out: bool,
-    /// Whether it was overdue without news of its class.
+    /// Whether the attempt was overdue and the backend had answered no attempt of its class in the meantime.
     pub was_hanging: bool,
-    /// Whether nothing has come from the backend since the attempt was sent.
+    /// Whether no other attempt at the backend has ended since this attempt was sent.
     pub was_silent: bool,
 }
 
-/// A step of a fault score toward a target.
+/// One step of a fault score toward a target.
 struct ScoreUpdate {
-    fault: Fault,
+    fault: FaultKind,
     target: f64,
     step: f64,
 }
 
 impl ScoreUpdate {
-    /// Raises a fault.
-    fn raise(fault: Fault, step: f64) -> ScoreUpdate {
+    /// A step toward 1.
+    fn raise(fault: FaultKind, step: f64) -> ScoreUpdate {
         ScoreUpdate {
             fault,
             target: 1.0,
@@ -86,8 +91,8 @@
         }
     }
 
-    /// Lowers a fault.
-    fn lower(fault: Fault, step: f64) -> ScoreUpdate {
+    /// A step toward 0.
+    fn lower(fault: FaultKind, step: f64) -> ScoreUpdate {
         ScoreUpdate {
             fault,
             target: 0.0,
@@ -96,17 +101,17 @@
     }
 }
 
-/// What a gateway holds against one backend.
+/// Fault scores and ejection state of one backend, as observed by this gateway.
 pub(super) struct FaultHistory {
-    /// The shortest latency objective of a class, ms: the scale of its times.
+    /// The shortest latency objective of all classes, ms: halflives and ejection times are multiples of it.
     latency_objective: Millis,
-    /// How far the backend is at fault, from 0 to 1.
-    scores: BTreeMap<Fault, DecayingScore>,
-    /// Whether it is logged as set aside.
-    is_set_aside: bool,
-    /// Time until which it is ejected, ms; beyond it the backend is half-open.
+    /// Score of each kind of fault, from 0 (none) to 1.
+    scores: BTreeMap<FaultKind, DecayingScore>,
+    /// Whether the backend was last logged as set aside. This state is only logged; the scores decide.
+    is_logged_unhealthy: bool,
+    /// End of the last ejection, ms. From then on the backend is half-open, as long as `ejections` is not 0.
     ejected_until: Millis,
-    /// Ejections in a row.
+    /// Number of ejections less the number of successful trials; 0 if the backend is neither ejected nor half-open.
     ejections: u32,
 }
 
@@ -115,34 +120,35 @@
         FaultHistory {
             latency_objective,
             scores: BTreeMap::new(),
-            is_set_aside: false,
+            is_logged_unhealthy: false,
             ejected_until: f64::NEG_INFINITY,
             ejections: 0,
         }
     }
 
-    /// How far the backend is at fault in something, decayed until now.
-    fn score(&self, now: Millis, fault: Fault) -> f64 {
+    /// Score of one kind of fault, decayed until `now`.
+    fn score(&self, now: Millis, fault: FaultKind) -> f64 {
         self.scores.get(&fault).map_or(0.0, |score| {
             score.decayed(now, fault.halflife(self.latency_objective))
         })
     }
 
-    /// How far the backend is distrusted by all requests.
-    pub(super) fn general_distrust(&self, now: Millis) -> f64 {
-        self.score(now, Fault::Failing)
+    /// Fault score of the backend for all requests alike.
+    pub(super) fn failure_score(&self, now: Millis) -> f64 {
+        self.score(now, FaultKind::Failures)
     }
 
-    /// How far the backend is distrusted by one request.
-    pub(super) fn distrust(&self, now: Millis, request: &Request) -> f64 {
-        let full = self.score(now, Fault::Full(request.plan));
-        let hanging = self.score(now, Fault::Hanging(request.class));
-        self.general_distrust(now).max(full).max(hanging)
+    /// Fault score of the backend for one request: the highest of those that concern its plan, its class or all
+    /// requests.
+    pub(super) fn fault_score(&self, now: Millis, request: &Request) -> f64 {
+        let plan_rejections = self.score(now, FaultKind::PlanRejections(request.plan));
+        let hanging = self.score(now, FaultKind::Hanging(request.class));
+        self.failure_score(now).max(plan_rejections).max(hanging)
     }
 
-    /// Whether the backend is known to let a class hang.
+    /// Whether attempts of a class are known to hang at the backend.
     pub(super) fn is_hanging(&self, now: Millis, class: ClassId) -> bool {
-        self.score(now, Fault::Hanging(class)) > NEGLIGIBLE_FAULT
+        self.score(now, FaultKind::Hanging(class)) > NEGLIGIBLE_FAULT
     }
 
     /// Whether the backend is ejected or half-open.
@@ -155,43 +161,44 @@
         now < self.ejected_until
     }
 
-    /// Whether the backend gets nothing of a request: it is ejected, or half-open, when it is tried with one
-    /// idempotent request at a time.
+    /// Whether the backend must not be sent a request: it is ejected, or it is half-open and the request is no possible
+    /// trial. A half-open backend gets one request at a time, and only idempotent ones.
     pub(super) fn excludes(&self, now: Millis, is_idempotent: bool, has_in_flight: bool) -> bool {
         self.has_ejections() && (self.is_ejected(now) || !is_idempotent || has_in_flight)
     }
 
-    /// Whether an attempt sent at a time was a trial of the half-open backend.
+    /// Whether an attempt sent at `sent_at` was a trial of the half-open backend.
     pub(super) fn is_trial(&self, sent_at: Millis) -> bool {
         self.has_ejections() && sent_at >= self.ejected_until
     }
 
-    /// Whether the backend is to be ejected for the first time.
+    /// Whether the backend, neither ejected nor half-open so far, has given so many errors that it is to be ejected.
     pub(super) fn is_outlier(&self, now: Millis) -> bool {
-        !self.has_ejections() && self.score(now, Fault::Errors) > OUTLIER_THRESHOLD
+        !self.has_ejections() && self.score(now, FaultKind::ErrorResponses) > OUTLIER_THRESHOLD
     }
 
-    /// Ejects the backend.
+    /// Ejects the backend for `duration`, in ms.
     pub(super) fn eject(&mut self, now: Millis, duration: Millis) {
         self.ejections += 1;
         self.ejected_until = now + duration;
     }
 
-    /// Takes one ejection off after a trial that succeeded.
+    /// Removes one ejection after a successful trial.
     pub(super) fn record_successful_trial(&mut self) {
         self.ejections -= 1;
     }
 
-    /// How long the backend is to be ejected the next time, ms: with jitter, and longer the more gateways meet
-    /// it. An error comes sooner than work is done: unless the backend is left alone it would be tried most of all.
-    pub(super) fn next_ejection_time(&self, meeting_gateways: f64, rng: &mut Pcg32) -> Millis {
+    /// Duration of the next ejection, ms, with jitter; the more gateways use the backend, the longer. Error responses
+    /// take less time than real work, so without ejection a failing backend would look the least loaded and get the
+    /// most requests.
+    pub(super) fn next_ejection_time(&self, gateways_per_backend: f64, rng: &mut Pcg32) -> Millis {
         let doublings = self.ejections.min(MAX_EJECTION_DOUBLINGS);
         let factor = f64::from(1 << doublings);
         let jitter = 0.5 + uniform(rng);
-        meeting_gateways.max(MIN_EJECTION_TIME) * self.latency_objective * factor * jitter
+        gateways_per_backend.max(MIN_EJECTION_TIME) * self.latency_objective * factor * jitter
     }
 
-    /// Records what the end of an attempt says of the backend.
+    /// Updates the fault scores with the end of an attempt.
     pub(super) fn record_outcome(
         &mut self,
         now: Millis,
@@ -199,7 +206,7 @@
         completed: &AttemptCompleted,
         evidence: &AttemptEvidence,
     ) {
-        let hanging = Fault::Hanging(request.class);
+        let hanging = FaultKind::Hanging(request.class);
         let outcome = completed.outcome;
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             let update = ScoreUpdate::lower(hanging, RESPONSIVE_STEP);
@@ -214,8 +221,8 @@
         {
             self.update(now, &update);
         }
-        // The general score is brought up to now by every outcome, also by one that says nothing.
-        let no_change = ScoreUpdate::lower(Fault::Failing, 0.0);
+        // Each outcome brings this score up to `now`, also one that changes no score.
+        let no_change = ScoreUpdate::lower(FaultKind::Failures, 0.0);
         self.update(now, &no_change);
     }
 
@@ -229,23 +236,23 @@
         );
     }
 
-    /// Brings up to now whether the backend counts as set aside; whether it is, if that changed.
-    pub(super) fn update_set_aside(&mut self, now: Millis) -> Option<bool> {
-        let distrust = self.general_distrust(now);
-        let is_set_aside = distrust > OUTLIER_THRESHOLD
-            || (self.is_set_aside && distrust >= OUTLIER_THRESHOLD / 2.0);
-        let changed = is_set_aside != self.is_set_aside;
-        self.is_set_aside = is_set_aside;
-        changed.then_some(is_set_aside)
+    /// Updates whether the backend is logged as set aside; returns the new value if it changed.
+    pub(super) fn update_logged_health(&mut self, now: Millis) -> Option<bool> {
+        let fault_score = self.failure_score(now);
+        let is_logged_unhealthy = fault_score > OUTLIER_THRESHOLD
+            || (self.is_logged_unhealthy && fault_score >= OUTLIER_THRESHOLD / 2.0);
+        let changed = is_logged_unhealthy != self.is_logged_unhealthy;
+        self.is_logged_unhealthy = is_logged_unhealthy;
+        changed.then_some(is_logged_unhealthy)
     }
 }
 
-/// The steps of the fault scores for an outcome, hanging aside.
+/// The score updates for an outcome, except those for hanging attempts.
 ///
-/// A broken connection counts little, so that a fault of the network is not taken for faults of backends: where
-/// connections break everywhere, each backend would be set aside in turn and the rest be overloaded. It costs some
-/// requests at a backend that accepts connections and breaks every one; a process that died refuses the next
-/// connection, and that says enough.
+/// A broken connection counts little, so that a network fault is not taken for faults of backends: if connections broke
+/// everywhere, each backend would be avoided in turn and the others would be overloaded. The price is that a backend
+/// that accepts connections and breaks every one still gets some requests. A process that has died is detected at once,
+/// since it refuses the next connection.
 fn outcome_updates(plan: PlanId, completed: &AttemptCompleted) -> [Option<ScoreUpdate>; 2] {
     let failure_step = |usual_step: f64| {
         if completed.broken_connections > 0 {
@@ -256,32 +263,35 @@
     };
     match completed.outcome {
         Outcome::Ok => [
-            Some(ScoreUpdate::lower(Fault::Failing, RECOVERY_STEP)),
-            Some(ScoreUpdate::lower(Fault::Errors, RECOVERY_STEP)),
+            Some(ScoreUpdate::lower(FaultKind::Failures, RECOVERY_STEP)),
+            Some(ScoreUpdate::lower(FaultKind::ErrorResponses, RECOVERY_STEP)),
         ],
         Outcome::Error => [
-            Some(ScoreUpdate::raise(Fault::Failing, FAILURE_STEP)),
-            Some(ScoreUpdate::raise(Fault::Errors, FAILURE_STEP)),
+            Some(ScoreUpdate::raise(FaultKind::Failures, FAILURE_STEP)),
+            Some(ScoreUpdate::raise(FaultKind::ErrorResponses, FAILURE_STEP)),
         ],
         Outcome::ConnectFailed => {
             let step = failure_step(1.0);
-            [Some(ScoreUpdate::raise(Fault::Failing, step)), None]
+            [Some(ScoreUpdate::raise(FaultKind::Failures, step)), None]
         }
         Outcome::Reset => {
             let step = failure_step(FAILURE_STEP);
-            [Some(ScoreUpdate::raise(Fault::Failing, step)), None]
+            [Some(ScoreUpdate::raise(FaultKind::Failures, step)), None]
         }
-        Outcome::Timeout => [Some(ScoreUpdate::raise(Fault::Failing, FAILURE_STEP)), None],
+        Outcome::Timeout => [
+            Some(ScoreUpdate::raise(FaultKind::Failures, FAILURE_STEP)),
+            None,
+        ],
         Outcome::Rejected => {
-            let fault = Fault::Full(plan);
+            let fault = FaultKind::PlanRejections(plan);
             [Some(ScoreUpdate::raise(fault, FAILURE_STEP)), None]
         }
         Outcome::Cancelled | Outcome::NotSent => [None, None],
     }
 }
 
-/// Whether so many of the backends are ejected that ejection is to be ignored: the rest would be overloaded, or the
-/// errors are no fault of theirs.
-pub(super) fn is_panic(ejected: usize, backends: usize) -> bool {
-    ejected as f64 > PANIC_FRACTION * backends as f64
+/// Whether so many backends are ejected that ejections are ignored: the others would be overloaded, or the errors are
+/// not the backends' fault.
+pub(super) fn in_panic_mode(ejected: usize, backends: usize) -> bool {
+    ejected as f64 > PANIC_THRESHOLD * backends as f64
 }
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -1,38 +1,38 @@
-//! Requests that the gateway is working on, and their attempts.
+//! Pending requests and their attempts.
 
 use crate::policy_api::*;
 
-/// An attempt in flight.
+/// An attempt in flight, or one that has ended and may have executed.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
-    /// Index within the request, from 0.
+    /// Index of the attempt within the request, from 0.
     pub index: u32,
     pub backend: BackendId,
-    /// When it was sent, ms.
+    /// When the attempt was sent, ms.
     pub sent_at: Millis,
-    /// Zone of the backend at that time.
+    /// Zone of the backend when the attempt was sent.
     pub zone: ZoneId,
-    /// Cell of the backend at that time.
+    /// Cell of the backend when the attempt was sent.
     pub cell: CellId,
 }
 
-/// A request that has no final answer yet, or whose last attempt is still in flight.
+/// A request without a final answer, or with a final answer and attempts that are still in flight.
 #[derive(Clone)]
 pub(super) struct PendingRequest {
     pub request: Request,
-    /// When it arrived, ms.
+    /// When the request arrived, ms.
     pub arrived_at: Millis,
     /// Number of attempts sent so far.
     pub attempts_sent: u32,
-    /// Attempts in flight: two while it is hedged.
+    /// Attempts in flight; two while the request is hedged.
     pub in_flight: Vec<Attempt>,
-    /// Of the attempts that ended and may have executed, the one sent first.
-    pub executed: Option<Attempt>,
-    /// Whether its streamed response has begun.
+    /// Of the attempts that have ended and may have executed, the one that was sent first; `None` if there is none.
+    pub first_executed: Option<Attempt>,
+    /// Whether the streamed response has begun.
     pub stream_started: bool,
-    /// Whether the client has its final answer, whatever is still in flight.
+    /// Whether the client has its final answer or has disconnected; attempts may still be in flight.
     pub is_answered: bool,
-    /// Whether it has been counted as slow.
+    /// Whether the admission window has counted the request as slow.
     pub is_slow: bool,
 }
 
@@ -43,7 +43,7 @@
             arrived_at,
             attempts_sent: 0,
             in_flight: Vec::new(),
-            executed: None,
+            first_executed: None,
             stream_started: false,
             is_answered: false,
             is_slow: false,
@@ -55,7 +55,7 @@
         !self.is_answered && !self.stream_started
     }
 
-    /// Removes an attempt that ended; `None` if it was not in flight.
+    /// Removes an attempt that has ended. Returns `None` if it was not in flight.
     pub(super) fn remove_attempt(&mut self, completed: &AttemptCompleted) -> Option<Attempt> {
         let position = self.in_flight.iter().position(|attempt| {
             attempt.index == completed.attempt && attempt.backend == completed.backend
@@ -63,11 +63,11 @@
         Some(self.in_flight.remove(position))
     }
 
-    /// Records that an attempt that ended may have executed.
+    /// Records that an attempt that has ended may have executed.
     pub(super) fn record_execution(&mut self, attempt: Attempt) {
         let earlier = self
-            .executed
-            .filter(|executed| executed.sent_at <= attempt.sent_at);
-        self.executed = earlier.or(Some(attempt));
+            .first_executed
+            .filter(|first_executed| first_executed.sent_at <= attempt.sent_at);
+        self.first_executed = earlier.or(Some(attempt));
     }
 }
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -1,17 +1,17 @@
-//! The timers of the policy, and how each is packed into a [`TimerId`].
+//! The timers of the policy, and how each is encoded as a [`TimerId`].
 
 use crate::policy_api::*;
 
-/// The timer to poll the endpoint list again.
+/// Id of the timer for the next poll of the endpoint list.
 const POLL_LIST: TimerId = TimerId(u64::MAX);
 
-/// What a timer is for.
+/// The purpose of a timer.
 pub(super) enum PolicyTimer {
-    /// The endpoint list is to be polled again.
+    /// Polls the endpoint list.
     PollList,
-    /// A request has become slow, or has reached its final deadline.
+    /// A request becomes slow, or reaches its final deadline.
     RequestDeadline(RequestId),
-    /// An attempt has been in flight for so long that its request may be hedged.
+    /// An attempt has been in flight so long that its request may be hedged.
     Hedge {
         request: RequestId,
         /// Index of the attempt, from 0.
@@ -20,7 +20,7 @@
 }
 
 impl PolicyTimer {
-    /// The low half of the id is the request; the high half is 0, or the index of an attempt plus 1.
+    /// Encodes the timer. The low 32 bits are the request; the high 32 bits are 0, or the index of the attempt plus 1.
     pub(super) fn id(&self) -> TimerId {
         match self {
             PolicyTimer::PollList => POLL_LIST,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The timer with this id.
+    /// Decodes the timer with this id.
     pub(super) fn from_id(id: TimerId) -> PolicyTimer {
         if id == POLL_LIST {
             return PolicyTimer::PollList;
