--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -228,7 +228,8 @@
         }
     }
 
-    /// Records that a request is slow, or gives it its final answer at its final deadline.
+    /// Handles the timer of a request: records that the request is slow, or gives it its final answer at its final
+    /// deadline.
     pub(super) fn request_timer_fired(
         &mut self,
         now: Millis,
--- a/src/policy/backends.rs
+++ b/src/policy/backends.rs
@@ -155,9 +155,9 @@
             .unwrap_or(0.0)
     }
 
-    /// How long the most overdue attempt at a backend is overdue, ms; 0 if none is. It steers the selection to other
-    /// backends but rejects no request, since a response may be lost where there is no queue. An attempt of a class
-    /// that is known to hang there counts only for requests of that class.
+    /// How long the most overdue attempt at a backend is overdue, ms; 0 if none is. This time steers the selection to
+    /// other backends but rejects no request, since a response may be lost where there is no queue. An attempt of a
+    /// class that is known to hang there counts only for requests of that class.
     pub(super) fn overdue(&self, now: Millis, backend: &Backend, class: ClassId) -> Millis {
         let mut longest = 0.0;
         for attempt in backend.in_flight.values() {
@@ -189,6 +189,8 @@
         )
     }
 
+    /// How long an attempt has taken beyond [`OVERDUE_FACTOR`] times its expected time, ms; negative if less. Counted
+    /// from when the attempt was sent, or from `outcome_at` if that is later.
     fn overdue_since(
         &self,
         now: Millis,
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -19,7 +19,7 @@
 }
 
 impl CeilingShare {
-    /// Adds the units of `seconds` to the bucket.
+    /// Adds the units that accrue in `seconds` to the bucket.
     pub(super) fn refill(&mut self, plan: &Plan, gateway_count: f64, seconds: f64) {
         let Some(ceiling) = plan.ceiling else { return };
         let depth = (ceiling.burst + USED_SLACK_FRACTION * ceiling.slack) / gateway_count;
--- a/src/policy/demand.rs
+++ b/src/policy/demand.rs
@@ -1,9 +1,9 @@
 //! Demand: the load within the quotas that arrives at this gateway, and how much of it the backends are known to serve.
 //!
 //! Each gateway sends a warming backend a share of its own demand, and the shares of all gateways add up to the load of
-//! that backend. So a request that a client retries after a rejection must count only once, although it arrives twice,
-//! perhaps at different gateways. A retry that the client marked is not counted, since the gateway that rejected the
-//! request has counted it. Where clients mark no retries, a request that was rejected for lack of capacity may be
+//! that backend. A request that a client retries after a rejection arrives twice, perhaps at different gateways, but
+//! must add to that load only once. A retry that the client marked is therefore not counted: the gateway that rejected
+//! the request has counted it. Where clients mark no retries, a request that was rejected for lack of capacity may be
 //! retried up to [`MAX_CLIENT_RETRIES`] times. All gateways reject about the same fraction of requests, so the fraction
 //! that this gateway rejects tells how often each request arrives.
 
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -15,8 +15,8 @@
 /// Minimum number of gateways that use each backend, on average. With this many gateways or fewer, each uses all
 /// backends.
 const GATEWAYS_PER_BACKEND: f64 = 4.0;
-/// How far outside a gateway's own range of the backend ring a present member may lie and still be kept, on either
-/// side, as a fraction of the target size of the subset.
+/// How far outside a gateway's own range of the ring of backends (see [`LoadBalancer::subset`]) a present member may
+/// lie and still be kept, on either side, as a fraction of the target size of the subset.
 const SUBSET_SLACK: f64 = 0.25;
 /// Average number of units that a gateway has in flight at each backend below which its own load says little about how
 /// busy a backend is. The selection then follows the units that each backend has accrued in its
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -101,7 +101,9 @@
     }
 }
 
-/// Fault scores and ejection state of one backend, as observed by this gateway.
+/// Fault scores and ejection state of one backend, as observed by this gateway. As in a circuit breaker, a backend
+/// whose ejection has ended is half-open: it gets single trial requests. A trial that fails ejects the backend again
+/// for longer, and each trial that succeeds removes one ejection.
 pub(super) struct FaultHistory {
     /// The shortest latency objective of all classes, ms: halflives and ejection times are multiples of it.
     latency_objective: Millis,
@@ -250,9 +252,9 @@
 /// The score updates for an outcome, except those for hanging attempts.
 ///
 /// A broken connection counts little, so that a network fault is not taken for faults of backends: if connections broke
-/// everywhere, each backend would be avoided in turn and the others would be overloaded. The price is that a backend
-/// that accepts connections and breaks every one still gets some requests. A process that has died is detected at once,
-/// since it refuses the next connection.
+/// everywhere, each backend would be avoided in turn and the others would be overloaded. The price is that some
+/// requests are lost at a backend that accepts connections and breaks every one. A process that has died is detected at
+/// once, since it refuses the next connection.
 fn outcome_updates(plan: PlanId, completed: &AttemptCompleted) -> [Option<ScoreUpdate>; 2] {
     let failure_step = |usual_step: f64| {
         if completed.broken_connections > 0 {
--- a/src/policy/overload.rs
+++ b/src/policy/overload.rs
@@ -42,7 +42,7 @@
 }
 
 /// The admission window of one gateway: the fraction of the quotas that it admits, which follows the latency of
-/// responses; and the pressure, which tells how short of capacity the backends are by the queueing delays of this
+/// responses. Also holds the pressure: how short of capacity the backends are, judged by the queueing delays of this
 /// gateway's own attempts.
 pub(super) struct AdmissionWindow {
     context: Arc<PolicyContext>,
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -44,8 +44,8 @@
 }
 
 impl TokenBucket {
-    /// Adds the units of `seconds`. The refill rate falls to `target` at once. It rises to `target` with the time
-    /// constant [`RISE_HALFLIVES`], or at once for a small share.
+    /// Adds the units that accrue in `seconds`. The refill rate falls to `target` at once. It rises to `target` with
+    /// the time constant [`RISE_HALFLIVES`], or at once for a small share.
     fn refill(&mut self, target: f64, seconds: f64, local: &LocalQuota) {
         let rise_fraction = if local.is_small_share {
             1.0
@@ -219,7 +219,8 @@
         self.customers.len()
     }
 
-    /// Rejects a request that is not within its customer's quota at this gateway.
+    /// Records the arrival of a request. Rejects the request if it is not within its customer's quota at this gateway,
+    /// or if load has to be shed because the backends lack capacity.
     pub(super) fn admit(
         &mut self,
         now: Millis,
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -42,7 +42,8 @@
     }
 }
 
-/// Limits the attempts of requests: the retry budget, timeouts and deadlines.
+/// Limits the attempts of requests, by timeouts, deadlines and a retry budget. Each first attempt adds to the budget,
+/// and each retry or hedge takes one retry from it.
 pub(super) struct RetryPolicy {
     context: Arc<PolicyContext>,
     /// Number of retries that may be sent now; it may be fractional.
@@ -102,7 +103,7 @@
         self.connection_broke_at = now;
     }
 
-    /// Adds what a first attempt earns to the retry budget.
+    /// Adds [`RETRIES_PER_REQUEST`] to the retry budget, for a first attempt.
     pub(super) fn deposit(&mut self) {
         self.budget = (self.budget + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
     }
@@ -147,8 +148,8 @@
     }
 
     /// How a request is written, to guard against connections that are broken unnoticed, pooled or in between. Each
-    /// such connection would lose a request that must not execute twice. Other requests can be repeated, and caution costs
-    /// each of them a round trip, so they are delivered cautiously only for a while after a connection broke.
+    /// such connection would lose a request that must not execute twice. Other requests can be repeated, and caution
+    /// costs each of them a round trip, so they are delivered cautiously only for a while after a connection broke.
     pub(super) fn delivery(&self, now: Millis, pending: &PendingRequest) -> DeliveryMode {
         let cautious_delivery_time = CAUTIOUS_DELIVERY_TIME * self.context.latency_objective;
         match self.class(pending).idempotency {
--- a/src/policy/usage.rs
+++ b/src/policy/usage.rs
@@ -11,7 +11,8 @@
 use crate::measure::{normal_quantile, zipf_share, Cewma};
 use crate::policy_api::*;
 
-/// Number of mean requests that the evidence of a new customer starts with, since few observations prove little.
+/// Number of requests of mean size that the evidence of a new customer starts with, since few observations prove
+/// little.
 const PRIOR_REQUESTS: f64 = 0.5;
 /// Local rate, as a multiple of the rate that the meter reports for all gateways, from which the report is ignored: it
 /// must be about another period.
