--- a/src/measure/tests.rs
+++ b/src/measure/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the estimators.
+//! Unit tests of the estimators and distributions.
 
 use super::*;
 use rand_core::SeedableRng;
@@ -37,11 +37,11 @@
 
 #[test]
 fn zipf_share_is_exceeded_with_the_given_probability() {
-    let places = 250.0;
+    let destinations = 250.0;
     let sum: f64 = (1..=250).map(|rank| 1.0 / f64::from(rank)).sum();
     for probability in [1.0 / 3.0, 0.5, 2.0 / 3.0, 0.8] {
-        let threshold = zipf_share(places, probability);
-        // An item passes through the n-th place with the probability of that place's share.
+        let threshold = zipf_share(destinations, probability);
+        // An item goes to the n-th destination with a probability equal to that destination's share.
         let above = (1..=250)
             .map(|rank| 1.0 / f64::from(rank) / sum)
             .take_while(|share| *share >= threshold)
--- a/src/policy_api/action.rs
+++ b/src/policy_api/action.rs
@@ -1,97 +1,102 @@
-//! Actions: what the policy has the driver do.
+//! Actions that the policy asks the driver to carry out.
 
 use super::ids::{BackendId, Millis, RequestId, TimerId};
 
-/// How a request is written to a connection, so that a connection that breaks does not lose it.
+/// How the driver writes a request to a connection. A connection may have broken unnoticed, and a request written to it
+/// is lost; the modes differ in how far they guard against that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryMode {
-    /// At once, to any connection.
+    /// The whole request is written immediately, to a new or a pooled connection.
     Normal,
-    /// Its last byte is held back until the connection has proved alive: if it breaks before, nothing executed.
+    /// The last byte of the request is held back until the connection has proved to be alive. If the connection breaks
+    /// before that, the backend has not executed the request.
     Cautious,
-    /// Cautiously, and a pooled connection is reused only at an idle age at which others survived lately.
+    /// As [`Cautious`](DeliveryMode::Cautious); in addition, a pooled connection is reused only at an idle age at which
+    /// recently reused connections were still alive.
     Once,
 }
 
 /// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectReason {
-    /// It names a plan or class that the settings do not have.
+    /// The request names a plan or a class that the settings do not define.
     UnknownPlanOrClass,
     /// The gateway is shutting down.
     ShuttingDown,
-    /// Its customer's recent average rate is over the limit of the penalty box.
+    /// The customer's recent average rate exceeds the limit of the penalty box.
     PenaltyBox,
-    /// Its customer's usage, or the capacity of the backends, admits only a fraction of its requests.
+    /// Only a fraction of the customer's requests is admitted, because the customer is over its quota or the backends
+    /// are short of capacity, and this request was not among them.
     LoadShedding,
-    /// Its customer's token bucket holds too few units.
+    /// The customer's token bucket at this gateway holds too few units.
     TokenBucket,
-    /// Its customer has as many concurrent attempts here as it may.
+    /// The customer has used up this gateway's share of its limit on concurrent attempts.
     ConcurrencyLimit,
-    /// This gateway's share of its customer's hard ceiling holds too few units.
+    /// This gateway's share of the customer's hard ceiling holds too few units.
     Ceiling,
-    /// No backend may be sent it, or it would be served too late.
+    /// No backend may be sent the request, or the response would come too late.
     NoCapacity,
-    /// It was sent, and all attempts failed.
+    /// The request was sent, and all of its attempts failed.
     AttemptsFailed,
 }
 
-/// Something that the driver is to do.
+/// An instruction to the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The backend.
+        /// The backend to send it to.
         backend: BackendId,
-        /// Attempt timeout, ms; `None` until the client disconnects.
+        /// Attempt timeout, ms; with `None` the attempt lasts until the client disconnects at the latest.
         timeout: Option<Millis>,
-        /// Time before which it must reach the backend, if there is one, ms: later it could execute twice.
+        /// Time before which the request must reach the backend, ms: later than that, its idempotency key may have been
+        /// forgotten and it could execute twice. `None` if there is no such limit.
         begin_before: Option<Millis>,
-        /// How it is written.
+        /// How the request is written to the connection.
         delivery: DeliveryMode,
     },
-    /// Final answer: rejected, and safe to retry.
+    /// Final answer: the request is rejected, and the client can safely retry it.
     Reject {
-        /// The request.
+        /// The rejected request.
         request: RequestId,
-        /// Time after which to retry, if advised, ms.
+        /// Delay after which the client is advised to retry, ms; `None` if it gets no Retry-After.
         retry_after: Option<Millis>,
-        /// The reason, for the operators.
+        /// Why the request is rejected, for the operators.
         reason: RejectReason,
     },
-    /// Final answer: failed, and possibly executed.
+    /// Final answer: the request failed and may have been executed.
     Fail(RequestId),
-    /// Cancel an attempt.
+    /// Cancel an attempt in flight.
     CancelAttempt {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Index of the attempt, from 0.
+        /// Index of the attempt within the request, from 0.
         attempt: u32,
     },
-    /// Report an [`Event::TimerFired`](crate::Event::TimerFired) at a time.
+    /// Report [`Event::TimerFired`](crate::Event::TimerFired) at a given time.
     SetTimer {
-        /// When, ms.
+        /// Time at which the timer fires, ms.
         at: Millis,
-        /// The timer.
+        /// The timer that the event names.
         timer: TimerId,
     },
-    /// Check the health of a backend.
+    /// Start a health check of a backend.
     CheckHealth(BackendId),
-    /// Close the idle connections to a backend.
+    /// Close all idle connections to a backend.
     CloseIdleConnections(BackendId),
-    /// Open a connection to a backend to which requests are expected to go.
+    /// Open a connection to a backend before the first request is sent there.
     Preconnect {
-        /// The backend.
+        /// The backend to connect to.
         backend: BackendId,
-        /// Time within which the next request is expected there, ms.
+        /// Time within which the next request to this backend is expected, ms.
         within: Millis,
     },
     /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Poll the whole endpoint list once.
+    /// Poll the complete endpoint list once.
     FetchList,
-    /// Log a line for the operators.
+    /// Write a line to the log, for the operators.
     Log(String),
 }
--- a/src/policy_api/endpoint.rs
+++ b/src/policy_api/endpoint.rs
@@ -2,43 +2,44 @@
 
 use super::ids::{BackendId, CellId, Millis, ZoneId};
 
-/// State of a backend in the endpoint list.
+/// Whether a backend accepts requests, according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It accepts requests.
+    /// The backend accepts requests.
     Ready,
-    /// It finishes the requests in flight and accepts no new ones.
+    /// The backend finishes the requests in flight and accepts no new ones.
     Draining,
-    /// It is gone from the list.
+    /// The backend is no longer in the list.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendEntry {
-    /// Which backend.
+    /// The backend that the entry describes.
     pub id: BackendId,
-    /// Its zone.
+    /// Availability zone that the backend runs in.
     pub zone: ZoneId,
-    /// Its cell.
+    /// Cell whose store of idempotency keys the backend uses.
     pub cell: CellId,
-    /// Its state.
+    /// Whether the backend accepts requests.
     pub availability: Availability,
-    /// Time of its last start, ms; `None` if it has long been warm.
+    /// Time of the backend's last start, ms; `None` if it has long been warm. Another value than before means that the
+    /// backend has restarted.
     pub started_at: Option<Millis>,
-    /// Capacity relative to the other backends; 1 where nothing is known.
+    /// Capacity relative to the other backends; 1 if it is not known.
     pub weight: f64,
 }
 
-/// What an [`Event::EndpointsChanged`](crate::Event::EndpointsChanged) carries.
+/// What the entries of an [`Event::EndpointsChanged`](crate::Event::EndpointsChanged) are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only the changed entries.
+    /// Only the entries that have changed.
     Changes,
-    /// The whole list.
+    /// The complete list: a backend without an entry is removed.
     Full,
-    /// The whole list as this gateway last had it in an earlier incarnation.
+    /// The complete list as an earlier incarnation of this gateway last had it.
     Cached,
-    /// A poll or subscription failed; the previous list stays in force.
+    /// A poll or a subscription failed. The previous list stays in force.
     Failed,
 }
--- a/src/policy_api/event.rs
+++ b/src/policy_api/event.rs
@@ -1,4 +1,4 @@
-//! Events: what the driver reports to the policy.
+//! Events that the driver reports to the policy.
 
 use super::endpoint::{BackendEntry, ListKind};
 use super::ids::{BackendId, Millis, RequestId, TimerId};
@@ -7,32 +7,33 @@
 /// Something that happened at a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list, or changes of it.
+    /// The endpoint list was received, completely or as changes, or could not be received.
     EndpointsChanged(ListKind, Vec<BackendEntry>),
-    /// A request arrived.
+    /// A request of a client arrived.
     RequestArrived(Request),
-    /// A streamed response began.
+    /// The streamed response to a request began.
     StreamStarted(RequestId),
-    /// An attempt ended.
+    /// An attempt ended, with or without a response.
     AttemptCompleted(AttemptCompleted),
-    /// The client closed its connection before its final answer.
+    /// The client closed its connection before its request had a final answer.
     ClientDisconnected(RequestId),
-    /// A timer came due.
+    /// A timer that the policy had set fired.
     TimerFired(TimerId),
-    /// A graceful shutdown began: requests that arrive from now on are rejected with a Retry-After that ends,
-    /// at the latest, at this time (ms).
+    /// A graceful shutdown began, which ends at this time (ms). Requests that arrive from now on are rejected, with a
+    /// Retry-After that ends at this time at the latest.
     ShutdownStarted(Millis),
-    /// An estimate of how many gateways are alive, for what depends on all of them acting at once.
+    /// The estimated number of live gateways changed. The policy uses it where the sum of what all gateways do counts,
+    /// as for the trial requests to an ejected backend.
     FleetSizeChanged(u32),
     /// A health check ended.
     HealthCheckCompleted {
-        /// The backend.
+        /// The backend that was checked.
         backend: BackendId,
-        /// How it ended.
+        /// How the health check ended.
         outcome: Outcome,
-        /// How long it took, ms.
+        /// Duration of the health check, ms.
         elapsed: Millis,
-        /// The load report, if one came with it.
+        /// The backend's load, where the response to the health check reports it.
         load_report: LoadReport,
     },
 }
--- a/src/policy_api/ids.rs
+++ b/src/policy_api/ids.rs
@@ -1,9 +1,10 @@
-//! Time and identifiers. Each identifier is a type of its own, so that one cannot stand in for another.
+//! Time and identifiers. Each kind of identifier has its own type, so that the compiler finds one that is passed in
+//! place of another.
 
-/// A point in time or a span, in milliseconds on the monotonic clock of the caller.
+/// A point in time or a duration, in milliseconds on the caller's monotonic clock.
 pub type Millis = f64;
 
-/// A request, as numbered by the driver; an id is never reused during one incarnation of a gateway.
+/// A request, as numbered by the driver. No id is reused within one incarnation of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
@@ -23,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlanId(pub usize);
 
-/// An availability zone, by number.
+/// An availability zone, as numbered by the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
--- a/src/policy_api/mod.rs
+++ b/src/policy_api/mod.rs
@@ -1,6 +1,7 @@
-//! What passes between the policy and its driver: settings at the start, then events in and actions out.
+//! The interface between the policy and its driver. The policy is created from [`Settings`]; from then on the driver
+//! reports each [`Event`] and carries out the [`Action`]s that the policy returns.
 //!
-//! All times are [`Millis`] on the clock of the caller; the policy never reads a clock of its own.
+//! All times are [`Millis`] on the driver's clock; the policy reads no clock.
 
 mod action;
 mod endpoint;
--- a/src/policy_api/settings.rs
+++ b/src/policy_api/settings.rs
@@ -1,14 +1,16 @@
-//! Settings: what a deployment permits and how it is shaped, fixed when a gateway starts.
+//! Settings: the size of a deployment, its plans and classes, and what it permits. They are fixed when a gateway
+//! starts.
 
 use super::endpoint::BackendEntry;
 use super::ids::{Millis, ZoneId};
 
-/// Latency objective assumed where the settings have no class, ms.
+/// Latency objective assumed if the settings define no class, ms.
 const DEFAULT_LATENCY_OBJECTIVE: Millis = 1000.0;
-/// Shortest latency objective that times are scaled by, ms: an objective of zero would make all of them zero.
+/// Lower bound of [`Settings::shortest_latency_objective`], ms. Other times are multiples of that objective, so an
+/// objective of zero would make all of them zero.
 const MIN_LATENCY_OBJECTIVE: Millis = 1.0;
 
-/// The backends that discard a repeated request with the same idempotency key.
+/// The backends among which a repeated request with the same idempotency key is discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// Every backend.
@@ -22,57 +24,57 @@
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Executing it again is harmless.
+    /// The request can be executed again without harm.
     Idempotent,
-    /// It carries an idempotency key: repeats are discarded within a scope, for a limited time.
+    /// The request carries an idempotency key: backends within a scope discard repeated requests for a limited time.
     WithKey {
-        /// The backends that discard repeats.
+        /// The backends that discard repeated requests.
         scope: DeduplicationScope,
-        /// How long a key is remembered, in ms from the send of the first attempt that may have executed.
+        /// How long backends remember a key, counted from the send of the first attempt that may have executed, ms.
         retention: Millis,
     },
-    /// It must never be executed twice.
+    /// The request must not be executed more than once.
     NonIdempotent,
 }
 
-/// A class of requests.
+/// A class of requests with a common latency objective and idempotency.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Latency within which a response earns its full priority weight, ms.
+    /// Latency up to which a response earns its full priority weight, ms.
     pub latency_objective: Millis,
-    /// Longest time that a client waits, over all its attempts, ms.
+    /// Longest time that a client waits for the final answer, over all attempts, ms.
     pub deadline: Millis,
-    /// Priority weight of one unit.
+    /// Priority weight of each unit of a request.
     pub priority_weight: f64,
-    /// Fraction of the priority weight that a response after the latency objective still earns.
+    /// Fraction of its priority weight that a response still earns after the latency objective.
     pub late_priority_weight: f64,
-    /// Whether its requests may be executed more than once.
+    /// Whether requests of this class may be executed more than once.
     pub idempotency: Idempotency,
-    /// Whether its responses are streamed.
+    /// Whether responses of this class are streamed.
     pub streaming: bool,
 }
 
-/// A hard ceiling on what all gateways together forward for one customer.
+/// A hard ceiling on the units that all gateways together forward for one customer, as a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ceiling {
-    /// Refill rate, units a second.
+    /// Refill rate, units per second.
     pub rate: f64,
-    /// Capacity, units.
+    /// Capacity of the bucket, units.
     pub burst: f64,
     /// Units by which the ceiling may be overdrawn.
     pub slack: f64,
 }
 
-/// A plan that customers buy.
+/// A plan that customers buy: a quota, and what use beyond it earns and costs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Quota over all gateways, units a second; 0 means no quota.
+    /// Quota over all gateways, units per second; 0 means no quota.
     pub rate: f64,
-    /// Units of quota that may be used at once.
+    /// Units of the quota that may be used at once, over all gateways.
     pub burst: f64,
-    /// Concurrent attempts that the quota covers, over all gateways; 0 means no such limit.
+    /// Limit on concurrent attempts over all gateways; 0 means no limit.
     pub max_concurrency: u32,
-    /// Factor on the priority weight of a request.
+    /// Factor on the priority weight of this plan's requests.
     pub weight_factor: f64,
     /// Fraction of its priority weight that a request forwarded beyond the quota earns.
     pub over_quota_weight: f64,
@@ -85,31 +87,31 @@
 /// How the endpoint list reaches a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes arrive without a request.
+    /// Changes are pushed to the gateway without a subscription.
     Pushed,
-    /// Changes arrive only after a subscription or a poll.
+    /// Changes arrive only in response to a subscription or a poll.
     OnRequest,
 }
 
 /// How load reports of backends reach a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportMode {
-    /// Not at all.
+    /// Backends send no load reports.
     Off,
-    /// With every completed attempt and health check.
+    /// Load reports come with every completed attempt and health check.
     Inline,
-    /// With health checks only.
+    /// Load reports come with health checks only.
     OnHealthCheck,
 }
 
-/// What a deployment permits and how it is shaped, fixed when a gateway starts.
+/// The settings of one gateway, fixed when it starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of gateways in this tier.
+    /// Number of gateways in the fleet.
     pub gateways: u32,
-    /// Index of this gateway among them, from 0.
+    /// Index of this gateway within the fleet, from 0.
     pub gateway_index: u32,
-    /// Zone of this gateway.
+    /// Availability zone that this gateway runs in.
     pub zone: ZoneId,
     /// Shortest time between two batches of events, ms.
     pub tick: Millis,
@@ -117,41 +119,41 @@
     pub classes: Vec<Class>,
     /// The plans, indexed by [`PlanId`](crate::PlanId).
     pub plans: Vec<Plan>,
-    /// Most units that one request counts.
+    /// Most units that one request can take from its quota.
     pub max_units: f64,
-    /// Period of the usage meter, ms; 0 means that there is no meter.
+    /// Period of the usage meter, ms; 0 if there is no meter.
     pub meter_period: Millis,
-    /// How the endpoint list arrives.
+    /// How the endpoint list reaches this gateway.
     pub discovery: DiscoveryMode,
-    /// How load reports arrive.
+    /// How load reports reach this gateway.
     pub load_reports: LoadReportMode,
-    /// Most attempts for one request.
+    /// Most attempts that may be sent for one request, the first one included.
     pub max_attempts: u32,
-    /// Whether a request may be hedged: have two attempts in flight at a time.
+    /// Whether requests may be hedged, that is, have two attempts in flight at a time.
     pub hedging: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether the gateway may cancel attempts in flight.
     pub cancellation: bool,
-    /// Whether health checks are permitted.
+    /// Whether the gateway may run health checks.
     pub health_checks: bool,
     /// Whether rejections may carry a Retry-After.
     pub retry_after: bool,
-    /// Longest Retry-After that clients follow, ms.
+    /// Longest Retry-After that clients comply with, ms.
     pub max_retry_after: Millis,
-    /// Cost of an attempt that crosses zones, as a fraction of a request's priority weight.
+    /// Cost of an attempt to a backend in another zone, as a fraction of the request's priority weight.
     pub cross_zone_cost: f64,
-    /// Time after the client's deadline in which a final answer still counts, ms.
+    /// Time after the client's deadline within which a final answer still counts as in time, ms.
     pub answer_slack: Millis,
-    /// Grace period within which sends to a draining or removed backend must stop, ms.
+    /// Grace period after a backend starts to drain or is removed, ms: no request may be sent to it afterwards.
     pub drain_grace: Millis,
-    /// With [`DiscoveryMode::OnRequest`]: age up to which a list that was not polled counts as known, ms.
+    /// With [`DiscoveryMode::OnRequest`]: age up to which the endpoint list counts as current without a new poll, ms.
     pub poll_interval: Millis,
-    /// Least fraction of its capacity with which a backend starts.
+    /// Fraction of its full capacity that a backend has at least when it starts.
     pub start_capacity: f64,
-    /// Longest time until a started backend has its full capacity, ms.
+    /// Longest time from a backend's start until it has its full capacity, ms.
     pub warm_up: Millis,
-    /// Multiple of its present capacity at which a warming backend fails.
+    /// Load at which a warming backend fails, as a multiple of its present capacity.
     pub overload_factor: f64,
-    /// How long a warming backend bears that multiple before it fails, ms.
+    /// How long a warming backend withstands that load before it fails, ms.
     pub overload_window: Millis,
 }
 
@@ -183,8 +185,8 @@
 }
 
 impl Default for Settings {
-    /// One gateway, and the most careful assumption about everything that is not configured: whatever needs
-    /// permission is not permitted.
+    /// A single gateway, with conservative values for everything that is not configured: whatever needs permission is
+    /// not permitted.
     fn default() -> Self {
         Settings {
             gateways: 1,
@@ -216,7 +218,7 @@
 }
 
 impl Settings {
-    /// The shortest latency objective of a class, ms: the scale of all times that are not configured.
+    /// The shortest latency objective of all classes, ms. Times without a setting of their own are multiples of it.
     pub fn shortest_latency_objective(&self) -> Millis {
         let shortest = self
             .classes
@@ -230,7 +232,7 @@
         }
     }
 
-    /// Fraction of its capacity that a backend has at least at a time: it rises linearly from
+    /// Fraction of its full capacity that a backend has at least at the time `at`. It rises linearly from
     /// [`start_capacity`](Settings::start_capacity) to 1 within [`warm_up`](Settings::warm_up) of its start.
     pub fn slow_start_fraction(&self, at: Millis, backend: &BackendEntry) -> f64 {
         let Some(started) = backend.started_at else {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,8 +1,8 @@
-//! Settings by their wire names: the one mapping for both programs.
+//! Parses settings by their wire names, for the gateway and for the simulator adapter.
 //!
-//! The simulator sends settings as `path=value` lines; the gateway flattens its JSON file to the same lines. [`parse()`]
-//! reads them. Unknown paths are ignored, and missing ones take the defaults of [`Settings::default`], [`Class::default`],
-//! [`Plan::default`] and [`ConnectionSettings::default`].
+//! The simulator sends settings as `path=value` lines, and the gateway flattens its JSON file to such lines.
+//! [`parse()`] reads them. Unknown paths are ignored; missing ones take the defaults of [`Settings::default`],
+//! [`Class::default`], [`Plan::default`] and [`ConnectionSettings::default`].
 //!
 //! [`Class::default`]: crate::Class
 //! [`Plan::default`]: crate::Plan
@@ -19,14 +19,14 @@
 pub use names::{normalize_name, Names};
 pub use parse::parse;
 
-/// All that the settings hold.
+/// All settings, parsed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedSettings {
     /// The settings of the policy.
     pub settings: Settings,
-    /// The values of a load report, in the order in which a report has them.
+    /// The metrics of a load report, in the order in which a report lists their values.
     pub report_metrics: Vec<Metric>,
-    /// The names of classes, plans, zones and metrics, which are numbers elsewhere.
+    /// The names of classes, plans, zones and metrics, which the policy knows by number.
     pub names: Names,
     /// The settings of connections to backends.
     pub connections: ConnectionSettings,
@@ -35,18 +35,18 @@
 /// Limits and costs of connections to backends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionSettings {
-    /// A connection that is not established within this time has failed, in ms.
+    /// Time within which a connection must be established, ms; otherwise the dial has failed.
     pub dial_timeout: Millis,
-    /// A backend closes a connection that has been idle for this time, in ms.
+    /// Idle time after which a backend closes a connection, ms.
     pub idle_timeout: Millis,
-    /// Cost of establishing connections, for each first attempt.
+    /// Cost of establishing connections, per first attempt.
     pub handshake_cost: f64,
-    /// Cost of the mean number of open connections, for each hundred to a backend.
+    /// Cost of the mean number of open connections, per hundred connections to a backend.
     pub connection_cost: f64,
 }
 
 impl Default for ConnectionSettings {
-    /// Timeouts of an ordinary backend, and no costs.
+    /// The timeouts of a typical backend, and no costs.
     fn default() -> Self {
         ConnectionSettings {
             dial_timeout: 250.0,
@@ -57,20 +57,20 @@
     }
 }
 
-/// Why settings cannot be used; one line that names the path.
+/// Why the settings cannot be used. The message is one line that names the path of the setting.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// A value is not of its type.
+    /// The value does not parse as the setting's type.
     #[error("settings: {path}={text} cannot be read")]
     Unreadable {
         /// The path of the setting.
         path: String,
         /// Its value.
         text: String,
-        /// The error of the parser.
+        /// The error of the type's parser.
         source: Box<dyn Error + Send + Sync>,
     },
-    /// A number is infinite or not a number.
+    /// The number is infinite or NaN.
     #[error("settings: {path}={value} is not a finite number")]
     NotFinite {
         /// The path of the setting.
@@ -78,7 +78,7 @@
         /// Its value.
         value: f64,
     },
-    /// A value is none of those that are known.
+    /// The value is none of the words that the setting accepts.
     #[error("settings: {path}={text} is not a known choice")]
     UnknownChoice {
         /// The path of the setting.
--- a/src/settings/flat.rs
+++ b/src/settings/flat.rs
@@ -1,17 +1,17 @@
-//! Settings as a flat map from paths to texts, and typed access to it.
+//! Settings as a flat map from paths to text values, with typed access.
 
 use super::SettingsError;
 use std::collections::BTreeMap;
 use std::error::Error;
 use std::str::FromStr;
 
-/// Settings by path, such as `plans.0.per_second`.
+/// The text values of settings by path, such as `plans.0.per_second`.
 pub(super) struct FlatSettings<'a> {
     texts: BTreeMap<&'a str, &'a str>,
 }
 
 impl<'a> FlatSettings<'a> {
-    /// Splits `path=value` lines. Lines without `=` are ignored; of several with one path the last counts.
+    /// Splits `path=value` lines. Lines without `=` are ignored. If a path occurs several times, the last value counts.
     pub(super) fn from_lines(lines: &'a str) -> FlatSettings<'a> {
         let texts = lines
             .lines()
@@ -20,10 +20,10 @@
         FlatSettings { texts }
     }
 
-    /// The value at `path`, or `default` if it is missing.
+    /// Parses the value at `path`; returns `default` if there is none.
     ///
     /// # Errors
-    /// [`SettingsError::Unreadable`] if it is not of the type.
+    /// [`SettingsError::Unreadable`] if the value does not parse as `T`.
     pub(super) fn get<T>(&self, path: &str, default: T) -> Result<T, SettingsError>
     where
         T: FromStr,
@@ -41,10 +41,11 @@
             })
     }
 
-    /// The finite number at `path`, or `default` if it is missing.
+    /// Parses the number at `path`; returns `default` if there is none.
     ///
     /// # Errors
-    /// [`SettingsError::Unreadable`] or [`SettingsError::NotFinite`].
+    /// [`SettingsError::Unreadable`] if the value is not a number, [`SettingsError::NotFinite`] if it is infinite or
+    /// NaN.
     pub(super) fn number(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
         let value: f64 = self.get(path, default)?;
         if value.is_finite() {
@@ -56,7 +57,7 @@
         })
     }
 
-    /// The words at `path`, which commas separate; empty if it is missing.
+    /// The comma-separated words at `path`; empty if there is no value.
     pub(super) fn list(&self, path: &str) -> Vec<String> {
         self.text(path)
             .split(',')
@@ -65,12 +66,13 @@
             .collect()
     }
 
-    /// The value of `<list>.<index>.name` for each entry of a list; empty where an entry has none.
+    /// The value of `<list>.<index>.name` for each entry of a list; an empty string for an entry without a name.
     ///
     /// # Errors
-    /// [`SettingsError::Unreadable`] if `<list>.count` is no number of entries.
+    /// [`SettingsError::Unreadable`] if `<list>.count` does not parse as a 32-bit integer.
     pub(super) fn entry_names(&self, list: &str) -> Result<Vec<String>, SettingsError> {
-        // The names are collected before the entries are parsed: 32 bits bound what a wrong count allocates.
+        // The names are read before the entries are parsed, so this is where a wrong count is found. The 32-bit type
+        // limits what such a count can allocate.
         let count: i32 = self.get(&format!("{list}.count"), 0)?;
         let mut names = Vec::new();
         for index in 0..count {
@@ -79,10 +81,10 @@
         Ok(names)
     }
 
-    /// The value that `choices` have for the word at `path`, or `default` if it is missing.
+    /// Maps the word at `path` to its value in `choices`; returns `default` if there is no word.
     ///
     /// # Errors
-    /// [`SettingsError::UnknownChoice`] if the word is none of them.
+    /// [`SettingsError::UnknownChoice`] if `choices` does not contain the word.
     pub(super) fn choice<T: Copy>(
         &self,
         path: &str,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// The text at `path`; empty if it is missing.
+    /// The text value at `path`; empty if there is none.
     fn text(&self, path: &str) -> &str {
         self.texts.get(path).copied().unwrap_or_default()
     }
--- a/src/settings/load_report.rs
+++ b/src/settings/load_report.rs
@@ -1,28 +1,28 @@
-//! Load reports of backends: which value stands where.
+//! Decodes load reports of backends: which metric each value of a report belongs to.
 
 use crate::policy_api::LoadReport;
 
-/// A value of a load report.
+/// A metric of a load report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Metric {
-    /// Requests in flight.
+    /// Number of requests in flight.
     InFlight,
-    /// Requests that are queued.
+    /// Number of queued requests.
     Queue,
-    /// Fraction of the processors in use.
+    /// Fraction of the backend's processors that is busy.
     Utilisation,
-    /// Recent service time, in ms.
+    /// Recent service time, ms.
     Latency,
     /// Requests served per second.
     Throughput,
     /// Errors per second.
     Errors,
-    /// One that this program does not know; its values are ignored.
+    /// A metric that this program does not know; its values are ignored.
     Unknown,
 }
 
 impl Metric {
-    /// The metric with this name in the setting `report.names`.
+    /// The metric with the given name in the setting `report.names`.
     pub(super) fn from_wire_name(name: &str) -> Metric {
         match name {
             "concurrent" => Metric::InFlight,
@@ -36,7 +36,7 @@
     }
 }
 
-/// A load report from its values, which stand in the order of `metrics`.
+/// Builds a load report from its values, which are in the order of `metrics`.
 pub fn load_report(metrics: &[Metric], values: &[f32]) -> LoadReport {
     let mut report = LoadReport::default();
     for (metric, value) in metrics.iter().zip(values) {
@@ -45,7 +45,7 @@
     report
 }
 
-/// Sets one value of a load report.
+/// Sets the value of one metric in a load report. Does nothing for [`Metric::Unknown`].
 pub fn set_metric(report: &mut LoadReport, metric: Metric, value: f32) {
     let value = Some(f64::from(value));
     match metric {
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -1,19 +1,19 @@
 //! Names that the settings give to classes, plans, zones and metrics.
 
-/// The names of classes, plans, zones and metrics, each at the index by which the policy knows it.
+/// The names of classes, plans, zones and metrics, each list indexed by the number that the policy uses instead.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// Of the request classes.
+    /// Names of the request classes, indexed by [`ClassId`](crate::ClassId).
     pub classes: Vec<String>,
-    /// Of the plans.
+    /// Names of the plans, indexed by [`PlanId`](crate::PlanId).
     pub plans: Vec<String>,
-    /// Of the zones.
+    /// Names of the zones, indexed by [`ZoneId`](crate::ZoneId).
     pub zones: Vec<String>,
-    /// Of the values of a load report.
+    /// Names of the metrics in a load report, in the order in which a report lists their values.
     pub metrics: Vec<String>,
 }
 
-/// A name as flat settings hold it: spaces and commas, which separate values there, become underscores.
+/// Converts a name to its form in flat settings, where spaces and commas separate values: both become underscores.
 pub fn normalize_name(value: &str) -> String {
     value.replace([' ', ','], "_")
 }
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Which wire name is which setting.
+//! Maps wire names to settings.
 
 use super::flat::FlatSettings;
 use super::{ConnectionSettings, Metric, Names, ParsedSettings, SettingsError};
@@ -7,18 +7,18 @@
     ZoneId,
 };
 
-/// The words of `registry_mode`.
+/// The words that the setting `registry_mode` accepts.
 const DISCOVERY_MODES: [(&str, DiscoveryMode); 2] = [
     ("pushed", DiscoveryMode::Pushed),
     ("on_request", DiscoveryMode::OnRequest),
 ];
-/// The words of `report.via`.
+/// The words that the setting `report.via` accepts.
 const LOAD_REPORT_MODES: [(&str, LoadReportMode); 3] = [
     ("off", LoadReportMode::Off),
     ("inline", LoadReportMode::Inline),
     ("on_probe", LoadReportMode::OnHealthCheck),
 ];
-/// The words of a class's `group`.
+/// The words that the setting `group` of a class accepts.
 const DEDUPLICATION_SCOPES: [(&str, DeduplicationScope); 3] = [
     ("all", DeduplicationScope::All),
     ("zone", DeduplicationScope::Zone),
@@ -28,7 +28,7 @@
 /// Parses settings from `path=value` lines.
 ///
 /// # Errors
-/// The first value that cannot be used, with its path.
+/// [`SettingsError`] for the first value that cannot be used.
 pub fn parse(text: &str) -> Result<ParsedSettings, SettingsError> {
     let flat = FlatSettings::from_lines(text);
     let names = parse_names(&flat)?;
@@ -93,7 +93,7 @@
     })
 }
 
-/// The entries of a list, of which `parse_entry` parses one by the prefix of its paths, such as `plans.0`.
+/// Parses all entries of a list. `parse_entry` parses one of them, given the prefix of its paths, such as `plans.0`.
 fn parse_entries<T>(
     flat: &FlatSettings<'_>,
     list: &str,
@@ -145,7 +145,7 @@
         weight_factor: flat.number(&path("pays"), base.weight_factor)?,
         over_quota_weight: flat.number(&path("excess_worth"), base.over_quota_weight)?,
         over_quota_cost: flat.number(&path("over_cost"), base.over_quota_cost)?,
-        // A plan without a rate of the ceiling has none, whatever its burst.
+        // Without a rate of the ceiling the plan has no ceiling, whatever the ceiling's burst.
         ceiling: (ceiling.rate > 0.0).then_some(ceiling),
     })
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -61,7 +61,7 @@
     );
 }
 
-/// Every wire name, each with a value that no default has.
+/// All wire names, each with a value that differs from its default.
 const EVERY_KEY: &str = "fleet_size=3\nme=2\nmy_zone=1\ntick=2.5\nzones=east,west\nregistry_mode=on_request\n\
     grades.count=1\ngrades.0.name=read\ngrades.0.aim=410\ngrades.0.give_up=2010\ngrades.0.credit=1.5\n\
     grades.0.late_worth=0.3\ngrades.0.idempotency=keyed\ngrades.0.group=zone\ngrades.0.memory_span=6000\n\
@@ -128,8 +128,8 @@
     }
 }
 
-/// The wire names are the platform's and stay while the fields are renamed: each reaches its own field, and the literals
-/// above name every field.
+/// Guards the wire names, which the platform fixes, when fields are renamed: each wire name has to set its own field.
+/// `EVERY_KEY` has all wire names, and `every_setting` lists all fields.
 #[test]
 fn every_wire_name_reaches_its_field() {
     let parsed = parse(EVERY_KEY).expect("settings");
@@ -234,7 +234,8 @@
     );
 }
 
-/// Guards the memory of a start against an implausible count, and the order in which faults are reported.
+/// Guards against an implausible count, which would allocate too much memory at start, and checks the order in which
+/// errors are reported.
 #[test]
 fn a_count_out_of_range_is_reported_and_not_allocated() {
     for (list, count) in [("grades", "4000000000"), ("plans", "-1"), ("grades", "x")] {
