--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,17 +1,17 @@
-//! A gateway without its driver, for tests that play event sequences to the policy.
+//! Helpers for tests of the policy: a policy engine that gets its events from the test in place of a driver.
 
-#![allow(dead_code, reason = "each test file uses a part of these helpers")]
+#![allow(dead_code, reason = "each test file uses only some of these helpers")]
 
 use cometspool::*;
 
-/// A gateway, with the actions of its last event.
+/// A policy engine, with the actions that it returned for its last event.
 pub(crate) struct GatewayFixture {
     pub engine: PolicyEngine,
     pub actions: Vec<Action>,
 }
 
-/// Settings of one of so many gateways with one plan, and a class of each idempotency: 0 idempotent, 1 with a key,
-/// 2 not idempotent.
+/// Settings for one of `gateways` gateways, with one plan and three classes: class 0 is idempotent, class 1 has an
+/// idempotency key, class 2 is not idempotent. All have a latency objective of 1000 ms and a deadline of 3000 ms.
 pub(crate) fn settings(plan: Plan, gateways: u32) -> Settings {
     let class = |idempotency| Class {
         latency_objective: 1000.0,
@@ -36,7 +36,7 @@
     }
 }
 
-/// A plan that limits none of the requests of most tests.
+/// A plan whose quota is above what most tests send.
 pub(crate) fn generous_plan() -> Plan {
     Plan {
         rate: 1000.0,
@@ -45,8 +45,8 @@
     }
 }
 
-/// A warm backend in zone `zone` and the cell of the same number.
-pub(crate) fn ready(id: u32, zone: u32) -> BackendEntry {
+/// A warm backend that accepts requests, in zone `zone` and in the cell of the same number.
+pub(crate) fn ready_backend(id: u32, zone: u32) -> BackendEntry {
     BackendEntry {
         id: BackendId(id),
         zone: ZoneId(zone),
@@ -57,7 +57,7 @@
     }
 }
 
-/// A request of customer 1.
+/// A request of customer 1 that arrives at `now`, of one unit and with a deadline 3000 ms later.
 pub(crate) fn request(id: u32, class: usize, now: Millis) -> Request {
     Request {
         id: RequestId(id),
@@ -72,7 +72,7 @@
     }
 }
 
-/// One of a hundred gateways with a plan that admits all of its requests.
+/// One of a hundred gateways, with a plan that admits all of its requests.
 pub(crate) fn one_of_many(gateway_index: u32, backends: Vec<BackendEntry>) -> GatewayFixture {
     let plan = Plan {
         rate: 1000.0,
@@ -89,12 +89,12 @@
 }
 
 impl GatewayFixture {
-    /// A gateway that has received its first endpoint list.
+    /// A gateway that has received an endpoint list with these backends.
     pub(crate) fn new(settings: Settings, backends: Vec<BackendEntry>) -> GatewayFixture {
         GatewayFixture::seeded(settings, 1, backends)
     }
 
-    /// One of several gateways, each with a seed of its own.
+    /// As [`new`](GatewayFixture::new), with a seed: several gateways in one test need different ones.
     pub(crate) fn seeded(
         settings: Settings,
         seed: u64,
@@ -108,20 +108,20 @@
         gateway
     }
 
-    /// Handles one event; its actions are kept until the next.
+    /// Passes one event to the policy. Its actions are also kept in `actions` until the next event.
     pub(crate) fn handle(&mut self, now: Millis, event: Event) -> &[Action] {
         self.actions.clear();
         self.engine.handle(now, event, &mut self.actions);
         &self.actions
     }
 
-    /// Handles the arrival of a request; the backend that it was sent to, if it was.
+    /// Reports the arrival of a request. Returns the backend that it was sent to, or `None` if it was rejected.
     pub(crate) fn arrive(&mut self, now: Millis, request: Request) -> Option<BackendId> {
         self.handle(now, Event::RequestArrived(request));
         self.sent_to()
     }
 
-    /// The backend that the last event sent an attempt to.
+    /// The backend that an attempt was sent to in response to the last event, if any.
     pub(crate) fn sent_to(&self) -> Option<BackendId> {
         self.actions.iter().find_map(|action| match action {
             Action::Send { backend, .. } => Some(*backend),
@@ -129,7 +129,7 @@
         })
     }
 
-    /// Handles the end of an attempt.
+    /// Reports the end of an attempt, 10 ms after its send.
     pub(crate) fn complete(
         &mut self,
         now: Millis,
@@ -142,7 +142,7 @@
         self.handle(now, Event::AttemptCompleted(completed))
     }
 
-    /// Handles the arrival of a request that is answered 10 ms later if it is sent; whether it was.
+    /// Reports the arrival of a request and, if it is sent, a good response 10 ms later. Returns whether it was sent.
     pub(crate) fn serve(&mut self, now: Millis, request: Request) -> bool {
         let backend = self.arrive(now, request);
         if let Some(backend) = backend {
@@ -152,7 +152,7 @@
     }
 }
 
-/// The end of an attempt after 10 ms; a good one closes the request.
+/// The end of an attempt after 10 ms. [`Outcome::Ok`] closes the request.
 pub(crate) fn completed(
     id: u32,
     attempt: u32,
@@ -173,7 +173,7 @@
     }
 }
 
-/// What becomes of a request by the actions of an event.
+/// What the policy does with a request in response to an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NextStep {
     Send,
@@ -182,7 +182,7 @@
     Nothing,
 }
 
-/// The next step that these actions take; there must be no second one.
+/// The step that these actions contain. Fails the test if they contain more than one.
 pub(crate) fn next_step(actions: &[Action]) -> NextStep {
     let mut steps = actions.iter().filter_map(|action| match action {
         Action::Send { .. } => Some(NextStep::Send),
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -6,8 +6,10 @@
 
 #[test]
 fn requests_are_rejected_at_once_when_every_queue_is_too_long() {
-    let mut gateway =
-        GatewayFixture::new(settings(generous_plan(), 1), vec![ready(1, 0), ready(2, 0)]);
+    let mut gateway = GatewayFixture::new(
+        settings(generous_plan(), 1),
+        vec![ready_backend(1, 0), ready_backend(2, 0)],
+    );
     let sent = (0..200)
         .filter(|i| gateway.arrive(1.0, request(*i, 0, 1.0)).is_some())
         .count();
@@ -20,10 +22,12 @@
 
 #[test]
 fn admission_window_closes_before_any_response_arrives() {
-    // No request is ever answered: the timers at half of the latency objective close the window.
+    // No response ever arrives: the timers, which fire at half of the latency objective, close the admission window.
     let gateway_settings = settings(generous_plan(), 1);
-    let mut gateway =
-        GatewayFixture::new(gateway_settings, (0..99).map(|id| ready(id, 0)).collect());
+    let mut gateway = GatewayFixture::new(
+        gateway_settings,
+        (0..99).map(|id| ready_backend(id, 0)).collect(),
+    );
     let mut timers: Vec<(f64, TimerId)> = Vec::new();
     let mut sent = [0; 2];
     for i in 0..250u32 {
@@ -51,11 +55,11 @@
 
 #[test]
 fn slow_responses_everywhere_reduce_the_attempts_in_flight() {
-    // Many backends, each with hardly any load of this gateway. The latency objective is 1000 ms.
+    // There are many backends, and this gateway puts hardly any load on each. The latency objective is 1000 ms.
     let sent_with = |latency: Millis| {
         let mut gateway = GatewayFixture::new(
             settings(generous_plan(), 1),
-            (0..30).map(|id| ready(id, 0)).collect(),
+            (0..30).map(|id| ready_backend(id, 0)).collect(),
         );
         let mut due: Vec<(f64, u32, BackendId)> = Vec::new();
         let mut sent = 0;
@@ -92,7 +96,7 @@
 fn request_that_cannot_meet_its_deadline_is_rejected_at_once() {
     let mut gateway = GatewayFixture::new(
         settings(generous_plan(), 1),
-        (0..4).map(|id| ready(id, 0)).collect(),
+        (0..4).map(|id| ready_backend(id, 0)).collect(),
     );
     for i in 0..100u32 {
         let now = f64::from(i) * 250.0;
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -1,12 +1,14 @@
-//! The policy is listed whole in the deploy file, and decides without a clock, I/O or another part of the program.
+//! Checks that the deploy file lists all source files of the policy, and that these use no clock, no I/O and no other
+//! part of the program.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The folder that holds the policy.
+/// The folder with the source files of the policy.
 const POLICY: &str = "src/policy";
 
-/// Crates and modules that the policy's files may import from; everything else is a clock, I/O or another part.
+/// Crates and modules that the policy's files may import from. Everything else might be a clock, I/O or another part of
+/// the program.
 const ALLOWED_IMPORTS: [&str; 7] = [
     "super::",
     "crate::policy_api::",
@@ -16,10 +18,10 @@
     "std::collections::",
     "std::f64::consts::",
 ];
-/// Single items that they may import besides.
+/// Further items that the policy's files may import.
 const ALLOWED_ITEMS: [&str; 2] = ["std::sync::Arc", "std::cmp::"];
 
-/// Paths that no line of the policy may name, however they are imported.
+/// Paths that no line of the policy may contain, whether imported or written out.
 const FORBIDDEN_PATHS: [&str; 13] = [
     "std::time",
     "std::net",
@@ -36,14 +38,14 @@
     "tracing",
 ];
 
-/// The parts of the library that the policy's files may name.
+/// The modules of the library that the policy's files may refer to by `crate::`.
 const ALLOWED_PARTS: [&str; 2] = ["policy_api::", "measure::"];
 
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// All Rust files of the policy, as paths below the root.
+/// All files below a folder, as paths relative to the root of the package.
 fn policy_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in fs::read_dir(root().join(folder)).unwrap() {
@@ -57,7 +59,7 @@
     files
 }
 
-/// The files that the deploy file lists under `policy`.
+/// The files that the deploy file lists under the key `policy`.
 fn listed_files() -> Vec<PathBuf> {
     let deploy = fs::read_to_string(root().join("deploy/balancer.toml")).unwrap();
     let line = deploy
@@ -71,7 +73,7 @@
         .collect()
 }
 
-/// Whether an import begins with a module of the policy itself.
+/// Whether an import starts with a module of the policy itself.
 fn is_own_module(import: &str) -> bool {
     let first = import.split("::").next().unwrap_or_default();
     listed_files()
@@ -86,7 +88,10 @@
     files.sort();
     listed.sort();
     assert_eq!(files, listed);
-    assert!(files.len() > 3, "the policy is somewhere else");
+    assert!(
+        files.len() > 3,
+        "too few files in the policy's folder: has the policy moved?"
+    );
 }
 
 #[test]
--- a/tests/policy_trace.rs
+++ b/tests/policy_trace.rs
@@ -1,7 +1,8 @@
-//! A digest of the policy's actions for seeded runs, with every switch of the settings on and off.
+//! Guards against unintended changes of the policy's decisions: compares a digest of its actions in seeded runs, in
+//! which each switch of the settings is on and off, with the expected one.
 //!
-//! The digest covers each action's meaning, not its name, so that it stays the same while types are renamed. Times
-//! are rounded to a microsecond: the last bits of transcendental functions differ between C libraries.
+//! The digest covers the meaning of each action and not its name, so that it stays the same when types are renamed.
+//! Times are rounded to a microsecond, since the last bits of transcendental functions differ between C libraries.
 
 use cometspool::*;
 use rand_core::{RngCore, SeedableRng};
@@ -9,9 +10,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// The digest of all runs.
+/// Digest of the actions of all runs.
 const EXPECTED_DIGEST: u64 = 13899509846289052719;
-/// The number of events handled in all runs.
+/// Number of events that the policy handles in all runs.
 const EXPECTED_EVENTS: u64 = 121209;
 
 const RUNS: u32 = 32;
@@ -97,7 +98,7 @@
             }
             Action::Subscribe => self.number(9),
             Action::FetchList => self.number(10),
-            // The text is for the operators: only its presence counts.
+            // The text is for the operators and may be reworded. Only its presence counts.
             Action::Log(_) => self.number(11),
         }
     }
@@ -117,14 +118,14 @@
     }
 }
 
-/// A random number from 0 to 1.
+/// Draws a random number from 0 to 1, both included.
 fn draw(rng: &mut Pcg32) -> f64 {
     f64::from(rng.next_u32()) / f64::from(u32::MAX)
 }
 
-/// Settings with each switch set by a bit of `run`.
+/// The settings of a run. Each switch is set by a bit of `run`.
 fn settings(run: u32) -> Settings {
-    let on = |bit: u32| run >> bit & 1 == 1;
+    let is_on = |bit: u32| run >> bit & 1 == 1;
     let class =
         |idempotency: Idempotency, latency_objective: Millis, late_priority_weight: f64| Class {
             latency_objective,
@@ -182,24 +183,24 @@
             },
         ],
         max_units: 4.0,
-        meter_period: if on(2) { 1000.0 } else { 0.0 },
-        discovery: if on(3) {
+        meter_period: if is_on(2) { 1000.0 } else { 0.0 },
+        discovery: if is_on(3) {
             DiscoveryMode::OnRequest
         } else {
             DiscoveryMode::Pushed
         },
-        load_reports: if on(1) {
+        load_reports: if is_on(1) {
             LoadReportMode::Inline
         } else {
             LoadReportMode::Off
         },
         max_attempts: 1 + run % 4,
-        hedging: on(0),
-        cancellation: on(1),
-        health_checks: on(4),
-        retry_after: on(2) || on(4),
+        hedging: is_on(0),
+        cancellation: is_on(1),
+        health_checks: is_on(4),
+        retry_after: is_on(2) || is_on(4),
         max_retry_after: 2000.0,
-        cross_zone_cost: if on(3) { 0.1 } else { 0.0 },
+        cross_zone_cost: if is_on(3) { 0.1 } else { 0.0 },
         answer_slack: 10.0,
         drain_grace: 50.0,
         warm_up: 4000.0,
@@ -207,7 +208,7 @@
     }
 }
 
-/// What is scheduled in a run.
+/// Something that happens at a scheduled time of a run.
 #[derive(Clone, Copy, Debug)]
 enum Scheduled {
     Arrival(u32),
@@ -220,42 +221,42 @@
 
 /// An attempt in flight.
 #[derive(Clone, Copy)]
-struct OpenAttempt {
+struct InFlightAttempt {
     backend: u32,
     sent_at: Millis,
     outcome: Outcome,
 }
 
-/// One gateway with its scripted clients and backends.
-struct Run {
+/// One run: a gateway with simulated clients and backends.
+struct Simulation {
     rng: Pcg32,
     engine: PolicyEngine,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     scheduled: Vec<Scheduled>,
     attempts: BTreeMap<u32, u32>,
-    open: BTreeMap<(u32, u32), OpenAttempt>,
+    in_flight: BTreeMap<(u32, u32), InFlightAttempt>,
     digest: Digest,
     events: u64,
 }
 
-impl Run {
-    fn new(run: u32) -> Run {
-        Run {
+impl Simulation {
+    fn new(run: u32) -> Simulation {
+        Simulation {
             rng: Pcg32::seed_from_u64(u64::from(run) + 1000),
             engine: PolicyEngine::new(settings(run), u64::from(run)),
             queue: BinaryHeap::new(),
             scheduled: Vec::new(),
             attempts: BTreeMap::new(),
-            open: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             digest: Digest(0xcbf2_9ce4_8422_2325),
             events: 0,
         }
     }
 
-    /// Schedules something; times are kept as whole microseconds so that the order is exact.
-    fn schedule(&mut self, at: Millis, scheduled: Scheduled) {
+    /// Schedules an event. Times are stored as whole microseconds, so that the order of events is exact.
+    fn schedule(&mut self, at: Millis, event: Scheduled) {
         let number = self.scheduled.len() as u64;
-        self.scheduled.push(scheduled);
+        self.scheduled.push(event);
         self.queue
             .push(Reverse(((at.max(0.0) * 1000.0).round() as u64, number)));
     }
@@ -300,7 +301,7 @@
         *count += 1;
         let random_draw = draw(&mut self.rng);
         let service = 20.0 + 150.0 * draw(&mut self.rng).powi(3);
-        // Two backends are faulty: one answers with errors, one hangs half of the time.
+        // Two backends are faulty: most responses of backend 1 are errors, and backend 2 hangs half of the time.
         let (mut outcome, mut service) = match (backend, random_draw) {
             (1, random_draw) if random_draw < 0.7 => (Outcome::Error, 3.0),
             (2, random_draw) if random_draw < 0.5 => (Outcome::Timeout, 5000.0),
@@ -314,9 +315,9 @@
             outcome = Outcome::Timeout;
             service = timeout;
         }
-        self.open.insert(
+        self.in_flight.insert(
             (request, attempt),
-            OpenAttempt {
+            InFlightAttempt {
                 backend,
                 sent_at: now,
                 outcome,
@@ -326,19 +327,19 @@
     }
 
     fn end_attempt(&mut self, now: Millis, request: u32, attempt: u32, cancelled: Option<Outcome>) {
-        let Some(open) = self.open.remove(&(request, attempt)) else {
+        let Some(ended) = self.in_flight.remove(&(request, attempt)) else {
             return;
         };
-        let outcome = cancelled.unwrap_or(open.outcome);
+        let outcome = cancelled.unwrap_or(ended.outcome);
         let is_answered = matches!(outcome, Outcome::Ok | Outcome::Error);
         let is_metered = is_answered && draw(&mut self.rng) < 0.5;
         let reports_units = is_answered && draw(&mut self.rng) < 0.3;
         let completed = AttemptCompleted {
             request: RequestId(request),
             attempt,
-            backend: BackendId(open.backend),
+            backend: BackendId(ended.backend),
             outcome,
-            elapsed: now - open.sent_at,
+            elapsed: now - ended.sent_at,
             request_closed: draw(&mut self.rng) < 0.01,
             quota_usage: is_metered.then(|| 2.0 * draw(&mut self.rng)),
             actual_units: reports_units.then(|| 3.0 * draw(&mut self.rng)),
@@ -373,7 +374,7 @@
         self.handle(now, Event::RequestArrived(request));
     }
 
-    fn entry(&mut self, number: u32, now: Millis) -> BackendEntry {
+    fn random_entry(&mut self, number: u32, now: Millis) -> BackendEntry {
         let random_draw = draw(&mut self.rng);
         BackendEntry {
             id: BackendId(number),
@@ -390,13 +391,13 @@
     }
 
     fn change_list(&mut self, now: Millis, step: u32) {
-        let (kind, least) = match step % 3 {
+        let (kind, first_listed) = match step % 3 {
             0 => (ListKind::Full, 1),
             1 => (ListKind::Changes, BACKENDS - 4),
             _ => (ListKind::Changes, BACKENDS / 2),
         };
-        let entries = (least..=BACKENDS)
-            .map(|number| self.entry(number, now))
+        let entries = (first_listed..=BACKENDS)
+            .map(|number| self.random_entry(number, now))
             .collect();
         self.handle(now, Event::EndpointsChanged(kind, entries));
         if step.is_multiple_of(2) {
@@ -404,15 +405,15 @@
         }
     }
 
-    /// Plays the run; its digest and its number of events.
+    /// Plays the run. Returns the digest of its actions and its number of events.
     fn play(mut self) -> (u64, u64) {
-        let first = (1..=BACKENDS)
-            .map(|number| self.entry(number, 0.0))
+        let first_list = (1..=BACKENDS)
+            .map(|number| self.random_entry(number, 0.0))
             .collect();
-        self.handle(0.0, Event::EndpointsChanged(ListKind::Cached, first));
+        self.handle(0.0, Event::EndpointsChanged(ListKind::Cached, first_list));
         let mut at = 10.0;
         for number in 1..=ARRIVALS_PER_RUN {
-            // A low rate, then a burst, then a low rate again.
+            // Of each 500 requests, 300 arrive at a low rate and then 200 in a burst.
             let interval = if number % 500 > 300 { 2.0 } else { 9.0 };
             at += interval * 2.0 * draw(&mut self.rng);
             self.schedule(at, Scheduled::Arrival(number));
@@ -446,9 +447,9 @@
     let mut digest = Digest(0xcbf2_9ce4_8422_2325);
     let mut events = 0;
     for run in 0..RUNS {
-        let (part, handled) = Run::new(run).play();
-        digest.number(part);
-        events += handled;
+        let (run_digest, run_events) = Simulation::new(run).play();
+        digest.number(run_digest);
+        events += run_events;
     }
     assert_eq!((digest.0, events), (EXPECTED_DIGEST, EXPECTED_EVENTS));
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Random legal sequences of events: the invariants that a gateway can hold alone hold in all of them.
+//! Property tests: random legal event sequences must not violate the invariants that one gateway can keep by itself.
 
 mod common;
 use cometspool::*;
@@ -9,37 +9,37 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 
-/// A request as its driver sees it.
-struct OpenRequest {
+/// The state of a request, as the driver knows it.
+struct RequestState {
     class: usize,
     deadline: f64,
-    in_flight: Option<OpenAttempt>,
+    in_flight: Option<InFlightAttempt>,
     attempts_sent: u32,
     sent_at: f64,
-    /// The first attempt that may have executed.
+    /// The first attempt that ended and may have executed.
     executed: Option<Execution>,
     answered: bool,
 }
 
 /// An attempt in flight.
-struct OpenAttempt {
+struct InFlightAttempt {
     index: u32,
     backend: BackendId,
 }
 
-/// When an attempt that may have executed was sent, and to which zone.
+/// An attempt that may have executed: the time of its send and the zone of its backend.
 #[derive(Clone, Copy)]
 struct Execution {
     sent_at: Millis,
     zone: u32,
 }
 
-/// A driver that carries out the actions of a gateway and checks each against the invariants.
+/// A driver that checks each action of the policy against the invariants.
 struct CheckingDriver {
     gateway: GatewayFixture,
     zones: BTreeMap<BackendId, u32>,
-    is_draining: BTreeMap<BackendId, bool>,
-    open: BTreeMap<u32, OpenRequest>,
+    draining: BTreeMap<BackendId, bool>,
+    requests: BTreeMap<u32, RequestState>,
     timers: Vec<(f64, TimerId)>,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes the earliest timer that is due.
+    /// Removes and returns the earliest timer that is due.
     fn next_timer(&mut self, now: Millis) -> Option<(f64, TimerId)> {
         let due = (0..self.timers.len()).filter(|i| self.timers[*i].0 <= now);
         let first = due.min_by(|a, b| self.timers[*a].0.total_cmp(&self.timers[*b].0))?;
@@ -69,66 +69,69 @@
     fn check_send(&mut self, now: f64, id: u32, backend: BackendId) {
         let zone = self.zones[&backend];
         assert!(
-            !self.is_draining[&backend],
+            !self.draining[&backend],
             "sent to a backend that is draining"
         );
-        let open = self.open.get_mut(&id).expect("a known request");
+        let state = self.requests.get_mut(&id).expect("a known request");
         assert!(
-            !open.answered && open.in_flight.is_none(),
-            "sent after its final answer, or twice at a time"
+            !state.answered && state.in_flight.is_none(),
+            "sent after its final answer, or with another attempt in flight"
         );
-        assert!(open.attempts_sent < 4, "more attempts than permitted");
-        if let Some(executed) = open.executed {
+        assert!(state.attempts_sent < 4, "more attempts than permitted");
+        if let Some(executed) = state.executed {
             assert_ne!(
-                open.class, 2,
+                state.class, 2,
                 "a non-idempotent request that may have executed is sent again"
             );
-            let within = now - executed.sent_at < 2000.0 && zone == executed.zone;
+            let is_deduplicated = now - executed.sent_at < 2000.0 && zone == executed.zone;
             assert!(
-                open.class == 0 || within,
+                state.class == 0 || is_deduplicated,
                 "a request with a key is sent outside its scope or retention"
             );
         }
-        open.in_flight = Some(OpenAttempt {
-            index: open.attempts_sent,
+        state.in_flight = Some(InFlightAttempt {
+            index: state.attempts_sent,
             backend,
         });
-        open.attempts_sent += 1;
-        open.sent_at = now;
+        state.attempts_sent += 1;
+        state.sent_at = now;
     }
 
     fn check_answer(&mut self, now: f64, id: u32, is_rejected: bool) {
-        let open = self.open.get_mut(&id).expect("a known request");
-        assert!(!open.answered, "two final answers");
-        assert!(now <= open.deadline, "an answer after the deadline");
-        let may_have_executed = open.executed.is_some() || open.in_flight.is_some();
+        let state = self.requests.get_mut(&id).expect("a known request");
+        assert!(!state.answered, "two final answers");
+        assert!(now <= state.deadline, "a final answer after the deadline");
+        let may_have_executed = state.executed.is_some() || state.in_flight.is_some();
         assert!(
-            !is_rejected || open.class == 0 || !may_have_executed,
+            !is_rejected || state.class == 0 || !may_have_executed,
             "rejected though it may have executed"
         );
-        open.answered = true;
+        state.answered = true;
     }
 }
 
-/// Plays one random sequence.
+/// Plays one random event sequence to a gateway.
 fn run(seed: u64, backends: u32, rate: f64, max_concurrency: u32) {
     let mut rng = Pcg32::seed_from_u64(seed);
-    let mut pick = move |n: u32| rng.next_u32() % n;
+    let mut random_below = move |n: u32| rng.next_u32() % n;
     let plan = Plan {
         rate,
         burst: 2.0 * rate,
         max_concurrency,
         ..Plan::default()
     };
-    let list: Vec<_> = (0..backends).map(|id| ready(id, id % 2)).collect();
-    let zones = list.iter().map(|b| (b.id, b.zone.0)).collect();
-    let is_draining = list.iter().map(|b| (b.id, false)).collect();
+    let list: Vec<_> = (0..backends).map(|id| ready_backend(id, id % 2)).collect();
+    let zones = list
+        .iter()
+        .map(|backend| (backend.id, backend.zone.0))
+        .collect();
+    let draining = list.iter().map(|backend| (backend.id, false)).collect();
     let gateway = GatewayFixture::new(settings(plan, 3), list);
     let mut driver = CheckingDriver {
         gateway,
         zones,
-        is_draining,
-        open: BTreeMap::new(),
+        draining,
+        requests: BTreeMap::new(),
         timers: Vec::new(),
     };
     let outcomes = [
@@ -142,17 +145,17 @@
     ];
     let mut now = 1.0;
     for id in 0..1500u32 {
-        now += f64::from(pick(40));
-        // One timer may set the next, which may be due as well: each fires before anything later happens.
+        now += f64::from(random_below(40));
+        // A timer may set another one that is due as well. All due timers fire before the next event.
         while let Some((at, timer)) = driver.next_timer(now) {
             driver.handle(at, Event::TimerFired(timer));
         }
-        match pick(10) {
+        match random_below(10) {
             0..=4 => {
-                let class = pick(3) as usize;
-                let deadline = now + 20.0 + f64::from(pick(3000));
-                let customer = CustomerId(u64::from(pick(4)));
-                let open = OpenRequest {
+                let class = random_below(3) as usize;
+                let deadline = now + 20.0 + f64::from(random_below(3000));
+                let customer = CustomerId(u64::from(random_below(4)));
+                let state = RequestState {
                     class,
                     deadline,
                     in_flight: None,
@@ -161,7 +164,7 @@
                     executed: None,
                     answered: false,
                 };
-                driver.open.insert(id, open);
+                driver.requests.insert(id, state);
                 let incoming = Request {
                     customer,
                     deadline,
@@ -172,47 +175,47 @@
             }
             5..=8 => {
                 let waiting: Vec<u32> = driver
-                    .open
+                    .requests
                     .iter()
-                    .filter(|(_, o)| o.in_flight.is_some())
+                    .filter(|(_, state)| state.in_flight.is_some())
                     .map(|(id, _)| *id)
                     .collect();
                 if waiting.is_empty() {
                     continue;
                 }
-                let id = waiting[pick(waiting.len() as u32) as usize];
-                let outcome = outcomes[pick(7) as usize];
-                let open = driver.open.get_mut(&id).expect("a known request");
-                let attempt = open.in_flight.take().expect("an attempt in flight");
+                let id = waiting[random_below(waiting.len() as u32) as usize];
+                let outcome = outcomes[random_below(7) as usize];
+                let state = driver.requests.get_mut(&id).expect("a known request");
+                let attempt = state.in_flight.take().expect("an attempt in flight");
                 let never_executed = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
                 if !never_executed {
-                    open.executed = open.executed.or(Some(Execution {
-                        sent_at: open.sent_at,
+                    state.executed = state.executed.or(Some(Execution {
+                        sent_at: state.sent_at,
                         zone: driver.zones[&attempt.backend],
                     }));
                 }
-                let closed = open.answered || outcome == Outcome::Ok;
-                open.answered = closed;
-                let elapsed = now - open.sent_at;
-                let end = AttemptCompleted {
+                let closed = state.answered || outcome == Outcome::Ok;
+                state.answered = closed;
+                let elapsed = now - state.sent_at;
+                let completion = AttemptCompleted {
                     elapsed,
                     request_closed: closed,
                     ..completed(id, attempt.index, attempt.backend, outcome)
                 };
-                driver.handle(now, Event::AttemptCompleted(end));
+                driver.handle(now, Event::AttemptCompleted(completion));
             }
             _ => {
-                let id = pick(backends);
-                let drains = pick(2) == 0;
+                let id = random_below(backends);
+                let drains = random_below(2) == 0;
                 let availability = if drains {
                     Availability::Draining
                 } else {
                     Availability::Ready
                 };
-                driver.is_draining.insert(BackendId(id), drains);
+                driver.draining.insert(BackendId(id), drains);
                 let entry = BackendEntry {
                     availability,
-                    ..ready(id, id % 2)
+                    ..ready_backend(id, id % 2)
                 };
                 driver.handle(now, Event::EndpointsChanged(ListKind::Changes, vec![entry]));
             }
@@ -224,9 +227,9 @@
         }
     }
     let unanswered = driver
-        .open
+        .requests
         .values()
-        .filter(|o| !o.answered && o.deadline > now)
+        .filter(|state| !state.answered && state.deadline > now)
         .count();
     assert_eq!(unanswered, 0, "requests without a final answer");
 }
--- a/tests/usage_evidence.rs
+++ b/tests/usage_evidence.rs
@@ -1,11 +1,12 @@
-//! Admission at one of many gateways, by what the meter reports and by what arrives there.
+//! Admission at one of many gateways, by the usage that the meter reports and by the requests that arrive there.
 
 mod common;
 use cometspool::*;
 use common::*;
 use std::cell::Cell;
 
-/// One of a hundred gateways, for customers whose requests are spread over most of them.
+/// One of a hundred gateways. Customers spread their requests over most of them, so that this gateway's even share of a
+/// burst is a fraction of a request.
 fn one_of_a_hundred() -> GatewayFixture {
     let plan = Plan {
         rate: 0.8,
@@ -16,10 +17,10 @@
         meter_period: 500.0,
         ..settings(plan, 100)
     };
-    GatewayFixture::new(settings, (0..60).map(|id| ready(id, 0)).collect())
+    GatewayFixture::new(settings, (0..60).map(|id| ready_backend(id, 0)).collect())
 }
 
-/// The only request of a customer that is spread over seventy gateways.
+/// The only request here of a customer whose requests are spread over seventy gateways.
 fn request_of_unknown_customer(id: u32, now: Millis) -> Request {
     Request {
         customer: CustomerId(u64::from(id)),
@@ -28,7 +29,7 @@
     }
 }
 
-/// The first request of a customer is no evidence that the customer is over its quota.
+/// Guards against taking a customer's first request for evidence that the customer is over its quota.
 #[test]
 fn one_of_many_gateways_admits_an_unknown_customer() {
     let mut gateway = one_of_a_hundred();
@@ -39,8 +40,8 @@
     assert_eq!(served.count(), 100);
 }
 
-/// One of many gateways gets few responses while it admits little, and must not shed load for long after an
-/// overload.
+/// Guards against a gateway that sheds load long after an overload has ended: while it admits few requests, it gets few
+/// responses that show the end.
 #[test]
 fn one_of_many_gateways_recovers_soon_after_responses_are_fast_again() {
     let mut gateway = one_of_a_hundred();
@@ -51,11 +52,11 @@
         let slow = i < 200;
         responses.retain(|(at, id, backend)| {
             if *at <= now {
-                let end = AttemptCompleted {
+                let completion = AttemptCompleted {
                     elapsed: 900.0,
                     ..completed(*id, 0, *backend, Outcome::Ok)
                 };
-                gateway.handle(now, Event::AttemptCompleted(end));
+                gateway.handle(now, Event::AttemptCompleted(completion));
             }
             *at > now
         });
@@ -71,16 +72,17 @@
     }
     assert!(
         admitted[1] <= 12,
-        "of 40 while responses are slow: {admitted:?}"
+        "too many of 40 admitted while responses are slow: {admitted:?}"
     );
     assert!(
         admitted[2] >= 60,
-        "of 80 in four latency objectives after they are fast: {admitted:?}"
+        "too few of 80 admitted in four latency objectives after responses are fast: {admitted:?}"
     );
 }
 
-/// How many of `count` requests of one customer, `interval` ms apart, are admitted by one of a hundred gateways,
-/// seventy of which the customer uses. Each is answered in 10 ms, with what the `meter` reports then.
+/// How many of `count` requests of one customer, `interval` ms apart, are admitted by one of a hundred gateways. The
+/// customer's requests are spread over seventy of them. Each request is served in 10 ms, and its response carries what
+/// `meter` returns for the number of the request.
 fn admitted_requests(
     plan: Plan,
     count: u32,
@@ -91,9 +93,11 @@
         meter_period: 500.0,
         ..settings(plan, 100)
     };
-    let mut gateway =
-        GatewayFixture::new(gateway_settings, (0..60).map(|id| ready(id, 0)).collect());
-    // Fast responses to other customers open the admission window.
+    let mut gateway = GatewayFixture::new(
+        gateway_settings,
+        (0..60).map(|id| ready_backend(id, 0)).collect(),
+    );
+    // Fast responses to other customers' requests open the admission window.
     for i in 0..200 {
         let now = f64::from(i) * 50.0;
         gateway.serve(now, request_of_unknown_customer(100_000 + i, now));
@@ -106,21 +110,21 @@
             gateway_count: 70.0,
             ..request(i, 0, now)
         };
-        let Some(at) = gateway.arrive(now, incoming) else {
+        let Some(backend) = gateway.arrive(now, incoming) else {
             continue;
         };
         served += 1;
-        let end = AttemptCompleted {
+        let completion = AttemptCompleted {
             quota_usage: meter(i),
-            ..completed(i, 0, at, Outcome::Ok)
+            ..completed(i, 0, backend, Outcome::Ok)
         };
-        gateway.handle(now + 10.0, Event::AttemptCompleted(end));
+        gateway.handle(now + 10.0, Event::AttemptCompleted(completion));
     }
     served
 }
 
-/// A customer spread over many gateways may send all of its traffic to one for a while. Half of its quota is
-/// requested, and the meter is silent, right, or reports impossible numbers.
+/// A customer whose requests are spread over many gateways may send all of them to one gateway for a while. Here the
+/// customer requests half of its quota, and the meter reports nothing, the true usage, or impossible numbers.
 #[test]
 fn use_within_quota_through_one_gateway_is_admitted_whatever_the_meter_reports() {
     let plan = || Plan {
@@ -142,12 +146,12 @@
     ];
     for (name, meter) in meters {
         let served = admitted_requests(plan(), 150, 200.0, meter);
-        assert!(served >= 120, "{name}: {served} of 150");
+        assert!(served >= 120, "meter {name}: {served} of 150");
     }
 }
 
-/// Where the meter reports overuse, a customer is held to this gateway's share where overuse costs, the sooner the
-/// more it costs, and admitted where overuse earns.
+/// If the meter reports use beyond the quota, the customer is limited to this gateway's share where such use costs, the
+/// sooner the more it costs, and admitted where such use earns.
 #[test]
 fn use_beyond_quota_is_rejected_in_proportion_to_its_cost() {
     let admitted = |over_quota_cost, over_quota_weight| {
@@ -158,22 +162,25 @@
             over_quota_weight,
             ..Plan::default()
         };
-        // Half a request a second arrives here, for two minutes.
+        // A request arrives here every 2 s, for two minutes.
         admitted_requests(plan, 60, 2000.0, |_| Some(2.8))
     };
     let expensive = admitted(9.0, 0.0);
     let cheap = admitted(0.5, 0.0);
     let earning = admitted(0.0, 0.2);
-    assert!(earning >= 57, "{earning} of 60 where overuse earns");
+    assert!(
+        earning >= 57,
+        "{earning} of 60 admitted where overuse earns"
+    );
     assert!(
         expensive < cheap && cheap < earning,
-        "{expensive}, {cheap}, {earning} of 60 by falling cost"
+        "{expensive}, {cheap}, {earning} of 60 admitted, by falling cost of overuse"
     );
 }
 
-/// The meter reports what all gateways admitted, not what the customer requested: gateways that shed its load must
-/// not take that for less demand, and a customer that is reported over its quota has no burst left. All gateways
-/// act alike here, and the customer requests three times its quota.
+/// The meter reports what all gateways admitted, not what the customer requested. Guards against gateways that shed a
+/// customer's load and then take the lower report for lower demand. A customer that is reported over its quota has no
+/// burst left. The customer requests three times its quota here, and all gateways act alike.
 #[test]
 fn metered_usage_counts_admitted_not_requested_units() {
     let plan = Plan {
@@ -182,29 +189,29 @@
         over_quota_cost: 1.0,
         ..Plan::default()
     };
-    // The mean distance between admitted requests, and the last of them.
-    let gap = Cell::new(1.0);
-    let last = Cell::new(0);
+    // The moving average of the distance between admitted requests, in requests, and the number of the last one.
+    let mean_gap = Cell::new(1.0);
+    let last_admitted = Cell::new(0);
     let served = admitted_requests(plan, 300, 2000.0, |i| {
-        let since = f64::from(i - last.replace(i)).max(1.0);
-        gap.set(gap.get() + 0.1 * (since - gap.get()));
-        Some(3.0 / gap.get())
+        let since = f64::from(i - last_admitted.replace(i)).max(1.0);
+        mean_gap.set(mean_gap.get() + 0.1 * (since - mean_gap.get()));
+        Some(3.0 / mean_gap.get())
     });
     assert!((80..=130).contains(&served), "{served} of 300");
 }
 
-/// A request that arrives.
+/// The arrival of a request.
 #[derive(Clone, Copy)]
 struct Arrival {
-    /// Time since the window opened, ms.
+    /// Time since the admission window opened, ms.
     after: Millis,
     customer: u64,
     /// Whether the client marked it as a retry.
     is_retry: bool,
 }
 
-/// How many of these arrivals, of customers that the meter has not reported on, are admitted by one of two hundred
-/// gateways with an open window. The customers are spread over all gateways; the meter reports `usage` of others.
+/// How many of these arrivals are admitted by one of two hundred gateways with an open admission window. The meter has
+/// not reported on their customers, whose requests are spread over all gateways; it has reported `usage` for others.
 fn admitted_of_unknown_customers(
     usage: Option<f64>,
     over_quota_cost: f64,
@@ -222,22 +229,24 @@
         meter_period: 500.0,
         ..settings(plan, 200)
     };
-    let mut gateway =
-        GatewayFixture::new(gateway_settings, (0..60).map(|id| ready(id, 0)).collect());
+    let mut gateway = GatewayFixture::new(
+        gateway_settings,
+        (0..60).map(|id| ready_backend(id, 0)).collect(),
+    );
     for i in 0..200 {
         let now = f64::from(i) * 50.0;
         let incoming = Request {
             gateway_count: 200.0,
             ..request_of_unknown_customer(100_000 + i, now)
         };
-        let Some(at) = gateway.arrive(now, incoming) else {
+        let Some(backend) = gateway.arrive(now, incoming) else {
             continue;
         };
-        let end = AttemptCompleted {
+        let completion = AttemptCompleted {
             quota_usage: usage,
-            ..completed(100_000 + i, 0, at, Outcome::Ok)
+            ..completed(100_000 + i, 0, backend, Outcome::Ok)
         };
-        gateway.handle(now + 10.0, Event::AttemptCompleted(end));
+        gateway.handle(now + 10.0, Event::AttemptCompleted(completion));
     }
     let admitted = arrivals.iter().enumerate().filter(|(i, arrival)| {
         let now = 10_000.0 + arrival.after;
@@ -247,30 +256,30 @@
             is_retry: arrival.is_retry,
             ..request(*i as u32, 0, now)
         };
-        let Some(at) = gateway.arrive(now, incoming) else {
+        let Some(backend) = gateway.arrive(now, incoming) else {
             return false;
         };
-        gateway.complete(now + 10.0, *i as u32, 0, at, Outcome::Ok);
+        gateway.complete(now + 10.0, *i as u32, 0, backend, Outcome::Ok);
         true
     });
     admitted.count()
 }
 
-/// Before the meter reports, many requests at once at one of two hundred gateways suggest a customer far over its
-/// quota, and so does a request that was rejected elsewhere a moment ago. The first request is admitted, and all
-/// are where overuse earns.
+/// Before the meter reports on a customer, a burst at one of two hundred gateways suggests that the customer is far
+/// over its quota, and so does a request that another gateway has just rejected. The first request is admitted; all
+/// requests are admitted where use beyond the quota earns.
 #[test]
 fn burst_and_marked_retries_at_one_of_many_gateways_are_limited_by_the_cost_of_overuse() {
-    let at_once = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9].map(|i| Arrival {
+    let burst_arrivals = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9].map(|i| Arrival {
         after: 20.0 * i as Millis,
         customer: 7,
         is_retry: false,
     });
-    let unknown = at_once.map(|arrival| Arrival {
+    let single_arrivals = burst_arrivals.map(|arrival| Arrival {
         customer: 7 + arrival.after as u64,
         ..arrival
     });
-    let retries = unknown.map(|arrival| Arrival {
+    let retry_arrivals = single_arrivals.map(|arrival| Arrival {
         is_retry: true,
         ..arrival
     });
@@ -280,11 +289,11 @@
         (0.0, 0.2, 9..=10, 10..=10, 10..=10),
     ] {
         let prices = format!("where overuse costs {cost} and earns {weight}");
-        let admitted = [&at_once, &unknown, &retries]
+        let admitted = [&burst_arrivals, &single_arrivals, &retry_arrivals]
             .map(|arrivals| admitted_of_unknown_customers(Some(0.5), cost, weight, arrivals));
         assert!(
             burst.contains(&admitted[0]),
-            "{} of 10 at once {prices}",
+            "{} of 10 in a burst {prices}",
             admitted[0]
         );
         assert!(
@@ -298,13 +307,13 @@
             admitted[2]
         );
     }
-    // Without a meter, a burst may be all that its customer requests, but a retry was rejected all the same.
-    let silent = [&at_once, &unknown, &retries]
+    // Without a meter, a burst may be all that its customer requests. A retry has been rejected elsewhere all the same.
+    let silent = [&burst_arrivals, &single_arrivals, &retry_arrivals]
         .map(|arrivals| admitted_of_unknown_customers(None, 1.0, 0.0, arrivals));
     assert_eq!(
         silent[..2],
         [10, 10],
-        "at once and of unknown customers, of 10 each"
+        "admitted in a burst and of unknown customers, of 10 each"
     );
     assert!(silent[2] <= 2, "{} of 10 retries", silent[2]);
 }
