--- a/src/settings.rs
+++ b/src/settings.rs
@@ -26,7 +26,7 @@
     pub settings: Settings,
     /// The metrics of a load report, in the order in which a report lists their values.
     pub report_metrics: Vec<Metric>,
-    /// The names of classes, plans, zones and metrics, which the policy knows by number.
+    /// The names of classes, plans, zones and metrics, which are numbers everywhere else.
     pub names: Names,
     /// The settings of connections to backends.
     pub connections: ConnectionSettings,
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -1,6 +1,7 @@
 //! Names that the settings give to classes, plans, zones and metrics.
 
-/// The names of classes, plans, zones and metrics, each list indexed by the number that the policy uses instead.
+/// The names of classes, plans, zones and metrics. Each list is indexed by the number that stands for the name
+/// everywhere else.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     /// Names of the request classes, indexed by [`ClassId`](crate::ClassId).
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -145,7 +145,7 @@
         weight_factor: flat.number(&path("pays"), base.weight_factor)?,
         over_quota_weight: flat.number(&path("excess_worth"), base.over_quota_weight)?,
         over_quota_cost: flat.number(&path("over_cost"), base.over_quota_cost)?,
-        // Without a rate of the ceiling the plan has no ceiling, whatever the ceiling's burst.
+        // A ceiling without a rate counts as no ceiling, whatever its burst.
         ceiling: (ceiling.rate > 0.0).then_some(ceiling),
     })
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `settings.rs`.
+//! Unit tests of the settings parser and of load reports.
 
 use super::*;
 use crate::policy_api::*;
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -275,12 +275,12 @@
         .collect();
     let mut in_flight: Vec<(usize, u32, BackendId, f64)> = Vec::new();
     let mut mean_in_flight = 0.0;
-    let mut sent_alone = 0;
+    let mut sent_while_idle = 0;
     for i in 0..3600u32 {
         let now = 1.0 + f64::from(i) * 10.0;
         let (due, rest) = in_flight
             .into_iter()
-            .partition(|(.., since)| now - since >= 100.0);
+            .partition(|(.., sent_at)| now - sent_at >= 100.0);
         in_flight = rest;
         for (index, id, backend, _) in Vec::<(usize, u32, BackendId, f64)>::from_iter(due) {
             let completion = AttemptCompleted {
@@ -297,7 +297,7 @@
             ..request(i, 0, now)
         };
         if let Some(backend) = gateways[index].arrive(now, incoming) {
-            sent_alone += u32::from(in_flight.is_empty());
+            sent_while_idle += u32::from(in_flight.is_empty());
             in_flight.push((index, i, backend, now));
         }
         mean_in_flight += if i >= 1200 {
@@ -311,8 +311,8 @@
         "{mean_in_flight} in flight on average"
     );
     assert!(
-        sent_alone < 600,
-        "{sent_alone} sent while none was in flight: the limit is not used"
+        sent_while_idle < 600,
+        "{sent_while_idle} sent while none was in flight: the limit is not used"
     );
 }
 
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -228,6 +228,7 @@
     };
     let (mut gateway, now) = warmed_up_gateway(gateway_settings, 20.0);
     let backend = gateway.arrive(now, request(900, class, now)).expect("sent");
+    // The ids of hedge timers are greater than any request id, which has 32 bits.
     let mut hedge_timers = gateway
         .actions
         .iter()
@@ -250,7 +251,9 @@
     gateway: GatewayFixture,
     /// Time at which the first attempt was sent, ms.
     sent_at: Millis,
+    /// The backend of the first attempt.
     first: BackendId,
+    /// The backend of the second attempt.
     hedge: BackendId,
 }
 
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -147,8 +147,8 @@
     assert!((0.3..=0.75).contains(&ratio), "{ratio}: {sent:?}");
 }
 
-/// Time after which a late response comes, in request intervals of 50 ms.
-const RESPONSE_DELAY_ARRIVALS: u32 = 30;
+/// Delay of a late response, in request intervals of 50 ms.
+const RESPONSE_DELAY_INTERVALS: u32 = 30;
 
 /// Number of requests that a gateway sends while all its backends warm up and respond too late. A client that marks its
 /// retries sends ten requests per second and, if there is `extra` traffic, as many retries or further requests between
@@ -171,7 +171,7 @@
         let now = f64::from(i) * 50.0;
         while in_flight
             .front()
-            .is_some_and(|(id, _)| id + RESPONSE_DELAY_ARRIVALS < i)
+            .is_some_and(|(id, _)| id + RESPONSE_DELAY_INTERVALS < i)
         {
             let (id, backend) = in_flight.pop_front().unwrap();
             gateway.complete(now, id, 0, backend, Outcome::Ok);
--- a/tests/usage_evidence.rs
+++ b/tests/usage_evidence.rs
@@ -193,8 +193,8 @@
     let mean_gap = Cell::new(1.0);
     let last_admitted = Cell::new(0);
     let served = admitted_requests(plan, 300, 2000.0, |i| {
-        let since = f64::from(i - last_admitted.replace(i)).max(1.0);
-        mean_gap.set(mean_gap.get() + 0.1 * (since - mean_gap.get()));
+        let distance = f64::from(i - last_admitted.replace(i)).max(1.0);
+        mean_gap.set(mean_gap.get() + 0.1 * (distance - mean_gap.get()));
         Some(3.0 / mean_gap.get())
     });
     assert!((80..=130).contains(&served), "{served} of 300");
