--- a/src/policy/backends.rs
+++ b/src/policy/backends.rs
@@ -344,7 +344,7 @@
     /// incarnation count neither as its load nor, when they end, for or against it.
     fn update_entry(&mut self, now: Millis, entry: BackendEntry, rng: &mut Pcg32) {
         let entry = BackendEntry {
-            weight: in_range(entry.weight, MIN_WEIGHT, MAX_WEIGHT, 1.0),
+            weight: clamp_finite(entry.weight, MIN_WEIGHT, MAX_WEIGHT, 1.0),
             ..entry
         };
         // Each gateway has yet to earn its first request there, so that not all send theirs in one instant.
--- a/src/policy_api/mod.rs
+++ b/src/policy_api/mod.rs
@@ -14,7 +14,7 @@
 pub use endpoint::{Availability, BackendEntry, ListKind};
 pub use event::Event;
 pub use ids::{BackendId, CellId, ClassId, CustomerId, Millis, PlanId, RequestId, TimerId, ZoneId};
-pub(crate) use request::in_range;
+pub(crate) use request::clamp_finite;
 pub use request::{AttemptCompleted, LoadReport, Outcome, Request};
 pub use settings::{
     Ceiling, Class, DeduplicationScope, DiscoveryMode, Idempotency, LoadReportMode, Plan, Settings,
--- a/src/policy_api/request.rs
+++ b/src/policy_api/request.rs
@@ -34,10 +34,10 @@
         let longest = settings.classes.get(self.class.0)?.deadline;
         let gateways = f64::from(settings.gateways.max(1));
         Some(Request {
-            units: in_range(self.units, 0.0, settings.max_units.max(1.0), 1.0),
-            gateway_count: in_range(self.gateway_count, 1.0, gateways, 1.0).round(),
-            deadline: in_range(self.deadline, now, now + longest, now + longest),
-            queued_for: in_range(self.queued_for, 0.0, longest, 0.0),
+            units: clamp_finite(self.units, 0.0, settings.max_units.max(1.0), 1.0),
+            gateway_count: clamp_finite(self.gateway_count, 1.0, gateways, 1.0).round(),
+            deadline: clamp_finite(self.deadline, now, now + longest, now + longest),
+            queued_for: clamp_finite(self.queued_for, 0.0, longest, 0.0),
             ..self
         })
     }
@@ -119,7 +119,7 @@
 }
 
 /// Clamps a number from outside the gateway to a range; returns `otherwise` if the number is not finite.
-pub(crate) fn in_range(value: f64, least: f64, most: f64, otherwise: f64) -> f64 {
+pub(crate) fn clamp_finite(value: f64, least: f64, most: f64, otherwise: f64) -> f64 {
     if value.is_finite() {
         value.clamp(least, most.max(least))
     } else {
