--- a/src/policy/backends.rs
+++ b/src/policy/backends.rs
@@ -361,7 +361,7 @@
     /// earlier incarnation do not count as load and, when they end, count neither for nor against it.
     fn update_entry(&mut self, now: Millis, entry: BackendEntry, rng: &mut Pcg32) {
         let entry = BackendEntry {
-            weight: in_range(entry.weight, MIN_WEIGHT, MAX_WEIGHT, 1.0),
+            weight: clamp_finite(entry.weight, MIN_WEIGHT, MAX_WEIGHT, 1.0),
             ..entry
         };
         // Each gateway first has to accrue a random number of units for a new backend, so that not all gateways send it
