--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -1,10 +1,12 @@
-//! Attempts: started when the policy asks for one, settled once, and then reported to the policy.
+//! The lifecycle of an attempt: started on the policy's request, completed exactly once, and then reported to the
+//! policy.
 //!
-//! Each runs in a task of its own, with a timer for its deadline. It ends by its result, by that timer, or by being
-//! cancelled; the task holds the driver only weakly and is aborted in the last two cases.
+//! Each attempt runs in a task of its own and has a timer for its deadline. An attempt ends with a result, at its
+//! deadline, or by cancellation; in the last two cases its task is aborted. The task holds a weak reference to the
+//! driver.
 //!
-//! Holds no state of its own: attempts in flight are in the [`RequestTable`](super::request_table::RequestTable)
-//! with their request.
+//! This module has no state of its own: attempts in flight are in the
+//! [`RequestTable`](super::request_table::RequestTable), with their requests.
 
 use super::request_table::{Attempt, PendingRequest};
 use super::timers::TimerKind;
@@ -17,10 +19,10 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// An attempt that is being carried out.
+/// A running attempt; resolves to its result.
 pub(super) type AttemptFuture = Pin<Box<dyn Future<Output = AttemptResult>>>;
 
-/// Carries out one attempt: over sockets, or as a test scripts it.
+/// Runs one attempt: over sockets in the gateway, by a script in tests.
 pub(super) type AttemptExecutor = dyn Fn(
     BackendId,
     Rc<UpstreamRequest>,
@@ -29,15 +31,15 @@
     AttemptHandle,
 ) -> AttemptFuture;
 
-/// The policy's bounds on the time of an attempt.
+/// The policy's time limits for an attempt.
 pub(super) struct AttemptLimits {
-    /// How long it may take, in milliseconds.
+    /// How long the attempt may take, in milliseconds; `None` for as long as the request's budget permits.
     pub timeout: Option<Millis>,
-    /// The time before which it has to reach its backend, on the gateway's clock.
+    /// The time before which the attempt has to start at its backend, on the gateway's clock; `None` for no limit.
     pub begin_before: Option<Millis>,
 }
 
-/// Which attempt of which request went where.
+/// Identifies an attempt in its report to the policy.
 struct AttemptKey {
     request: RequestId,
     number: u32,
@@ -45,7 +47,8 @@
 }
 
 impl Driver {
-    /// Starts an attempt of a request, if its budget and the settings permit one; else reports it as not sent.
+    /// Starts an attempt of a request if the request's budget and the settings permit one; otherwise reports the
+    /// attempt to the policy as not sent.
     pub(super) fn send(
         &self,
         id: RequestId,
@@ -95,7 +98,8 @@
         self.set_timer(deadline.end(), timeout);
     }
 
-    /// Records for a successor that a request which must not run twice may have run from now on.
+    /// Records in the hand-over file that a non-idempotent request may have run from now on, so that the next process
+    /// does not run it again.
     fn record_sent(&self, request: &PendingRequest) {
         if request.is_idempotent {
             return;
@@ -105,7 +109,7 @@
         }
     }
 
-    /// Runs an attempt in a task of its own, which settles it. The handle can cancel that task.
+    /// Runs an attempt in a task of its own, which completes the attempt with its result. `handle` can abort the task.
     fn spawn_attempt(
         &self,
         id: RequestId,
@@ -113,17 +117,17 @@
         attempt: AttemptFuture,
         handle: &AttemptHandle,
     ) {
-        let own = self.own.clone();
+        let weak_self = self.weak_self.clone();
         let task = tokio::task::spawn_local(async move {
             let result = attempt.await;
-            if let Some(driver) = own.upgrade() {
-                driver.settle(id, number, result);
+            if let Some(driver) = weak_self.upgrade() {
+                driver.complete_attempt(id, number, result);
             }
         });
         handle.set_task(task.abort_handle());
     }
 
-    /// Reports to the policy an attempt that was not permitted, so that it decides anew.
+    /// Reports an attempt that was not permitted to the policy, which then decides again about the request.
     fn report_not_sent(&self, now: Millis, request: RequestId, number: u32, backend: BackendId) {
         let key = AttemptKey {
             request,
@@ -131,13 +135,13 @@
             backend,
         };
         let result = AttemptResult::without_response(Outcome::NotSent);
-        let completed = completed(key, 0.0, &result, false);
+        let completed = completion_report(key, 0.0, &result, false);
         self.post(now, Event::AttemptCompleted(completed));
     }
 
-    /// Settles an attempt and reports it to the policy. An attempt may end in several ways at about the same time; only the
-    /// first one counts, and later calls do nothing.
-    pub(super) fn settle(&self, id: RequestId, number: u32, result: AttemptResult) {
+    /// Completes an attempt and reports its result to the policy. An attempt may end in several ways at about the same
+    /// time: the first call determines its result, and later calls do nothing.
+    pub(super) fn complete_attempt(&self, id: RequestId, number: u32, result: AttemptResult) {
         let now = self.context.clock.now();
         if let Some(completed) = self.record_result(now, id, number, result) {
             self.post(now, Event::AttemptCompleted(completed));
@@ -145,8 +149,8 @@
         }
     }
 
-    /// Removes an attempt from those in flight and passes a good response to the client; `None` if the attempt has
-    /// been settled before.
+    /// Removes an attempt from those in flight and passes a successful response on to the client; `None` if the attempt
+    /// has already been completed.
     fn record_result(
         &self,
         now: Millis,
@@ -158,7 +162,7 @@
         let request = requests.get_mut(id)?;
         let attempt = request.take_attempt(number)?;
         if matches!(result.outcome, Outcome::Cancelled | Outcome::Timeout) {
-            // What is not fully written when its connection is closed cannot run.
+            // If the connection is closed before the request is fully written, the backend cannot run the request.
             if result.outcome == Outcome::Timeout && !attempt.handle.is_fully_written() {
                 result.outcome = Outcome::ConnectFailed;
             }
@@ -166,11 +170,11 @@
         }
         if result.outcome == Outcome::Ok {
             if let Some(sender) = request.answer.take() {
-                // An error means that the client has disconnected: there is nobody to answer.
+                // An error means that the client has disconnected and needs no answer.
                 let _ = sender.send(Answer::Served(result.body.clone()));
             }
         }
-        // A client that has disconnected gets no further attempt.
+        // No further attempt is made for a client that has disconnected.
         if request.is_waiting() && request.upstream_request.client.is_disconnected() {
             request.answer = None;
         }
@@ -180,12 +184,17 @@
             backend: attempt.backend,
         };
         let elapsed = now - attempt.sent_at;
-        Some(completed(key, elapsed, &result, !request.is_waiting()))
+        Some(completion_report(
+            key,
+            elapsed,
+            &result,
+            !request.is_waiting(),
+        ))
     }
 }
 
-/// The report to the policy of an attempt that ended after `elapsed` milliseconds.
-fn completed(
+/// Builds the report to the policy on an attempt that ended after `elapsed` milliseconds.
+fn completion_report(
     key: AttemptKey,
     elapsed: Millis,
     result: &AttemptResult,
--- a/src/net/driver/endpoints.rs
+++ b/src/net/driver/endpoints.rs
@@ -1,11 +1,13 @@
-//! Endpoint bookkeeping: what the endpoint list means to the connection pools and to the policy.
+//! The endpoint table: applies endpoint lists to the connection pools and translates them into changes for the policy.
 //!
-//! The table gives names their ids, and guards against lists that are stale, endpoints that share an address, and
-//! clocks that disagree.
+//! The table assigns an id to each endpoint name. It guards against stale lists, against endpoints that share an
+//! address, and against clock skew.
 //!
-//! Bounds: ids, address owners and future incarnations are kept for listed endpoints. Ended incarnations are kept for
-//! listed endpoints, and for others as long as there are no more than [`MAX_ENDED_INCARNATIONS`] in all when the next
-//! list comes.
+//! An incarnation of an endpoint is one run of its process, identified by the time at which the process started.
+//!
+//! Bounds: ids, address owners and future incarnations are kept for listed endpoints only. Ended incarnations of
+//! endpoints that are no longer listed are dropped when a list arrives and there are more than
+//! [`MAX_ENDED_INCARNATIONS`] ended incarnations in all.
 
 use crate::net::control::discovery::EndpointUpdate;
 use crate::net::control::endpoint_list::{Endpoint, EndpointList, Health};
@@ -19,34 +21,34 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Ended incarnations beyond which those of endpoints that are no longer listed are forgotten.
+/// The number of ended incarnations above which those of endpoints that are no longer listed are dropped.
 const MAX_ENDED_INCARNATIONS: usize = 4096;
 
-/// The endpoint that was last listed at an address.
+/// The endpoint to which an address belongs.
 struct AddressOwner {
     name: String,
-    /// When it started, in Unix milliseconds.
+    /// When the endpoint's process started, in Unix milliseconds.
     started_at_ms: Millis,
 }
 
-/// An incarnation of an endpoint that reports a start that lies in the future.
+/// An incarnation whose reported start was in the future on this gateway's clock.
 struct FutureIncarnation {
-    /// The start that the list gives, in Unix milliseconds.
+    /// The start in the endpoint list, in Unix milliseconds.
     reported_start: Millis,
-    /// The start that the policy is given, in Unix milliseconds: when the incarnation was first reported, by our
-    /// clock.
-    assumed_start: Millis,
+    /// The start that the policy gets instead, in Unix milliseconds: when the incarnation was first reported, on this
+    /// gateway's clock.
+    effective_start: Millis,
 }
 
-/// What a list changes, for [`Event::EndpointsChanged`](cometspool::Event::EndpointsChanged).
+/// The changes that a list makes, for [`Event::EndpointsChanged`](cometspool::Event::EndpointsChanged).
 pub(super) struct EndpointChanges {
-    /// What kind of list it was.
+    /// The kind of the list.
     pub kind: ListKind,
-    /// One for each endpoint of the list, followed by the removals of endpoints that it displaced.
+    /// One entry for each endpoint of the list, followed by the removals of endpoints that lost an address conflict.
     pub entries: Vec<BackendEntry>,
 }
 
-/// The endpoints that are listed.
+/// The listed endpoints.
 pub(super) struct EndpointTable {
     context: Rc<RuntimeContext>,
     connections: Rc<UpstreamConnections>,
@@ -54,13 +56,13 @@
     ids: HashMap<String, BackendId>,
     future_incarnations: HashMap<BackendId, FutureIncarnation>,
     address_owners: HashMap<SocketAddr, AddressOwner>,
-    /// By endpoint name, the start of the process that was listed as draining or removed last, or was left out of a
-    /// full list; in Unix milliseconds.
+    /// By endpoint name, when the incarnation started that was last listed as draining or removed, or was missing from
+    /// a full list; in Unix milliseconds.
     ended_incarnations: HashMap<String, Millis>,
 }
 
 impl EndpointTable {
-    /// An empty table that keeps `connections` up to date.
+    /// Creates an empty table that applies endpoint changes to `connections`.
     pub(super) fn new(
         context: Rc<RuntimeContext>,
         connections: Rc<UpstreamConnections>,
@@ -97,7 +99,7 @@
             entries.push(self.apply_endpoint(endpoint));
         }
         for endpoint in &list.endpoints {
-            entries.extend(self.displace(endpoint));
+            entries.extend(self.resolve_address_conflict(endpoint));
         }
         let ids = &self.ids;
         self.address_owners
@@ -105,8 +107,9 @@
         EndpointChanges { kind, entries }
     }
 
-    /// Records which incarnations end with this list, and guards against taking an end back: a stale list does not
-    /// revive a process that was listed as draining or removed. Returns the list to go by, if it is another one.
+    /// Records which incarnations this list ends. A stale list must not bring back an incarnation that has ended, so an
+    /// endpoint that such a list reports as up is treated as draining. Returns the corrected list if there is such an
+    /// endpoint, and `None` if the list applies unchanged.
     fn record_ended(
         &mut self,
         list: &EndpointList,
@@ -132,15 +135,15 @@
         corrected
     }
 
-    /// Whether this incarnation of the endpoint, or a later one, is known to have ended.
+    /// Whether the listed incarnation of an endpoint, or a later one, is known to have ended.
     fn has_ended(&self, endpoint: &Endpoint) -> bool {
         self.ended_incarnations
             .get(&endpoint.name)
             .is_some_and(|started_at| *started_at >= endpoint.started_at_ms)
     }
 
-    /// Removes endpoints that a full list leaves out: they have ended, though nothing says so. In a stale list they
-    /// may be missing because they had not started yet.
+    /// Removes endpoints that are missing from a full list, which also means that their incarnations have ended. A
+    /// stale list does not show that: an endpoint may be missing from it because it had not started yet.
     fn remove_unlisted(&mut self, list: &EndpointList, update: EndpointUpdate) {
         let listed: HashSet<&str> = list
             .endpoints
@@ -183,9 +186,9 @@
             }
         };
         let has_start = endpoint.started_at_ms > 0.0;
-        let started_at = has_start.then(|| self.plausible_start(id, endpoint.started_at_ms));
+        let started_at = has_start.then(|| self.effective_start(id, endpoint.started_at_ms));
         if availability == Availability::Removed {
-            // Its entry still tells the start that the policy knows.
+            // Dropped only now, because the entry for the removal carries the start that the policy already knows.
             self.future_incarnations.remove(&id);
         }
         BackendEntry {
@@ -198,13 +201,13 @@
         }
     }
 
-    /// The number of starts in the future that are kept.
+    /// The number of future incarnations that are kept.
     #[cfg(test)]
     pub(super) fn future_incarnation_count(&self) -> usize {
         self.future_incarnations.len()
     }
 
-    /// The id of a zone by its name; the largest id for one that the settings do not name.
+    /// Returns the id of a zone by its name, or the largest id if the settings do not name the zone.
     fn zone_id(&self, name: &str) -> ZoneId {
         let name = settings::normalize_name(name);
         let index = self
@@ -216,13 +219,14 @@
         ZoneId(index.map_or(u32::MAX, |index| index as u32))
     }
 
-    /// The id of the endpoint of this name, which gets one if it has none.
+    /// Returns the id of the endpoint with this name, and assigns one if it has none.
     fn id_of(&mut self, name: &str) -> BackendId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
-        // All gateways must give an endpoint the same id, in whatever order they learn of endpoints: the policy splits
-        // endpoints among gateways by the order of ids. If two names hash alike, the later one gets the next free id.
+        // The policy assigns subsets of the endpoints to gateways by the order of ids. All gateways must therefore give
+        // an endpoint the same id, whatever the order in which they learn of endpoints. If the hashes of two names
+        // collide, the name that is learned later gets the next free id.
         let mut number = hash_name(name);
         while self.ids.values().any(|taken| taken.0 == number) {
             number = number.wrapping_add(1);
@@ -232,32 +236,34 @@
         id
     }
 
-    /// When an endpoint started that reports `reported`, both in Unix milliseconds. Guards against clocks that
-    /// disagree: no start lies in the future. An endpoint whose clock is ahead of ours counts as started when we
-    /// first heard of it; else its slow start would not begin until our clock reaches the reported time.
-    fn plausible_start(&mut self, id: BackendId, reported: Millis) -> Millis {
+    /// Returns the start that the policy gets for an endpoint that reports the start `reported`, both in Unix
+    /// milliseconds. Because of clock skew, a reported start may be in the future on this gateway's clock. Such an
+    /// endpoint counts as started when its start was first reported; otherwise its slow start would not begin until
+    /// this gateway's clock reaches the reported time.
+    fn effective_start(&mut self, id: BackendId, reported: Millis) -> Millis {
         let now = self.context.clock.now();
         if reported <= now && !self.future_incarnations.contains_key(&id) {
             return reported;
         }
-        let known = self
+        let incarnation = self
             .future_incarnations
             .entry(id)
             .or_insert(FutureIncarnation {
                 reported_start: reported,
-                assumed_start: now,
+                effective_start: now,
             });
-        if known.reported_start != reported {
-            known.reported_start = reported;
-            known.assumed_start = now.min(reported);
+        if incarnation.reported_start != reported {
+            incarnation.reported_start = reported;
+            incarnation.effective_start = now.min(reported);
         }
-        known.assumed_start
+        incarnation.effective_start
     }
 
-    /// Guards against sending to an address that another endpoint has taken over: of two listed at one address, the
-    /// one that started later is there, or else the one listed last. The other is returned as removed, though the
-    /// list may say so only later.
-    fn displace(&mut self, endpoint: &Endpoint) -> Option<BackendEntry> {
+    /// Resolves a conflict between two endpoints listed at one address, so that no request is sent to an address that
+    /// another endpoint has taken over. The address belongs to the endpoint that started later, or to the one listed
+    /// last if both started at the same time. The other endpoint is removed, even if the list does not say so yet, and
+    /// the entry for its removal is returned.
+    fn resolve_address_conflict(&mut self, endpoint: &Endpoint) -> Option<BackendEntry> {
         if endpoint.health != Health::Up {
             return None;
         }
@@ -278,7 +284,7 @@
         tracing::warn!(
         endpoint = displaced,
         address = %endpoint.address,
-        "endpoint removed: another has its address"
+        "endpoint removed: another endpoint is listed at its address"
         );
         let removed = Endpoint {
             name: displaced,
@@ -288,7 +294,7 @@
         Some(self.apply_endpoint(&removed))
     }
 
-    /// Whether the previous owner of an endpoint's address is another endpoint that may still be sent to there.
+    /// Whether the previous owner of an endpoint's address is another endpoint that still takes new requests there.
     fn conflicts(&self, previous: &AddressOwner, endpoint: &Endpoint) -> bool {
         if previous.name == endpoint.name {
             return false;
@@ -300,8 +306,8 @@
     }
 }
 
-/// The id of an endpoint by its name, unless another endpoint has that id: FNV-1a over the name, folded to 32 bits.
-/// Gateways of all releases must agree on it.
+/// Returns the id that an endpoint gets by its name, unless another endpoint has that id: the 64-bit FNV-1a hash of
+/// the name, folded to 32 bits. Gateways of all releases must compute the same id.
 pub(super) fn hash_name(name: &str) -> u32 {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -1,20 +1,20 @@
-//! The driver: hands events to the policy engine and carries out the actions that come back.
+//! The driver: passes events to the policy engine and executes the actions that the engine returns.
 //!
-//! [`Driver::post`] is the only place that calls the policy. Carrying out an action may raise further events;
-//! they wait in a queue until the actions of the event before them are carried out, so the policy is never
-//! re-entered and sees events in the order in which they were posted.
+//! [`Driver::post`] is the only place that calls the policy. Executing an action may raise further events. These wait
+//! in a queue until all actions of the current event have been executed, so the policy is never re-entered and sees
+//! events in the order in which they were posted.
 //!
-//! Each submodule owns one piece of state, in a cell of its own, and states its bound:
+//! Each of these submodules owns one piece of state, in a `RefCell` of its own, and documents the bound on its size:
 //!
 //! | module | owns |
 //! | --- | --- |
-//! | [`request_table`] | requests, their attempts and their ids on the wire |
+//! | [`request_table`] | requests, their attempts and their wire ids |
 //! | [`timers`] | the timer queue |
-//! | [`endpoints`] | endpoint ids, address owners, starts of processes that ended or lie in the future |
+//! | [`endpoints`] | endpoint ids, address owners, ended incarnations and incarnations with a start in the future |
 //!
-//! [`requests`] and [`attempts`] hold the steps of the driver that work on the request table. No cell is
-//! borrowed while an event is posted, because carrying out its actions may need any of them. What the driver
-//! itself holds is bounded too: the queue is empty between two calls of [`Driver::post`], and the hand-over record
+//! [`requests`] and [`attempts`] implement the operations of the driver on the request table. No `RefCell` may be
+//! borrowed while an event is posted, because executing the event's actions may borrow any of them. The driver's own
+//! state is bounded as well: the event queue is empty between two calls of [`Driver::post`], and the hand-over record
 //! limits its own size.
 
 mod attempts;
@@ -47,7 +47,7 @@
 use timers::{TimerKind, TimerQueue};
 use tokio::sync::Notify;
 
-/// Why a driver could not be made.
+/// Why a driver could not be created.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum DriverError {
     /// The hand-over file cannot be read or written.
@@ -55,46 +55,46 @@
     Handover(#[from] HandoverError),
 }
 
-/// An event that waits for the policy.
+/// An event that has not been passed to the policy yet.
 struct QueuedEvent {
-    /// When it happened, on the gateway's clock.
+    /// When the event happened, on the gateway's clock.
     at: Millis,
     event: Event,
 }
 
-/// A gateway's driver: owns its requests, attempts and timers, and the policy that decides on them.
+/// A gateway's driver: owns the requests, attempts and timers, and the policy engine that decides on them.
 pub(super) struct Driver {
-    /// The clock, the settings and the stall monitor that all parts of the gateway share.
+    /// The clock, the settings and the stall monitor, shared by all parts of the gateway.
     pub context: Rc<RuntimeContext>,
-    /// Itself, for the tasks that it spawns: they must not keep it alive.
-    own: Weak<Driver>,
+    /// A weak reference to this driver for the tasks that it spawns, which must not keep it alive.
+    weak_self: Weak<Driver>,
     connections: Rc<UpstreamConnections>,
-    /// Carries out attempts.
+    /// Runs attempts: over sockets in the gateway, by a script in tests.
     executor: Box<AttemptExecutor>,
-    /// Borrowed only while it handles one event.
+    /// Borrowed only while the policy handles one event.
     policy: RefCell<PolicyEngine>,
     requests: RefCell<RequestTable>,
     endpoints: RefCell<EndpointTable>,
     timers: RefCell<TimerQueue>,
-    /// Wakes [`Driver::run_timers`] when a timer becomes the earliest.
-    earlier_timer: Notify,
-    /// By when a graceful shutdown wants all requests answered.
+    /// Wakes [`Driver::run_timers`] when a new timer becomes the earliest one.
+    earliest_timer_changed: Notify,
+    /// When a graceful shutdown requires all requests to be answered; `None` before a shutdown begins.
     shutdown_deadline: Cell<Option<Millis>>,
-    /// Requests of the predecessor, and the record for a successor, if the configuration names a file for it.
+    /// Requests of the previous process, and the record for the next one; `None` if no file is configured for them.
     handover: RefCell<Option<Handover>>,
-    /// Events that were raised while actions were carried out; empty between two calls of [`Driver::post`].
-    queue: RefCell<VecDeque<QueuedEvent>>,
-    /// The time of the last event that the policy was given.
+    /// Events that wait for the policy; empty between two calls of [`Driver::post`].
+    event_queue: RefCell<VecDeque<QueuedEvent>>,
+    /// The time of the last event that the policy handled.
     last_event_at: Cell<Millis>,
-    /// Whether a call of [`Driver::post`] is working through the queue.
-    is_posting: Cell<bool>,
+    /// Whether a call of [`Driver::post`] is processing the event queue.
+    is_processing_events: Cell<bool>,
 }
 
-/// Ends the process with exit code 70 if the policy panics while this guard is held: a gateway that cannot
-/// decide must not go on accepting requests.
-struct AbortOnPanic;
+/// Ends the process with exit code 70 if the policy panics while this guard is held: a gateway whose policy has
+/// failed must not go on accepting requests.
+struct ExitOnPanic;
 
-impl Drop for AbortOnPanic {
+impl Drop for ExitOnPanic {
     fn drop(&mut self) {
         if std::thread::panicking() {
             std::process::exit(70);
@@ -103,8 +103,8 @@
 }
 
 impl Driver {
-    /// A driver with an empty endpoint list, whose attempts go over sockets. `wake_recorder` records when the event loop
-    /// woke since the process started.
+    /// Creates a driver with an empty endpoint list that runs attempts over sockets. `wake_recorder` has recorded the
+    /// wake-ups of the event loop since the process started.
     ///
     /// # Errors
     ///
@@ -134,7 +134,7 @@
         Driver::with_executor(config, wake_recorder, clock, connections, executor)
     }
 
-    /// A driver whose attempts are carried out by `executor`.
+    /// Creates a driver that runs attempts with `executor`.
     fn with_executor(
         config: &Config,
         wake_recorder: WakeRecorder,
@@ -149,53 +149,55 @@
             None => None,
         };
         let endpoints = EndpointTable::new(context.clone(), connections.clone());
-        Ok(Rc::new_cyclic(|own| Driver {
+        Ok(Rc::new_cyclic(|weak_self| Driver {
             context,
-            own: own.clone(),
+            weak_self: weak_self.clone(),
             connections,
             executor,
             policy: RefCell::new(PolicyEngine::new(settings.settings.clone(), config.seed)),
             requests: RefCell::default(),
             endpoints: RefCell::new(endpoints),
             timers: RefCell::default(),
-            earlier_timer: Notify::new(),
+            earliest_timer_changed: Notify::new(),
             shutdown_deadline: Cell::new(None),
             handover: RefCell::new(handover),
-            queue: RefCell::default(),
+            event_queue: RefCell::default(),
             last_event_at: Cell::new(0.0),
-            is_posting: Cell::new(false),
+            is_processing_events: Cell::new(false),
         }))
     }
 
-    /// Hands the policy an event that happened at `at` and carries out its actions. Called while that is going
-    /// on, it queues the event behind those that wait.
+    /// Passes an event that happened at `at` to the policy and executes the resulting actions. A call made while
+    /// another call is in progress only appends the event to the queue; the outer call processes it.
     fn post(&self, at: Millis, event: Event) {
-        self.queue.borrow_mut().push_back(QueuedEvent { at, event });
-        if self.is_posting.replace(true) {
+        self.event_queue
+            .borrow_mut()
+            .push_back(QueuedEvent { at, event });
+        if self.is_processing_events.replace(true) {
             return;
         }
         let mut actions = Vec::new();
         loop {
-            let Some(next) = self.queue.borrow_mut().pop_front() else {
+            let Some(next) = self.event_queue.borrow_mut().pop_front() else {
                 break;
             };
-            // Events may be queued in another order than they happened in; the policy's clock never goes back.
+            // Queued events may be out of order in time, but the policy requires that time never runs backwards.
             let at = next.at.max(self.last_event_at.get());
             self.last_event_at.set(at);
-            let guard = AbortOnPanic;
+            let guard = ExitOnPanic;
             self.policy
                 .borrow_mut()
                 .handle(at, next.event, &mut actions);
             drop(guard);
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.execute_action(action);
             }
         }
-        self.is_posting.set(false);
+        self.is_processing_events.set(false);
     }
 
-    /// Carries out one action of the policy.
-    fn carry_out(&self, action: Action) {
+    /// Executes one action that the policy has returned.
+    fn execute_action(&self, action: Action) {
         match action {
             Action::Send {
                 request,
@@ -218,30 +220,32 @@
             Action::Fail(request) => self.answer(request, Answer::Failed),
             Action::CancelAttempt { request, attempt } => {
                 let result = AttemptResult::without_response(Outcome::Cancelled);
-                self.settle(request, attempt, result);
+                self.complete_attempt(request, attempt, result);
             }
             Action::SetTimer { at, timer } => self.set_timer(at, TimerKind::Policy(timer)),
             Action::CloseIdleConnections(backend) => self.connections.close_idle(backend),
             Action::Preconnect { backend, within } => self.connections.preconnect(backend, within),
             Action::Log(text) => tracing::info!("{text}"),
-            // Discovery pushes changes of the list unasked, and the platform does not permit health checks.
+            // Discovery pushes changes of the endpoint list without a request, and the platform does not permit
+            // health checks.
             Action::Subscribe | Action::FetchList | Action::CheckHealth(_) => {}
         }
     }
 
-    /// Paces dials for a fleet of `gateways`: never for fewer than the settings state, as the load on backends
-    /// that are warming up depends on it.
+    /// Sets the fleet size by which the connection pools limit dials. The size is never below the number of gateways
+    /// in the settings, because the load on backends in slow start depends on it.
     pub(super) fn set_dial_fleet_size(&self, gateways: u32) {
         self.connections
             .set_fleet_size(gateways.max(self.context.settings.gateways));
     }
 
-    /// Reports to the policy how many gateways seem present, for its trials of ejected backends.
+    /// Reports to the policy how many gateways appear to be present; the policy uses the number for its trials of
+    /// ejected backends.
     pub(super) fn report_fleet_size(&self, gateways: u32) {
         self.post(self.context.clock.now(), Event::FleetSizeChanged(gateways));
     }
 
-    /// Closes idle connections before the backends do, for as long as the gateway runs.
+    /// Closes idle connections before the backends close them, for as long as the gateway runs.
     pub(super) async fn evict_idle_connections(self: Rc<Self>) {
         self.connections.evict_expired().await;
     }
@@ -257,13 +261,13 @@
     }
 }
 
-/// Reads what the predecessor left in the hand-over file, and begins the file anew.
+/// Reads the hand-over file of the previous process and starts a new one.
 fn open_handover(path: &Path, context: &RuntimeContext) -> Result<Handover, DriverError> {
     let longest = context.longest_deadline();
     Ok(Handover::open(path.to_owned(), context.clock, longest)?)
 }
 
-/// Carries attempts over the sockets of `transport`.
+/// Creates an executor that runs attempts over the sockets of `transport`.
 fn socket_executor(transport: UpstreamTransport) -> Box<AttemptExecutor> {
     let execute = move |backend: BackendId,
                         upstream_request: Rc<UpstreamRequest>,
--- a/src/net/driver/request_table.rs
+++ b/src/net/driver/request_table.rs
@@ -1,9 +1,12 @@
-//! The request table: requests in progress, their attempts, and the ids on the wire that are taken.
+//! The request table: pending requests, their attempts, and the wire ids that are in use.
 //!
-//! Bounds: a request stays until it has its final answer and its last attempt has ended. Both have timers that end them
-//! at the deadline that the request came with, at the latest. Each request has at most two attempts in flight. Ids of
-//! finished requests are kept until [`FINISHED_ID_RETENTION`] after their deadline, and at most [`MAX_FINISHED_IDS`]
-//! of them; they are evicted when the next request arrives.
+//! The wire id of a request is the id that its client has given it in a header. A [`RequestId`] is the gateway's own
+//! number for the request.
+//!
+//! Bounds: a request stays in the table until it has its final answer and its last attempt has ended. Timers enforce
+//! both by the deadline that the request arrived with. Each request has at most two attempts in flight. The wire ids
+//! of finished requests are kept until [`FINISHED_ID_RETENTION`] after their deadlines, at most [`MAX_FINISHED_IDS`] of
+//! them, and are evicted when the next request arrives.
 
 use crate::net::messages::{Answer, UpstreamRequest};
 use crate::net::runtime::budget::Budget;
@@ -13,42 +16,43 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// How long after its deadline the id of a finished request is still refused, in milliseconds. Every request has an
-/// id of its own, a client's retry too: forwarding a request whose id has come before would run it a second time.
+/// How long after its deadline the wire id of a finished request is still refused, in milliseconds. Every request has
+/// a wire id of its own, even when a client retries, so a wire id that comes again is a duplicate: forwarding it would
+/// run the request a second time.
 const FINISHED_ID_RETENTION: Millis = 5000.0;
-/// Ids of finished requests that are kept at most.
+/// The maximum number of wire ids of finished requests that are kept.
 const MAX_FINISHED_IDS: usize = 8192;
 
 /// An attempt that is in flight.
 pub(super) struct Attempt {
-    /// Which attempt of its request it is, from 0.
+    /// The number of the attempt within its request, from 0.
     pub number: u32,
-    /// Where it went.
+    /// The backend that the attempt was sent to.
     pub backend: BackendId,
-    /// When it was sent, on the gateway's clock.
+    /// When the attempt started, on the gateway's clock.
     pub sent_at: Millis,
-    /// Cancels it, and knows whether it is fully written.
+    /// Cancels the attempt, and tells whether its request has been fully written.
     pub handle: AttemptHandle,
 }
 
-/// A request that has no final answer yet, or an attempt of which is still in flight.
+/// A request that has no final answer yet, or has at least one attempt in flight.
 pub(super) struct PendingRequest {
-    /// What is forwarded with every attempt.
+    /// The request that each attempt sends to its backend.
     pub upstream_request: Rc<UpstreamRequest>,
-    /// Its time.
+    /// The time that the request may take.
     pub budget: Budget,
-    /// Present until the one final answer has been handed over, or the client has disconnected.
+    /// The channel for the final answer; `None` once the answer has been sent or the client has disconnected.
     pub answer: Option<oneshot::Sender<Answer>>,
-    /// Whether running it again is harmless.
+    /// Whether the request may be executed more than once without harm.
     pub is_idempotent: bool,
-    /// Attempts begun so far.
+    /// The number of attempts started so far, those that were not permitted included.
     pub attempts: u32,
-    /// The attempts that have not ended: one, or two where hedging is permitted.
+    /// The attempts that have not ended: at most one, or two if hedging is permitted.
     pub in_flight: Vec<Attempt>,
 }
 
 impl PendingRequest {
-    /// A request without attempts, whose final answer goes to `answer`.
+    /// Creates a request without attempts whose final answer is sent to `answer`.
     pub(super) fn new(
         upstream_request: UpstreamRequest,
         budget: Budget,
@@ -65,12 +69,13 @@
         }
     }
 
-    /// Whether its client still waits for the final answer.
+    /// Whether the client still waits for the final answer.
     pub(super) fn is_waiting(&self) -> bool {
         self.answer.is_some()
     }
 
-    /// Whether the settings permit that attempt `number` goes to `backend` now.
+    /// Whether attempt `number` may be sent to `backend` now: the client waits, and the settings permit a further
+    /// attempt.
     pub(super) fn permits_attempt(
         &self,
         number: u32,
@@ -78,7 +83,8 @@
         settings: &Settings,
     ) -> bool {
         let max_in_flight = if settings.hedging { 2 } else { 1 };
-        // A hedged request goes to another backend than the first attempt: the result tells which of the two ended.
+        // A hedged request must go to another backend than the first attempt: the policy tells their results apart by
+        // the backend.
         let is_new_backend = self
             .in_flight
             .iter()
@@ -89,14 +95,14 @@
             && is_new_backend
     }
 
-    /// Whether attempt `number` has not ended.
+    /// Whether attempt `number` is in flight.
     pub(super) fn is_in_flight(&self, number: u32) -> bool {
         self.in_flight
             .iter()
             .any(|attempt| attempt.number == number)
     }
 
-    /// Removes attempt `number` from those in flight.
+    /// Removes and returns attempt `number`, if it is in flight.
     pub(super) fn take_attempt(&mut self, number: u32) -> Option<Attempt> {
         let index = self
             .in_flight
@@ -106,48 +112,48 @@
     }
 }
 
-/// A finished request whose id is still refused.
+/// A finished request whose wire id is still refused.
 struct FinishedRequest {
     wire_id: Rc<str>,
     deadline: Millis,
 }
 
-/// The requests in progress, and the ids on the wire that are taken.
+/// The pending requests, and the wire ids that are in use.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, PendingRequest>,
-    /// Ids on the wire of the requests in the table and of those in `finished`.
+    /// The wire ids in use: those of the requests in the table and of those in `finished`.
     wire_ids: HashSet<Rc<str>>,
-    /// Those whose ids are still taken, in the order in which they finished.
+    /// Finished requests whose wire ids are still in use, in the order in which they finished.
     finished: VecDeque<FinishedRequest>,
-    /// The id that was given last.
+    /// The request id that was assigned last.
     last_id: u32,
 }
 
 impl RequestTable {
-    /// The request, while it is in the table.
+    /// Returns a request, if it is in the table.
     pub(super) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
-    /// The request, while it is in the table.
+    /// Returns a request for modification, if it is in the table.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// Marks an id on the wire as taken; returns `false` if it was taken before.
+    /// Marks a wire id as in use; returns `false` if it was in use already.
     pub(super) fn claim_wire_id(&mut self, wire_id: Rc<str>) -> bool {
         self.wire_ids.insert(wire_id)
     }
 
-    /// Adds a request, whose id on the wire has been claimed, under a free id.
+    /// Adds a request whose wire id has been claimed, and assigns it a request id.
     pub(super) fn insert(&mut self, request: PendingRequest) -> RequestId {
         let id = self.next_id();
         self.requests.insert(id, request);
         id
     }
 
-    /// The next id that no request in the table has: ids wrap around.
+    /// Returns the next request id that no request in the table has. Ids wrap around, so an id may still be in use.
     fn next_id(&mut self) -> RequestId {
         loop {
             self.last_id = self.last_id.wrapping_add(1);
@@ -163,13 +169,13 @@
         self.get(id).is_some_and(PendingRequest::is_waiting)
     }
 
-    /// Whether attempt `number` of a request has not ended.
+    /// Whether attempt `number` of a request is in flight.
     pub(super) fn is_in_flight(&self, id: RequestId, number: u32) -> bool {
         self.get(id)
             .is_some_and(|request| request.is_in_flight(number))
     }
 
-    /// Requests whose clients wait for the final answer.
+    /// The number of requests whose clients wait for the final answer.
     pub(super) fn waiting_count(&self) -> usize {
         self.requests
             .values()
@@ -177,7 +183,8 @@
             .count()
     }
 
-    /// Of a request that nobody waits for, the attempts that are not fully written: they cannot have run.
+    /// Returns the numbers of a request's attempts that are not fully written and therefore cannot have run. Empty
+    /// while the client waits for the answer.
     pub(super) fn unwritten_attempts(&self, id: RequestId) -> Vec<u32> {
         let Some(request) = self.get(id) else {
             return Vec::new();
@@ -193,7 +200,7 @@
             .collect()
     }
 
-    /// Ends all budgets at `end` at the latest; returns the requests that have less time from now on.
+    /// Caps all budgets at `end`, on the gateway's clock; returns the requests whose budgets were longer.
     pub(super) fn cap_budgets(&mut self, end: Millis) -> Vec<RequestId> {
         let mut capped = Vec::new();
         for (id, request) in &mut self.requests {
@@ -205,8 +212,8 @@
         capped
     }
 
-    /// Removes a request if nobody waits for it and none of its attempts is in flight. Its id on the wire stays
-    /// taken for a while.
+    /// Removes a request if its client does not wait for an answer and none of its attempts is in flight. Its wire id
+    /// stays in use until [`RequestTable::evict_finished_ids`] frees it.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = self
             .get(id)
@@ -222,7 +229,8 @@
         }
     }
 
-    /// Frees the ids of requests that finished long enough ago, and the oldest beyond the bound.
+    /// Frees the wire ids of requests whose deadlines passed more than [`FINISHED_ID_RETENTION`] ago, and the oldest
+    /// ones beyond [`MAX_FINISHED_IDS`].
     pub(super) fn evict_finished_ids(&mut self, now: Millis) {
         while let Some(oldest) = self.finished.front() {
             let is_retained = now - oldest.deadline < FINISHED_ID_RETENTION;
@@ -235,7 +243,7 @@
         }
     }
 
-    /// Requests in the table.
+    /// The number of requests in the table.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.requests.len()
--- a/src/net/driver/requests.rs
+++ b/src/net/driver/requests.rs
@@ -1,6 +1,7 @@
-//! The life of a request, from its arrival to its one final answer.
+//! The lifecycle of a request, from its arrival to its one final answer.
 //!
-//! Holds no state of its own: requests are in the [`RequestTable`](super::request_table::RequestTable).
+//! This module has no state of its own: requests are in the
+//! [`RequestTable`](super::request_table::RequestTable).
 
 use super::request_table::PendingRequest;
 use super::timers::TimerKind;
@@ -11,21 +12,22 @@
 use cometspool::{ClassId, Event, Idempotency, Millis, Outcome, Request, RequestId};
 use tokio::sync::oneshot;
 
-/// What a graceful shutdown keeps of its time, in milliseconds, so that the last answers are written before the process
-/// ends.
+/// How long before the end of a graceful shutdown all requests are answered, so that the last answers can be written
+/// before the process ends, in milliseconds.
 pub(super) const FINAL_WRITE_MARGIN: Millis = 100.0;
 
-/// A request that has been entered in the table.
+/// A request that has been added to the table.
 struct AcceptedRequest {
     id: RequestId,
-    /// What it may take: its own time, or less.
+    /// The time that the request may take: its own budget, shortened by a shutdown or by a deadline in the hand-over
+    /// record.
     budget: Budget,
-    /// Where its final answer comes.
+    /// Receives the final answer.
     answer: oneshot::Receiver<Answer>,
 }
 
 impl Driver {
-    /// Gives a request its final answer, unless it has one.
+    /// Sends a request its final answer, unless it has one already.
     pub(super) fn answer(&self, id: RequestId, answer: Answer) {
         let sender = self
             .requests
@@ -33,26 +35,26 @@
             .get_mut(id)
             .and_then(|request| request.answer.take());
         if let Some(sender) = sender {
-            // An error means that the client has disconnected: there is nobody to answer.
+            // An error means that the client has disconnected and needs no answer.
             let _ = sender.send(answer);
         }
         self.finish(id);
     }
 
-    /// Finishes a request that has its final answer, or lost its client. Attempts that are not fully written are
-    /// cancelled: they would run for nobody. One that is fully written is cancelled only by the policy, which
-    /// knows whether the settings permit that.
+    /// Finishes a request that has its final answer or whose client has disconnected. Attempts that are not fully
+    /// written are cancelled, because nobody would receive their responses. An attempt that is fully written is
+    /// cancelled only by the policy, which knows whether the settings permit cancellation.
     pub(super) fn finish(&self, id: RequestId) {
         let unwritten = self.requests.borrow().unwritten_attempts(id);
         for number in unwritten {
             let result = AttemptResult::without_response(Outcome::Cancelled);
-            self.settle(id, number, result);
+            self.complete_attempt(id, number, result);
         }
         self.requests.borrow_mut().remove_if_finished(id);
     }
 
-    /// Enters a request in the table; `None` if its id has come before, or if it may have run in the process before
-    /// this one.
+    /// Adds a request to the table; `None` if its wire id is in use, or if the hand-over record says that the request
+    /// may have run in the previous process.
     fn accept(
         &self,
         now: Millis,
@@ -120,7 +122,7 @@
             queued_for: (now - incoming.received_at).max(0.0),
         };
         if incoming.budget.is_expired(now) {
-            // It waited unread for longer than its client waits: there is nothing to decide.
+            // The request lay unread until its client stopped waiting, so the policy has nothing to decide.
             self.answer(id, Answer::Failed);
         } else {
             self.post(now, Event::RequestArrived(request));
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the driver, with the policy that serves and without sockets: attempts are carried out by a script, on a
-//! clock that stands still while any task can run.
+//! Tests of the driver with the real policy and without sockets: a script determines how attempts go, and the clock is
+//! paused, so that it advances only when no task can run.
 
 mod deadlines;
 mod endpoints;
--- a/src/net/driver/tests/deadlines.rs
+++ b/src/net/driver/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines: of requests that waited unread, and of those that meet a graceful shutdown.
+//! Deadlines of requests that lay unread for some time, and of requests during a graceful shutdown.
 
 use super::fixture::{
     advance, incoming, retained, run, settings, start_driver, IDEMPOTENT, MAX_DEADLINE,
@@ -12,22 +12,22 @@
 use crate::net::runtime::budget::Budget;
 use cometspool::Millis;
 
-/// A non-idempotent request with one second, whose bytes came `ms` ago.
-fn unread_for(driver: &Driver, id: &str, ms: Millis) -> IncomingRequest {
+/// A non-idempotent request with a timeout of one second that was received `ms` milliseconds ago.
+fn unread_request(driver: &Driver, id: &str, ms: Millis) -> IncomingRequest {
     let mut request = incoming(driver, id, NON_IDEMPOTENT, 3.0);
     request.received_at -= ms;
     request.budget = Budget::from_header("1", request.received_at, MAX_DEADLINE).expect("a time");
     request
 }
 
-/// Guards a client whose bytes waited while the process was stalled: that wait is gone from its time, and a request that
-/// waited until its client had stopped waiting is answered at once and sent nowhere.
+/// Guards clients whose requests lay unread while the process was stalled: the stall counts against the request's
+/// budget. A request whose client has stopped waiting by then is answered at once and sent to no backend.
 #[test]
 fn time_spent_unread_counts_against_the_deadline() {
     let backends = ScriptedBackends::scripted(&[ScriptedAttempt::HANGS, ScriptedAttempt::HANGS]);
     run(async {
         let driver = start_driver(settings(false), 1, 2, &backends);
-        let late = unread_for(&driver, "late", 500.0);
+        let late = unread_request(&driver, "late", 500.0);
         let end = late.budget.end();
         let (_, answer) = driver.submit(late).expect("accepted");
         assert!(matches!(answer.await, Ok(Answer::Failed)));
@@ -39,7 +39,7 @@
             .all(|attempt| attempt.deadline.end() <= end));
 
         let sent = backends.borrow().attempts.len();
-        let expired = unread_for(&driver, "expired", 1500.0);
+        let expired = unread_request(&driver, "expired", 1500.0);
         let submitted_at = driver.context.clock.now();
         let (_, answer) = driver.submit(expired).expect("accepted");
         assert!(matches!(answer.await, Ok(Answer::Failed)));
@@ -49,8 +49,8 @@
     });
 }
 
-/// Guards a graceful shutdown: requests in flight are answered inside its time as well as their own, those that come
-/// early in it end with it, and those that come late are told when to come back.
+/// Guards a graceful shutdown: pending requests are answered by their own deadlines and by the end of the shutdown.
+/// New requests early in the shutdown get the same limit; later ones are rejected with the time after which to retry.
 #[test]
 fn a_graceful_shutdown_caps_budgets_and_then_rejects_new_requests() {
     let backends = ScriptedBackends::scripted(&[ScriptedAttempt::HANGS, ScriptedAttempt::HANGS]);
@@ -73,7 +73,7 @@
         assert_eq!(
             backends.borrow().attempts.len(),
             2,
-            "a late request was forwarded"
+            "a request was forwarded although new ones are rejected"
         );
         for answer in [before, early] {
             assert!(matches!(answer.await, Ok(Answer::Failed)));
--- a/src/net/driver/tests/endpoints.rs
+++ b/src/net/driver/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint bookkeeping: ids, starts and addresses.
+//! The endpoint table: ids, starts and address conflicts.
 
 use super::fixture::{advance, endpoint, incoming, run, settings, start_driver, IDEMPOTENT};
 use super::scripted_backends::ScriptedBackends;
@@ -13,8 +13,8 @@
 use std::collections::HashSet;
 use tokio::time::Instant;
 
-/// Guards the subsets that gateways take of the endpoints: gateways agree on the order of ids only if each gives an
-/// endpoint the same one, also gateways of another release. The figures are those of FNV-1a, folded.
+/// Guards the subsets of endpoints that gateways use: gateways agree on the order of ids only if all of them, of any
+/// release, give an endpoint the same id. The expected values are folded FNV-1a hashes.
 #[test]
 fn an_endpoint_has_the_same_id_at_every_gateway() {
     assert_eq!(["", "a"].map(hash_name), [0x4fd0_bfc1, 0x2962_30c0]);
@@ -24,8 +24,8 @@
     assert_eq!(ids.len(), 1000);
 }
 
-/// Guards deadlines against the wall clock: it is read once, so a step of it later is not seen; an endpoint that reports a
-/// start in the future is warming up like any that has just started, and only for as long.
+/// Guards deadlines against steps of the wall clock, which is read only once. Guards slow start against clock skew: an
+/// endpoint that reports a start in the future is in slow start like one that has just started, and for as long.
 #[test]
 fn the_clock_ignores_steps_and_no_endpoint_starts_in_the_future() {
     run(async {
@@ -42,16 +42,16 @@
         assert!(first <= driver.context.clock.now());
         advance(5000.0).await;
         let again = effective_start(&driver, ahead);
-        assert_eq!(again, first, "reported again, it is no other start");
+        assert_eq!(again, first, "the same reported start is no new start");
         let later = effective_start(&driver, ahead + 1.0);
         assert!(
             later > first && later <= driver.context.clock.now(),
-            "a new start is a new one"
+            "another reported start is a new start"
         );
     });
 }
 
-/// The start that the policy is given for an endpoint that reports `started_at_ms`.
+/// The start that the policy gets for an endpoint that reports `started_at_ms`.
 fn effective_start(driver: &Driver, started_at_ms: Millis) -> Millis {
     let entry = driver
         .endpoints
@@ -60,8 +60,9 @@
     entry.started_at.expect("a start")
 }
 
-/// Guards requests against the wrong backend: where two are listed at one address, the one that started later is there,
-/// whichever is listed first, in one list or in two; the other gets nothing, though the list goes on calling it up.
+/// Guards requests against reaching the wrong backend: if two endpoints are listed at one address, the address belongs
+/// to the one that started later, whichever is listed first, in one list or in two. The other one gets no requests,
+/// even though the list still reports it as up.
 #[test]
 fn an_address_belongs_to_the_endpoint_that_started_last() {
     let old = endpoint("s-old", 9, 1000.0);
@@ -93,7 +94,7 @@
         .collect();
     assert_eq!(used, HashSet::from([hash_name("s-new")]));
 
-    // An endpoint that has moved leaves its address to the next one there.
+    // After an endpoint has moved to another address, its former address can belong to another endpoint.
     send_changes(&driver, 9, vec![endpoint("s-new", 10, 3000.0)]);
     send_changes(&driver, 10, vec![endpoint("s-late", 9, 2500.0)]);
     for name in ["s-new", "s-late"] {
@@ -111,8 +112,8 @@
     driver.endpoints_updated(&list, EndpointUpdate::Current);
 }
 
-/// Guards memory against endpoints whose clocks are ahead: what is kept of their starts is bounded by the list, however
-/// often it changes.
+/// Guards memory against endpoints whose clocks are ahead: the future incarnations that are kept are bounded by the
+/// number of listed endpoints, however often the list changes.
 #[test]
 fn starts_in_the_future_are_kept_for_listed_endpoints_only() {
     const CHANGES: u32 = 100_000;
@@ -130,7 +131,10 @@
             apply(number, Health::Up);
             if number >= LISTED {
                 let kept = apply(number - LISTED, Health::Removed);
-                assert!(kept <= LISTED as usize, "{kept} after {number}");
+                assert!(
+                    kept <= LISTED as usize,
+                    "{kept} future incarnations kept after endpoint {number}"
+                );
             }
         }
     });
--- a/src/net/driver/tests/fixture.rs
+++ b/src/net/driver/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! A driver over scripted backends, requests for it, and what tests ask of it.
+//! A driver over scripted backends, requests for it, and a count of the state that it retains.
 
 use super::scripted_backends::{scripted_executor, ScriptedBackends};
 use crate::net::control::config::{Config, Limits};
@@ -28,12 +28,12 @@
 /// The longest deadline that a class permits, in milliseconds.
 pub(super) const MAX_DEADLINE: Millis = 3000.0;
 
-/// The class of idempotent requests, by its place in the settings.
+/// The index in the settings of the class of idempotent requests.
 pub(super) const IDEMPOTENT: usize = 0;
-/// The class of non-idempotent requests, by its place in the settings.
+/// The index in the settings of the class of non-idempotent requests.
 pub(super) const NON_IDEMPOTENT: usize = 2;
 
-/// A client that stays connected until a test says otherwise.
+/// A client that is connected until a test sets `is_disconnected`.
 #[derive(Debug, Default)]
 struct ScriptedClient {
     is_disconnected: Cell<bool>,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Settings of two gateways with a class for each kind of idempotency.
+/// Settings for two gateways with one class for each kind of idempotency.
 pub(super) fn settings(hedging: bool) -> Settings {
     let class = |idempotency| Class {
         latency_objective: 1200.0,
@@ -103,7 +103,7 @@
     }
 }
 
-/// A driver with a list of `endpoints` endpoints, whose attempts go as `backends` says.
+/// Starts a driver with a list of `endpoints` endpoints, whose attempts go as scripted in `backends`.
 pub(super) fn start_driver(
     settings: Settings,
     seed: u64,
@@ -134,7 +134,7 @@
     driver
 }
 
-/// An endpoint on loopback that is up.
+/// An endpoint on the loopback interface that is up.
 pub(super) fn endpoint(name: &str, port: u16, started_at_ms: Millis) -> Endpoint {
     Endpoint {
         name: name.into(),
@@ -147,7 +147,7 @@
     }
 }
 
-/// A request that arrives now, whose client waits for `seconds`.
+/// A request of class `class` that arrives now and whose client waits for `seconds`.
 pub(super) fn incoming(driver: &Driver, id: &str, class: usize, seconds: f64) -> IncomingRequest {
     let now = driver.context.clock.now();
     let value = HeaderValue::from_static("x");
@@ -174,18 +174,18 @@
     }
 }
 
-/// What a driver still holds.
+/// The state that a driver retains.
 #[derive(Debug, PartialEq)]
 pub(super) struct Retained {
     /// Requests in the table.
     pub requests: usize,
-    /// Timers of requests and attempts that would do something.
+    /// Timers of requests and attempts, except stale ones at the head of the queue.
     pub timers: usize,
-    /// References to the driver, its own in tasks among them.
+    /// Strong references to the driver, including those held by tasks.
     pub references: usize,
 }
 
-/// Counts what a driver still holds.
+/// Counts the state that a driver retains.
 pub(super) fn retained(driver: &Rc<Driver>) -> Retained {
     let requests = driver.requests.borrow();
     let mut timers = driver.timers.borrow_mut();
@@ -197,7 +197,7 @@
     }
 }
 
-/// Runs a test on paused time.
+/// Runs a test with tokio's clock paused.
 pub(super) fn run<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -207,7 +207,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
-/// Lets so many milliseconds pass.
+/// Waits for `ms` milliseconds of the paused clock.
 pub(super) async fn advance(ms: Millis) {
     tokio::time::sleep(Duration::from_secs_f64(ms / 1000.0)).await;
 }
--- a/src/net/driver/tests/hedging.rs
+++ b/src/net/driver/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedged requests: their time, their end, and which requests get none.
+//! Hedged requests: their deadlines, how they end, and which requests are not hedged.
 
 use super::fixture::{
     advance, incoming, retained, run, settings, start_driver, IDEMPOTENT, NON_IDEMPOTENT,
@@ -9,18 +9,19 @@
 use crate::net::messages::Answer;
 use cometspool::{Millis, Outcome};
 
-/// How a first attempt and its hedged request end.
+/// How a first attempt and its hedged request go.
 struct HedgingCase {
-    /// How the hedged request ends, after 50 ms.
+    /// How the hedged request ends, 50 ms after it was sent.
     hedged_outcome: Outcome,
     /// How long the first attempt takes, in milliseconds.
     first_duration: Millis,
-    /// When the client is served, in milliseconds.
+    /// When the client is served after it has sent the request, in milliseconds.
     served_after: Millis,
 }
 
-/// Guards hedged requests: one has the deadline of the first attempt and no time of its own; if it fails, the first
-/// attempt goes on and its response is served, and if it is served, the first attempt is cancelled at once.
+/// Guards hedged requests: a hedged request has the same deadline as the first attempt. If the hedged request fails,
+/// the first attempt continues and its response is served. If the hedged request succeeds, the first attempt is
+/// cancelled at once.
 #[test]
 fn a_hedged_request_shares_the_deadline_and_its_failure_leaves_the_first_attempt_running() {
     run_hedging_case(HedgingCase {
@@ -36,7 +37,7 @@
 }
 
 fn run_hedging_case(case: HedgingCase) {
-    // Twenty good responses teach the policy what latency to expect; then an attempt hangs.
+    // Twenty successful responses let the policy learn the expected latency; the next attempt is a slow one.
     let mut script = vec![ScriptedAttempt::SUCCEEDS; 20];
     script.push(ScriptedAttempt {
         duration: case.first_duration,
@@ -79,9 +80,9 @@
     assert_eq!(
         hedged.deadline.end(),
         first.deadline.end(),
-        "the hedged request has a time of its own"
+        "the hedged request has another deadline than the first attempt"
     );
-    // The attempt that was not served ended with the answer, not with its deadline.
+    // The attempt whose response was not served ended at the latest with the answer, not at its deadline.
     let answered_at = began_at + latency + TIMER_GRANULARITY;
     assert!([first, hedged]
         .iter()
@@ -89,8 +90,8 @@
     assert_eq!(retained(&driver).requests, 0);
 }
 
-/// Guards non-idempotent requests against hedging, and all requests where the settings do not permit it: an attempt
-/// that hangs has all the time.
+/// Guards non-idempotent requests against hedging, and all requests if the settings do not permit hedging: while an
+/// attempt hangs, no second one is in flight.
 #[test]
 fn a_request_is_not_hedged_if_it_is_non_idempotent_or_hedging_is_off() {
     for (class, hedging) in [(NON_IDEMPOTENT, true), (IDEMPOTENT, false)] {
@@ -102,20 +103,20 @@
             let answer = answer.await.expect("an answer");
             assert!(!matches!(answer, Answer::Rejected(_)) || class == IDEMPOTENT);
             let attempts = &backends.borrow().attempts;
-            let with_time = attempts
+            let began_in_time = attempts
                 .iter()
                 .filter(|attempt| attempt.began_at < attempt.deadline.end())
                 .count();
             assert!(
                 attempts.len() == 1 || class == IDEMPOTENT,
-                "sent {with_time} times"
+                "a non-idempotent request was sent {began_in_time} times"
             );
             let overlap = attempts.windows(2).any(|pair| {
                 pair[0]
                     .ended_at
                     .is_none_or(|ended_at| ended_at > pair[1].began_at)
             });
-            assert!(!overlap, "two attempts at once");
+            assert!(!overlap, "two attempts in flight at once");
         });
     }
 }
--- a/src/net/driver/tests/schedules.rs
+++ b/src/net/driver/tests/schedules.rs
@@ -1,5 +1,5 @@
-//! The driver under random schedules of delays, failures, disconnecting clients and shutdowns. What must hold of each is
-//! in [`checks`].
+//! Property tests: the driver under random schedules of delays, failures, client disconnects and shutdowns. The
+//! invariants are in [`checks`].
 
 mod checks;
 
@@ -21,38 +21,38 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Requests in a schedule; their classes take turns.
+/// Requests in a schedule; the classes are assigned to them in rotation.
 const REQUESTS: usize = 120;
 /// Classes in the settings.
 const CLASSES: usize = 3;
 
 /// One request of a schedule.
 struct ScheduledRequest {
-    /// How long after the request before it this one arrives, in milliseconds.
+    /// The time between the arrival of the previous request and of this one, in milliseconds.
     pause: Millis,
-    /// How long its client waits, as it states in the request.
+    /// The timeout that the client states in the request, in seconds.
     seconds: f64,
-    /// After how many milliseconds its client disconnects, if it does.
+    /// How long after sending the request the client disconnects, in milliseconds; `None` if it stays connected.
     disconnects_after: Option<Millis>,
 }
 
-/// What one client got.
+/// The outcome of a request for its client.
 struct ClientRecord {
-    /// When the answer has to be there.
+    /// The latest time at which the answer may arrive, on the gateway's clock.
     deadline: Millis,
-    /// How its wait ended; `None` while it waits.
+    /// How the wait of the client ended; `None` while it waits.
     end: Option<ClientEnd>,
 }
 
 /// How a client's wait ended.
 enum ClientEnd {
-    /// With an answer at this time.
+    /// The answer arrived at this time, on the gateway's clock.
     Answered(Millis),
-    /// The client disconnected.
+    /// The client disconnected before an answer arrived.
     Disconnected,
 }
 
-/// In the order of the schedule, shared with the clients' tasks.
+/// The records of all clients in the order of the schedule, shared with the clients' tasks.
 type ClientRecords = Rc<RefCell<Vec<ClientRecord>>>;
 
 proptest! {
@@ -63,8 +63,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards every request's time: no final answer after it, no attempt beyond its part of it, never two at one backend
-    /// or a non-idempotent one twice, and nothing left behind, whatever fails, disconnects or shuts down.
+    /// Guards the time budget of requests under failures, disconnects and shutdowns: no final answer comes after the
+    /// request's deadline, and no attempt outlasts its own. A request never has two attempts at one backend at once, a
+    /// non-idempotent request never runs twice, and no request, timer or task is left behind.
     #[test]
     fn no_schedule_exceeds_a_request_budget(
         seed in any::<u64>(), hedging in any::<bool>(), endpoints in 1u32..6,
@@ -74,7 +75,8 @@
     }
 }
 
-/// Runs the schedule of `seed` and checks it; a graceful shutdown begins with the request numbered `shutdown_at`.
+/// Runs the schedule of `seed` and checks the invariants. If `shutdown_at` is given, a graceful shutdown begins just
+/// before the request with that index.
 async fn run_schedule(seed: u64, hedging: bool, endpoints: u32, shutdown_at: Option<u32>) {
     let schedule = generate(seed);
     let backends = ScriptedBackends::random(!seed);
@@ -90,11 +92,11 @@
         check_attempt(attempt, attempts, hedging);
     }
     check_non_idempotent_requests(attempts);
-    // A single backend that hangs soon gets nothing more.
+    // A single backend may hang early and then gets no further attempts.
     let expected = if endpoints > 1 { 10 } else { 0 };
     assert!(
         attempts.len() > expected,
-        "only {} attempts",
+        "only {} attempts were made",
         attempts.len()
     );
     let nothing = Retained {
@@ -105,11 +107,11 @@
     assert_eq!(
         retained(&driver),
         nothing,
-        "requests, timers or tasks stayed behind"
+        "the driver retains requests, timers or tasks"
     );
 }
 
-/// Draws the schedule of `seed`.
+/// Draws a random schedule from `seed`.
 fn generate(seed: u64) -> Vec<ScheduledRequest> {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut schedule = Vec::new();
@@ -127,12 +129,12 @@
     schedule
 }
 
-/// The id on the wire of a request of a schedule.
+/// The wire id of the request with this index in a schedule.
 fn wire_id(index: usize) -> String {
     format!("{}-{index}", index % CLASSES)
 }
 
-/// Sends the requests of a schedule, each from a client of its own.
+/// Sends the requests of a schedule, each from a separate client.
 async fn run_clients(
     driver: &Rc<Driver>,
     schedule: &[ScheduledRequest],
@@ -151,13 +153,13 @@
         }
         let class = index % CLASSES;
         let incoming = incoming(driver, &wire_id(index), class, request.seconds);
-        // A request that arrives after the end of the shutdown is rejected on the spot.
+        // A request that arrives after the end of the shutdown is rejected immediately.
         let deadline = incoming.budget.end().min(shutdown_end);
         clients.borrow_mut().push(ClientRecord {
             deadline: deadline.max(incoming.received_at),
             end: None,
         });
-        let (id, answer) = driver.submit(incoming).expect("an id of its own");
+        let (id, answer) = driver.submit(incoming).expect("a unique wire id");
         let client = run_client(driver.clone(), id, answer, request.disconnects_after);
         let clients = clients.clone();
         tokio::task::spawn_local(async move {
@@ -168,7 +170,7 @@
     clients
 }
 
-/// Waits for the answer to a request, until its client disconnects.
+/// Waits for the answer to a request, or disconnects after `disconnects_after` milliseconds.
 async fn run_client(
     driver: Rc<Driver>,
     id: RequestId,
@@ -184,7 +186,7 @@
     };
     match answer {
         Some(answer) => {
-            // The driver must use the sender: it must not drop it.
+            // An error would mean that the driver dropped the sender without sending an answer.
             answer.expect("an answer");
             ClientEnd::Answered(driver.context.clock.now())
         }
--- a/src/net/driver/tests/scripted_backends.rs
+++ b/src/net/driver/tests/scripted_backends.rs
@@ -1,4 +1,4 @@
-//! Backends that follow a script in place of sockets, and record what was sent to them.
+//! Backends that follow a script instead of using sockets, and record the attempts sent to them.
 
 use super::fixture::advance;
 use crate::net::driver::attempts::{AttemptExecutor, AttemptFuture};
@@ -13,19 +13,19 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// What becomes of an attempt.
+/// How a scripted attempt goes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ScriptedAttempt {
-    /// How long it takes, in milliseconds.
+    /// How long the attempt takes, in milliseconds.
     pub duration: Millis,
-    /// Whether it is fully written as soon as it begins; else it never is.
+    /// Whether the request is fully written as soon as the attempt begins; otherwise it never is.
     pub is_fully_written: bool,
-    /// How it ends.
+    /// How the attempt ends.
     pub outcome: Outcome,
 }
 
 impl ScriptedAttempt {
-    /// An attempt that outlasts any request.
+    /// An attempt that takes longer than any request may.
     pub(super) const HANGS: ScriptedAttempt = ScriptedAttempt {
         duration: 1e5,
         is_fully_written: true,
@@ -48,7 +48,7 @@
             3 => Outcome::Reset,
             _ => Outcome::Ok,
         };
-        // One in five hangs for longer than any request has.
+        // One in five takes longer than any request may.
         let duration = if draw(5) == 0 {
             ScriptedAttempt::HANGS.duration
         } else {
@@ -62,24 +62,24 @@
     }
 }
 
-/// One attempt as the script saw it.
+/// The record of one attempt.
 #[derive(Clone, Debug)]
 pub(super) struct RecordedAttempt {
-    /// The id of its request on the wire.
+    /// The wire id of the attempt's request.
     pub request: Rc<str>,
-    /// Where it went.
+    /// The backend that the attempt was sent to.
     pub backend: BackendId,
-    /// The time that it was given.
+    /// The deadline that the driver set for the attempt.
     pub deadline: AttemptDeadline,
-    /// When it began.
+    /// When the attempt began, on the gateway's clock.
     pub began_at: Millis,
-    /// When it ended, however it did.
+    /// When the attempt ended in any way, on the gateway's clock; `None` while it is in flight.
     pub ended_at: Option<Millis>,
-    /// Whether its end proves that it did not run.
+    /// Whether the way in which the attempt ended proves that the request did not run.
     pub never_ran: bool,
 }
 
-/// The script of attempts to come, and the record of those that have begun.
+/// The script of future attempts, and the record of those that have begun.
 #[derive(Default)]
 pub(super) struct ScriptedBackends {
     /// Attempts in the order in which they began.
@@ -89,7 +89,7 @@
 }
 
 impl ScriptedBackends {
-    /// Attempts go as scripted, in order; those beyond the script succeed.
+    /// Backends whose attempts go as scripted, in order; attempts beyond the end of the script succeed.
     pub(super) fn scripted(script: &[ScriptedAttempt]) -> Rc<RefCell<ScriptedBackends>> {
         Rc::new(RefCell::new(ScriptedBackends {
             script: script.iter().copied().collect(),
@@ -97,7 +97,7 @@
         }))
     }
 
-    /// Attempts go as drawn from `seed`.
+    /// Backends whose attempts are drawn at random from `seed`.
     pub(super) fn random(seed: u64) -> Rc<RefCell<ScriptedBackends>> {
         Rc::new(RefCell::new(ScriptedBackends {
             rng: Some(Pcg32::seed_from_u64(seed)),
@@ -116,11 +116,11 @@
     }
 }
 
-/// Records that an attempt's task is over, however it ends.
+/// Records when an attempt's task ends, whether it completes or is aborted.
 struct AttemptRecorder {
     backends: Rc<RefCell<ScriptedBackends>>,
     clock: Clock,
-    /// The attempt's place in the record.
+    /// The index of the attempt in the record.
     index: usize,
     handle: AttemptHandle,
 }
@@ -136,16 +136,17 @@
 impl AttemptRecorder {
     async fn run(self, scripted: ScriptedAttempt) -> AttemptResult {
         if scripted.is_fully_written {
-            self.handle.pretend_fully_written();
+            self.handle.mark_fully_written();
         }
         advance(scripted.duration).await;
-        let is_proof = matches!(scripted.outcome, Outcome::Rejected | Outcome::ConnectFailed);
-        self.backends.borrow_mut().attempts[self.index].never_ran |= is_proof;
+        let proves_never_ran =
+            matches!(scripted.outcome, Outcome::Rejected | Outcome::ConnectFailed);
+        self.backends.borrow_mut().attempts[self.index].never_ran |= proves_never_ran;
         AttemptResult::without_response(scripted.outcome)
     }
 }
 
-/// Carries out attempts as `backends` says, and records them there.
+/// Creates an executor that runs attempts as scripted in `backends` and records them there.
 pub(super) fn scripted_executor(
     backends: Rc<RefCell<ScriptedBackends>>,
     clock: Clock,
--- a/src/net/driver/timers.rs
+++ b/src/net/driver/timers.rs
@@ -1,7 +1,7 @@
-//! The timer queue, and the loop that fires what is due.
+//! The timer queue, and the loop that fires due timers.
 //!
-//! Bound: a timer of a request or an attempt is kept until its time, which its request's budget limits, and is
-//! dropped early once it is first and has nothing left to do. How many timers the policy has is up to the policy.
+//! Bound: the timer of a request or an attempt is kept until it is due, at most for the request's budget. It is dropped
+//! earlier if it is stale when it reaches the head of the queue. The policy bounds the number of its own timers.
 
 use super::request_table::RequestTable;
 use super::Driver;
@@ -11,24 +11,24 @@
 use std::collections::BinaryHeap;
 use std::rc::Rc;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum TimerKind {
-    /// The policy asked for it and alone knows its meaning: it always fires.
+    /// A timer that the policy has set. Only the policy knows its meaning, so it always fires.
     Policy(TimerId),
-    /// An attempt has taken all the time that it has.
+    /// The deadline of an attempt.
     AttemptTimeout {
-        /// Whose attempt.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Which attempt of the request, from 0.
+        /// The number of the attempt within its request, from 0.
         number: u32,
     },
-    /// The client of a request stops waiting.
+    /// The deadline of a request, when its client stops waiting.
     RequestDeadline(RequestId),
 }
 
 impl TimerKind {
-    /// Whether firing would do nothing: the attempt has ended, or nobody waits for the request.
+    /// Whether firing would do nothing: the attempt has ended, or the client no longer waits for the answer.
     fn is_stale(self, requests: &RequestTable) -> bool {
         match self {
             TimerKind::Policy(_) => false,
@@ -40,12 +40,12 @@
     }
 }
 
-/// A timer in the queue, ordered by time; of two for one time, the one set first comes first.
+/// A timer in the queue. Timers are ordered by due time, and timers with the same due time by when they were set.
 #[derive(Clone, Copy, Debug)]
 struct Timer {
-    /// When it is due, on the gateway's clock.
+    /// When the timer is due, on the gateway's clock.
     at: Millis,
-    /// Counts the timers in the order in which they were set.
+    /// The number of the timer in the order in which timers were set.
     sequence: u64,
     kind: TimerKind,
 }
@@ -72,17 +72,17 @@
 
 impl Eq for Timer {}
 
-/// What the head of the queue says at some time.
+/// The state of the head of the timer queue at a given time.
 enum NextTimer {
-    /// This timer is due, and has left the queue.
+    /// This timer is due; it has been removed from the queue.
     Due(Timer),
-    /// The first timer is due at this time, on the gateway's clock.
+    /// The earliest timer is due at this later time, on the gateway's clock.
     At(Millis),
     /// No timer is set.
     Empty,
 }
 
-/// The timers that are set, the earliest first.
+/// The pending timers, the earliest first.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     heap: BinaryHeap<Reverse<Timer>>,
@@ -99,8 +99,8 @@
         is_earliest
     }
 
-    /// Removes timers from the head that have nothing left to do, so that the loop does not wake for them. Most
-    /// requests finish long before their deadlines.
+    /// Removes stale timers from the head of the queue, so that the timer loop does not wake for them. There are many,
+    /// because most requests finish long before their deadlines.
     pub(super) fn remove_stale_timers(&mut self, requests: &RequestTable) {
         while let Some(Reverse(first)) = self.heap.peek() {
             if !first.kind.is_stale(requests) {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Takes the first timer that has something to do, if it is due at `now`.
+    /// Removes and returns the earliest timer that is not stale, if it is due at `now`.
     fn next(&mut self, now: Millis, requests: &RequestTable) -> NextTimer {
         self.remove_stale_timers(requests);
         match self.heap.peek().copied() {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Timers of requests and attempts, stale ones behind the head included.
+    /// The number of timers of requests and attempts, including stale ones behind the head of the queue.
     #[cfg(test)]
     pub(super) fn request_timer_count(&self) -> usize {
         self.heap
@@ -134,14 +134,16 @@
 }
 
 impl Driver {
-    /// Sets a timer for `at`, on the gateway's clock. A timer in the past fires in the next turn of the loop, not here.
+    /// Sets a timer for `at`, on the gateway's clock. A timer in the past fires in the next iteration of the timer
+    /// loop, not within this call.
     pub(super) fn set_timer(&self, at: Millis, kind: TimerKind) {
         if self.timers.borrow_mut().push(at, kind) {
-            self.earlier_timer.notify_one();
+            self.earliest_timer_changed.notify_one();
         }
     }
 
-    /// Fires timers when they are due, for as long as the gateway runs, and tells the stall monitor how late each was.
+    /// Fires timers when they are due, for as long as the gateway runs, and reports to the stall monitor when each was
+    /// due and when it fired.
     pub(crate) async fn run_timers(self: Rc<Self>) {
         loop {
             let now = self.context.clock.now();
@@ -153,27 +155,27 @@
                 }
                 NextTimer::At(at) => tokio::select! {
                     () = tokio::time::sleep_until(self.context.clock.instant_at(at)) => {}
-                    () = self.earlier_timer.notified() => {}
+                    () = self.earliest_timer_changed.notified() => {}
                 },
-                NextTimer::Empty => self.earlier_timer.notified().await,
+                NextTimer::Empty => self.earliest_timer_changed.notified().await,
             }
         }
     }
 
-    /// Does what a timer is for.
+    /// Performs the action of a timer that is due.
     fn fire(&self, now: Millis, kind: TimerKind) {
         match kind {
             TimerKind::Policy(timer) => self.post(now, Event::TimerFired(timer)),
             TimerKind::AttemptTimeout { request, number } => {
                 let result = AttemptResult::without_response(Outcome::Timeout);
-                self.settle(request, number, result);
+                self.complete_attempt(request, number, result);
             }
             TimerKind::RequestDeadline(id) => self.expire_request(now, id),
         }
     }
 
-    /// Fails a request whose deadline has passed. The policy answers before that; a request that it holds back must
-    /// not stay without an answer.
+    /// Fails a request whose deadline has passed. The policy normally answers earlier; this makes sure that a request
+    /// that the policy still holds gets an answer as well.
     fn expire_request(&self, now: Millis, id: RequestId) {
         let is_waiting = self.requests.borrow().is_waiting(id);
         if is_waiting {
--- a/src/net/upstream/pool_driver/attempt_handle.rs
+++ b/src/net/upstream/pool_driver/attempt_handle.rs
@@ -32,9 +32,9 @@
             .is_some_and(|socket| socket.is_fully_written())
     }
 
-    /// Makes the request count as fully written, for a stand-in that writes nothing.
+    /// Marks the request as fully written, for tests that run attempts without a socket.
     #[cfg(test)]
-    pub(crate) fn pretend_fully_written(&self) {
+    pub(crate) fn mark_fully_written(&self) {
         self.set_connection(&Rc::new(ConnectionSocket::fully_written()));
     }
 
