--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt of a request: its connection, the exchange on it, and what the way it ended says of
-//! the backend.
+//! One attempt of a request: it gets a connection, sends the request, reads the response, and derives
+//! the outcome that the policy uses to judge the backend.
 
 use crate::net::messages::{AttemptResult, UpstreamRequest};
 use crate::net::runtime::budget::AttemptDeadline;
@@ -14,31 +14,32 @@
 use hyper::Response;
 use std::rc::Rc;
 
-/// What attempts have in common.
+/// The resources that all attempts share.
 #[derive(Clone)]
 pub(crate) struct UpstreamTransport {
     /// The connections to backends.
     pub connections: Rc<UpstreamConnections>,
     /// Reads the responses of backends.
     pub response_reader: Rc<ResponseReader>,
-    /// The clock of this gateway.
+    /// This gateway's clock.
     pub clock: Clock,
 }
 
 /// How the exchange on one connection ended.
 enum Exchange {
-    /// With a complete response.
+    /// A complete response was received.
     Completed(AttemptResult),
-    /// Before the request had been fully written, as its permit was no longer valid.
+    /// The request was not fully written because its permit was no longer valid.
     NotPermitted,
-    /// The connection broke before the request had been fully written.
+    /// The connection broke before the request was fully written.
     BrokeBeforeSent,
-    /// The connection broke after that.
+    /// The connection broke after the request was fully written and before the response was
+    /// complete.
     BrokeAfterSent,
 }
 
-/// Carries out one attempt within its deadline and returns how it ended. The caller enforces the
-/// deadline, by dropping the future when it has passed.
+/// Runs one attempt and returns how it ended. The caller enforces the attempt's deadline by
+/// dropping the future when the deadline has passed.
 pub(crate) async fn attempt(
     transport: &UpstreamTransport,
     backend: BackendId,
@@ -58,7 +59,7 @@
     attempt.run(handle).await
 }
 
-/// One attempt, with what it has to keep to.
+/// One attempt with its parameters and limits.
 struct Attempt<'a> {
     transport: &'a UpstreamTransport,
     backend: BackendId,
@@ -69,13 +70,14 @@
 }
 
 impl Attempt<'_> {
-    /// Tries connections until one carries the request, or tells why none will.
+    /// Tries connections until one carries the request or no further connection can be had.
     async fn run(&self, handle: &AttemptHandle) -> AttemptResult {
         let mut broken_connections = 0;
         loop {
             let connection = match self.connect().await {
                 Ok(connection) => connection,
-                // That the backend refuses says more of it than the connections that broke before.
+                // The failed connect already counts against the backend, so the connections that
+                // broke before are not reported.
                 Err(Outcome::ConnectFailed) => return failed(Outcome::ConnectFailed, 0),
                 Err(outcome) => return failed(outcome, broken_connections),
             };
@@ -89,9 +91,9 @@
                     }
                 }
                 Exchange::NotPermitted => return failed(Outcome::NotSent, broken_connections),
-                // A pooled connection that broke before the request had been fully written says
-                // little of the backend, and nothing has been executed: the next connection takes
-                // over. Each turn takes one out of the pool, so this ends.
+                // A pooled connection that breaks before the request is fully written says little
+                // about the backend, and the request has not been executed: it is sent on the next
+                // connection. Each iteration removes a connection from the pool, so the loop ends.
                 Exchange::BrokeBeforeSent if is_reused => broken_connections += 1,
                 Exchange::BrokeBeforeSent => {
                     return failed(Outcome::ConnectFailed, broken_connections + 1)
@@ -101,7 +103,11 @@
         }
     }
 
-    /// A connection on which the request may be sent, or the outcome of the attempt without one.
+    /// Checks out a connection on which the request may be sent.
+    ///
+    /// # Errors
+    ///
+    /// The outcome of the attempt, if it gets no connection or may no longer be sent.
     async fn connect(&self) -> Result<CheckedOutConnection, Outcome> {
         let connections = &self.transport.connections;
         let now = self.transport.clock.now();
@@ -109,9 +115,9 @@
         let checkout = connections
             .checkout(self.backend, self.delivery, timeout)
             .await;
-        // During the wait the client may have disconnected, or the time in which the attempt may
-        // start may have ended. That is no fault of the backend, and the connection serves another
-        // attempt.
+        // During the wait the client may have disconnected, or the time before which the attempt
+        // must start may have passed. The backend is not at fault, and the connection returns to
+        // the pool.
         if !self.permit.is_valid() {
             if let Ok(connection) = checkout {
                 connection.release_unused();
@@ -119,7 +125,7 @@
             return Err(Outcome::NotSent);
         }
         let connection = checkout.map_err(CheckoutError::outcome)?;
-        // The backend may have been removed or drained during the wait, too.
+        // The backend may also have been removed or begun to drain during the wait.
         if connections.takes_new(self.backend) {
             Ok(connection)
         } else {
@@ -147,8 +153,8 @@
             Err(_) => None,
         };
         let is_fully_written = connection.socket.is_fully_written();
-        // A response to a request that the backend has not seen to its end is valid only as a
-        // rejection.
+        // A response that arrives before the request is fully written is valid only if it rejects
+        // the request.
         let Some(received) = received
             .filter(|received| is_fully_written || received.result.outcome == Outcome::Rejected)
         else {
@@ -158,8 +164,7 @@
                 Exchange::BrokeBeforeSent
             };
         };
-        // The first request on a new connection is rejected where the backend's connection table is
-        // full.
+        // A backend whose connection table is full rejects the first request on a new connection.
         if received.result.outcome == Outcome::Rejected && connection.idle_for.is_none() {
             connections.record_table_full(self.backend);
         }
@@ -169,7 +174,7 @@
         Exchange::Completed(received.result)
     }
 
-    /// Sends the request and waits for the head of the response.
+    /// Sends the request and waits for the status and the headers of the response.
     async fn send(
         &self,
         connection: &mut CheckedOutConnection,
@@ -183,7 +188,7 @@
     }
 }
 
-/// The result of an attempt without a response.
+/// The result of an attempt that got no response.
 fn failed(outcome: Outcome, broken_connections: u32) -> AttemptResult {
     AttemptResult {
         broken_connections,
--- a/src/net/upstream/attempt/tests.rs
+++ b/src/net/upstream/attempt/tests.rs
@@ -1,4 +1,4 @@
-//! Attempts against backends that a test scripts on loopback.
+//! Tests of attempts against scripted backends on the loopback interface.
 
 use super::*;
 use crate::net::messages::ClientConnection;
@@ -13,9 +13,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Longest time that a test may take.
+/// The longest time that a test may take.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// The backend of the tests.
+/// The backend that all tests use.
 const BACKEND: BackendId = BackendId(1);
 
 /// A deadline that no attempt of these tests reaches.
@@ -23,7 +23,7 @@
     let now = Clock::new().now();
     Budget::from_header("20", now, 20_000.0)
         .and_then(|budget| budget.attempt_deadline(now, None))
-        .expect("time")
+        .expect("a valid deadline")
 }
 
 fn transport() -> UpstreamTransport {
@@ -42,7 +42,7 @@
     }
 }
 
-/// A listener on loopback that is the address of [`BACKEND`].
+/// Opens a listener on the loopback interface and makes its address that of [`BACKEND`].
 async fn listen(transport: &UpstreamTransport) -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -50,7 +50,7 @@
     listener
 }
 
-/// An attempt at [`BACKEND`] with time enough.
+/// Runs an attempt at [`BACKEND`] with a generous deadline.
 async fn send(
     transport: &UpstreamTransport,
     request: &UpstreamRequest,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Is disconnected when that is checked for the second time.
+/// A client that is connected at the first check and disconnected at any later one.
 #[derive(Debug, Default)]
 struct DisconnectsAfterFirstCheck(Cell<bool>);
 
@@ -81,10 +81,10 @@
 }
 
 fn request() -> UpstreamRequest {
-    request_of(Rc::new(ConnectedClient))
+    request_from(Rc::new(ConnectedClient))
 }
 
-fn request_of(client: Rc<dyn ClientConnection>) -> UpstreamRequest {
+fn request_from(client: Rc<dyn ClientConnection>) -> UpstreamRequest {
     let value = HeaderValue::from_static("id-1");
     UpstreamRequest {
         client,
@@ -99,14 +99,14 @@
     }
 }
 
-/// Reads until what has been received ends with `suffix`: the end of the request, or all but its
+/// Reads until the received bytes end with `suffix`: the end of the request, or its end without the
 /// last byte.
 async fn receive(stream: &mut TcpStream, suffix: &[u8]) {
     let mut received = Vec::new();
     while !received.ends_with(suffix) {
         assert!(
             stream.read_buf(&mut received).await.expect("a request") > 0,
-            "ended"
+            "the connection ended before the request"
         );
     }
 }
@@ -121,7 +121,7 @@
     stream
         .write_all(response.as_bytes())
         .await
-        .expect("a reader");
+        .expect("the gateway reads the response");
 }
 
 /// Closes a connection with a reset.
@@ -131,7 +131,7 @@
         .expect("a socket");
 }
 
-/// Runs a test on one thread, within a time that only a fault uses up.
+/// Runs a test on one thread; panics if the test takes longer than [`TEST_TIMEOUT`].
 fn run<T>(test: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -141,12 +141,13 @@
     let limited = async { tokio::time::timeout(TEST_TIMEOUT, test).await };
     runtime
         .block_on(local.run_until(limited))
-        .expect("an end in time")
+        .expect("the test ends within its time limit")
 }
 
-/// Guards requests that must not run twice against connections that are dead without a sign of it,
-/// pooled or new: the reset answers the bytes before the last, so nothing has run. For a pooled one
-/// the next connection takes over within the attempt; a new one ends the attempt as never run.
+/// Guards non-idempotent requests against half-open connections: the reset arrives before the last
+/// byte of the request is written, so the request has not run. If the connection was a pooled one,
+/// the attempt continues on the next connection. If it was a new one, the attempt ends with
+/// `ConnectFailed`.
 #[test]
 fn a_request_reset_before_its_last_byte_has_not_run() {
     let results = run(async {
@@ -157,11 +158,11 @@
             respond(&mut pooled, "one").await;
             receive(&mut pooled, b"hell").await;
             reset(pooled);
-            let (mut new, _) = listener.accept().await.expect("a connection in its place");
+            let (mut new, _) = listener.accept().await.expect("a new connection");
             respond(&mut new, "two").await;
             receive(&mut new, b"hell").await;
             reset(new);
-            let (mut new, _) = listener.accept().await.expect("a connection in its place");
+            let (mut new, _) = listener.accept().await.expect("a new connection");
             receive(&mut new, b"hell").await;
             reset(new);
         });
@@ -172,7 +173,7 @@
         }
         backend
             .await
-            .expect("a backend that saw what it waited for");
+            .expect("the backend gets all expected connections and requests");
         results
     });
     let summaries: Vec<_> = results
@@ -195,11 +196,11 @@
     );
 }
 
-/// Guards requests that must not run twice against connections that only look alive: where pooled
-/// ones of some idle age have taken a request and broken, such a request gets a new connection,
-/// while others go on using the pooled ones.
+/// Guards non-idempotent requests against pooled connections that have died while idle: after
+/// connections of some idle age have broken on their next request, a request that must run at most
+/// once gets a new connection. Other requests still reuse pooled ones.
 #[test]
-fn a_run_once_request_avoids_connections_of_a_failing_idle_age() {
+fn an_at_most_once_request_avoids_connections_of_a_failing_idle_age() {
     let old = Duration::from_millis(300);
     run(async {
         let transport = transport();
@@ -232,12 +233,12 @@
         assert_eq!(send(DeliveryMode::Normal).await.body, "on a pooled one");
         backend
             .await
-            .expect("a backend that saw what it waited for");
+            .expect("the backend gets all expected connections and requests");
     });
 }
 
-/// Guards reuse: a request whose dial hangs takes the connection that another request releases
-/// first.
+/// Guards reuse: a request whose dial hangs takes a connection that another request releases
+/// meanwhile.
 #[test]
 fn a_request_whose_dial_hangs_takes_a_released_connection() {
     run(async {
@@ -258,7 +259,7 @@
         let first = start(&transport);
         let (mut stream, _) = listener.accept().await.expect("a connection");
         receive(&mut stream, b"hello").await;
-        // The backlog of the listener is full, so a further dial hangs.
+        // These fill the backlog of the listener, so that a further dial hangs.
         let _fillers = [
             TcpStream::connect(address).await,
             TcpStream::connect(address).await,
@@ -268,14 +269,18 @@
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none")
             .await
-            .expect("a reader");
-        assert_eq!(first.await.expect("an end").body, "one");
+            .expect("the gateway reads the response");
+        assert_eq!(first.await.expect("the request task completes").body, "one");
         respond(&mut stream, "two").await;
-        assert_eq!(second.await.expect("an end").body, "two");
+        assert_eq!(
+            second.await.expect("the request task completes").body,
+            "two"
+        );
     });
 }
 
-/// Guards dials against waste: one whose request has been cancelled comes up for the next request.
+/// Guards against wasted dials: the connection from a dial whose request was cancelled serves the
+/// next request.
 #[test]
 fn a_dial_whose_request_was_cancelled_is_kept() {
     run(async {
@@ -288,8 +293,8 @@
             _ = send() => panic!("a response without a backend"),
             () = std::future::ready(()) => {}
         }
-        let (mut stream, _) = listener.accept().await.expect("the dial");
-        // Until the pool knows of the connection, too.
+        let (mut stream, _) = listener.accept().await.expect("the dialed connection");
+        // Wait until the pool knows of the connection, too.
         while transport.connections.idle_connections(BACKEND) == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -298,8 +303,8 @@
     });
 }
 
-/// Guards against connections to what a backend was before: a new address or a restart closes the
-/// pooled ones, and the next request goes to where the backend is now.
+/// Guards against stale connections: when a backend moves to a new address or restarts, its pooled
+/// connections are closed, and the next request gets a new connection to the current address.
 #[test]
 fn a_backend_that_moves_or_restarts_gets_new_connections() {
     run(async {
@@ -326,15 +331,15 @@
                 assert_eq!(
                     old.read(&mut [0]).await.ok(),
                     Some(0),
-                    "a connection to what was there before"
+                    "the connection to the previous process or address is still open"
                 );
             }
         }
     });
 }
 
-/// Guards against a backend that closes each connection after its response: each request costs a
-/// dial, and none fails.
+/// Guards requests to a backend that closes each connection after its response: each request needs
+/// one dial, and none fails.
 #[test]
 fn a_backend_that_closes_after_each_response_costs_one_dial_each() {
     run(async {
@@ -351,7 +356,10 @@
                 receive(&mut stream, b"hello").await;
                 let response =
                     b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok";
-                stream.write_all(response).await.expect("a reader");
+                stream
+                    .write_all(response)
+                    .await
+                    .expect("the gateway reads the response");
             };
             let (result, ()) = tokio::join!(send(&transport, &request, delivery), backend);
             assert_eq!(
@@ -363,8 +371,9 @@
     });
 }
 
-/// Guards a full connection table: a rejected first request on a new connection lowers the limit of
-/// connections there, and says no more than that the backend is full.
+/// Guards backends whose connection table is full: a rejected first request on a new connection
+/// lowers the connection limit for the backend, and the attempt ends as rejected, not as a failure
+/// of the backend.
 #[test]
 fn a_rejected_first_request_on_a_new_connection_means_a_full_backend() {
     run(async {
@@ -376,7 +385,10 @@
             let (mut stream, _) = listener.accept().await.expect("a new connection");
             receive(&mut stream, b"hello").await;
             let response = b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
-            stream.write_all(response).await.expect("a reader");
+            stream
+                .write_all(response)
+                .await
+                .expect("the gateway reads the response");
         };
         let sent = send(&transport, &request, DeliveryMode::Normal);
         let (result, ()) = tokio::join!(sent, backend);
@@ -386,8 +398,8 @@
     });
 }
 
-/// Guards backends against requests whose client has gone: if the client disconnects while the last
-/// byte is held back, the byte is not written, and the backend is not blamed.
+/// Guards backends against requests of disconnected clients: if the client disconnects while the
+/// last byte is delayed, the byte is not written, and the backend is not blamed.
 #[test]
 fn the_last_byte_is_not_written_for_a_disconnected_client() {
     for delivery in [DeliveryMode::Once, DeliveryMode::Cautious] {
@@ -400,10 +412,10 @@
                 stream
                     .read_to_end(&mut received)
                     .await
-                    .expect("an end in order");
+                    .expect("the connection closes in order");
                 received
             };
-            let request = request_of(Rc::new(DisconnectsAfterFirstCheck::default()));
+            let request = request_from(Rc::new(DisconnectsAfterFirstCheck::default()));
             let (result, received) = tokio::join!(send(&transport, &request, delivery), backend);
             assert_eq!(
                 (result.outcome, result.broken_connections),
@@ -419,8 +431,8 @@
     }
 }
 
-/// Guards requests with an idempotency key: an attempt past its start deadline is not sent, and its
-/// connection serves the next one.
+/// Guards requests with an idempotency key: an attempt is not sent after the time before which it
+/// must start, and its connection serves the next attempt.
 #[test]
 fn an_attempt_past_its_start_deadline_releases_its_connection() {
     run(async {
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to backends and the attempts that they carry.
+//! Connections to backends, and the attempts that are sent over them.
 
 pub(super) mod attempt;
 pub(super) mod pool_driver;
--- a/src/net/upstream/pool_driver/attempt_handle.rs
+++ b/src/net/upstream/pool_driver/attempt_handle.rs
@@ -1,11 +1,11 @@
-//! The driver's handle on an attempt in flight.
+//! The handle by which the gateway's driver observes and cancels an attempt in flight.
 
 use super::socket::ConnectionSocket;
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::task::AbortHandle;
 
-/// A handle on an attempt in flight; its clones refer to the same attempt.
+/// A handle to an attempt in flight; clones refer to the same attempt.
 #[derive(Clone, Default)]
 pub(crate) struct AttemptHandle {
     socket: Rc<RefCell<Option<Rc<ConnectionSocket>>>>,
@@ -18,13 +18,12 @@
         *self.socket.borrow_mut() = Some(socket.clone());
     }
 
-    /// Sets the task that carries out the attempt.
+    /// Sets the task that runs the attempt.
     pub(crate) fn set_task(&self, task: AbortHandle) {
         *self.task.borrow_mut() = Some(task);
     }
 
-    /// Whether all of the request has been written: before that, the backend cannot have executed
-    /// it.
+    /// Whether the whole request has been written; before that, the backend cannot have executed it.
     pub(crate) fn is_fully_written(&self) -> bool {
         self.socket
             .borrow()
@@ -38,7 +37,7 @@
         self.set_connection(&Rc::new(ConnectionSocket::fully_written()));
     }
 
-    /// Abandons the attempt: its connection has been closed when this returns.
+    /// Abandons the attempt: closes its connection before returning, and aborts its task.
     pub(crate) fn abandon(&self) {
         if let Some(socket) = self.socket.borrow_mut().take() {
             socket.close();
--- a/src/net/upstream/pool_driver/checkout.rs
+++ b/src/net/upstream/pool_driver/checkout.rs
@@ -1,4 +1,5 @@
-//! How an attempt gets a connection to a backend, and how the connection returns to the pool.
+//! Checkout of connections: how an attempt gets a connection to a backend, and how the connection
+//! returns to the pool.
 
 use super::connection::Connection;
 use super::pool_state::{PoolState, WaitResult};
@@ -9,33 +10,33 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Why an attempt gets no connection.
+/// Why an attempt gets no connection to its backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum CheckoutError {
-    /// The backend was removed or drains.
-    #[error("the backend takes no new requests")]
+    /// The backend was removed or is draining.
+    #[error("backend is removed or draining")]
     EndpointUnavailable,
     /// This gateway holds as many connections as it may, and none of them is idle.
-    #[error("this gateway has no room for a further connection")]
+    #[error("connection limit of this gateway reached, and no connection is idle")]
     Exhausted,
     /// The pool ended the wait without a connection.
-    #[error("the wait for a connection failed")]
+    #[error("the pool could not provide a connection")]
     Pool(#[from] PoolError),
-    /// A dial to the backend was still in flight when the time for the wait was over.
-    #[error("no connection was made in time")]
+    /// A dial to the backend was still in flight when the checkout timed out.
+    #[error("checkout timed out while a dial was in flight")]
     DialTimeout,
-    /// No dial was in flight when the time for the wait was over, and no connection had been
+    /// No dial to the backend was in flight when the checkout timed out, and no connection had been
     /// released.
-    #[error("no connection was released in time")]
+    #[error("checkout timed out: no connection was released")]
     WaitTimeout,
-    /// The pool went away.
-    #[error("the pool has ended")]
+    /// The pool was dropped during the wait.
+    #[error("the pool was closed")]
     PoolClosed,
 }
 
 impl CheckoutError {
-    /// How the attempt ends that gets no connection: whether the fault is the backend's, or it is
-    /// full, or neither.
+    /// The outcome of the attempt that gets no connection: `ConnectFailed` if the backend is at
+    /// fault, `Rejected` if the backend accepts no further connection, and `NotSent` otherwise.
     pub(crate) fn outcome(self) -> Outcome {
         match self {
             CheckoutError::Pool(PoolError::Unreachable) | CheckoutError::DialTimeout => {
@@ -52,17 +53,17 @@
     }
 }
 
-/// Takes a connection to a backend: a pooled one, the first that is released, or a new one,
-/// whichever comes first, within `timeout` milliseconds in all. For a request that must run only
-/// once, none of an idle age at which connections have broken of late.
+/// Checks out a connection to a backend within `timeout` milliseconds: an idle one, or else the
+/// first that another attempt releases or that a dial establishes. If the request must run at most
+/// once, no idle connection is reused at an idle age at which connections have broken recently.
 ///
 /// # Errors
 ///
-/// If there is no connection in time, or none can be had; see [`CheckoutError`].
+/// If no connection is available in time or at all; see [`CheckoutError`].
 pub(super) async fn checkout(
     state: &Rc<PoolState>,
     backend: BackendId,
-    run_once: bool,
+    at_most_once: bool,
     timeout: Millis,
 ) -> Result<CheckedOutConnection, CheckoutError> {
     let deadline = state.clock.now() + timeout;
@@ -72,8 +73,8 @@
         }
         let waiter = Waiter::register(state, backend);
         let id = waiter.id;
-        let checkout =
-            state.report(|pool, now, actions| pool.checkout(now, backend, id, run_once, actions));
+        let checkout = state
+            .update(|pool, now, actions| pool.checkout(now, backend, id, at_most_once, actions));
         let candidate = match checkout {
             Checkout::Reused { connection, .. } => {
                 CheckedOutConnection::take(state, backend, connection)
@@ -86,29 +87,29 @@
             }
         };
         if let Some(connection) = candidate {
-            if let Some(settled) = settle(connection).await {
+            if let Some(settled) = wait_until_settled(connection).await {
                 return Ok(settled);
             }
         }
     }
 }
 
-/// Waits for the rest of [`SETTLE_TIME`] since the last response of a connection, also where the
-/// connection comes straight from another attempt: whatever a backend sends after a response would
-/// be taken for the next response. `None` if the connection has ended, or holds something to be
-/// read.
-async fn settle(connection: CheckedOutConnection) -> Option<CheckedOutConnection> {
+/// Waits until [`SETTLE_TIME`] has passed since the last response on a connection, even if the
+/// connection comes directly from another attempt. Otherwise bytes that the backend sends after a
+/// response could be taken for the next response. `None` if the connection has closed or has input
+/// to be read.
+async fn wait_until_settled(connection: CheckedOutConnection) -> Option<CheckedOutConnection> {
     if let Some(last_response_at) = connection.last_response_at {
-        let rest = last_response_at + SETTLE_TIME - connection.state.clock.now();
-        if rest > 0.0 {
-            tokio::time::sleep(Duration::from_secs_f64(rest / 1000.0)).await;
+        let remaining = last_response_at + SETTLE_TIME - connection.state.clock.now();
+        if remaining > 0.0 {
+            tokio::time::sleep(Duration::from_secs_f64(remaining / 1000.0)).await;
         }
     }
     connection.is_reusable().then_some(connection)
 }
 
-/// An attempt that waits for a connection. Dropped, it leaves the queue, and a connection that it
-/// has been assigned but has not taken returns to the pool.
+/// An attempt that waits for a connection. On drop it leaves the pool's queue, and a connection that
+/// was assigned to it but not taken returns to the pool.
 struct Waiter<'a> {
     state: &'a Rc<PoolState>,
     backend: BackendId,
@@ -117,9 +118,9 @@
 }
 
 impl<'a> Waiter<'a> {
-    /// A waiter that can be assigned a connection from now on.
+    /// Creates a waiter to which a connection can be assigned from now on.
     fn register(state: &'a Rc<PoolState>, backend: BackendId) -> Waiter<'a> {
-        let id = WaiterId(state.next_number());
+        let id = WaiterId(state.next_id());
         let (sender, receiver) = oneshot::channel();
         state.waiters.borrow_mut().insert(id, sender);
         Waiter {
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Waits for the connection; `Ok(None)` if the one that was assigned has ended meanwhile.
+    /// Waits for a connection; `Ok(None)` if the assigned connection has closed meanwhile.
     async fn wait(
         mut self,
         timeout: Duration,
@@ -157,30 +158,31 @@
         let id = self.id;
         if self.state.waiters.borrow_mut().remove(&id).is_some() {
             self.state
-                .report(|pool, now, _| pool.cancel_wait(now, backend, id));
+                .update(|pool, now, _| pool.cancel_wait(now, backend, id));
         }
         self.receiver.close();
         if let Ok(Ok(connection)) = self.receiver.try_recv() {
             self.state
-                .report(|pool, now, actions| pool.release(now, backend, connection, actions));
+                .update(|pool, now, actions| pool.release(now, backend, connection, actions));
         }
     }
 }
 
-/// A connection in use by an attempt. Dropped before it is released, it is closed at once and
-/// reported to the pool.
+/// A connection that is checked out by an attempt. If it is dropped without being released, it is
+/// closed at once and the pool is told.
 pub(crate) struct CheckedOutConnection {
     state: Rc<PoolState>,
     backend: BackendId,
     id: ConnectionId,
-    /// How long it had been idle since its last response, in milliseconds; `None` if it is new.
+    /// How long the connection had been idle since its last response, in milliseconds; `None` if it
+    /// is new.
     pub idle_for: Option<Millis>,
-    /// Taken only when the whole is released or dropped.
+    /// `None` only after the checked-out connection has been released or dropped.
     connection: Option<Connection>,
 }
 
 impl CheckedOutConnection {
-    /// Takes a connection that the pool has checked out; `None` if it is gone.
+    /// Takes a connection that the pool has checked out; `None` if the connection no longer exists.
     fn take(
         state: &Rc<PoolState>,
         backend: BackendId,
@@ -189,7 +191,7 @@
         let connection = state.take_idle(backend, id)?;
         let idle_for = connection
             .last_response_at
-            .map(|ended_at| state.clock.now() - ended_at);
+            .map(|last_response_at| state.clock.now() - last_response_at);
         Some(CheckedOutConnection {
             state: state.clone(),
             backend,
@@ -199,22 +201,25 @@
         })
     }
 
-    /// Returns the connection to the pool after a request that it has carried to the end.
+    /// Returns the connection to the pool after a complete exchange.
     pub(crate) fn release(mut self) {
         let now = self.state.clock.now();
         self.last_response_at = Some(now);
         self.return_to_pool(0.0);
     }
 
-    /// Returns the connection to the pool without a request on it, as idle as it was.
+    /// Returns the connection to the pool without having sent a request on it; it keeps its idle
+    /// age.
     pub(crate) fn release_unused(self) {
         let now = self.state.clock.now();
-        let idle_for = self.last_response_at.map_or(0.0, |ended_at| now - ended_at);
+        let idle_for = self
+            .last_response_at
+            .map_or(0.0, |last_response_at| now - last_response_at);
         self.return_to_pool(idle_for);
     }
 
-    /// Returns the connection to the pool, unless it has ended or leads to what its backend was
-    /// before.
+    /// Returns the connection to the pool, unless it has closed or its backend takes no new requests
+    /// at its address. In these cases the connection is dropped.
     fn return_to_pool(mut self, idle_for: Millis) {
         let current_address = self.state.address_of(self.backend);
         if current_address != Some(self.address) || self.sender.is_closed() {
@@ -226,7 +231,7 @@
         let backend = self.backend;
         let id = self.id;
         self.state.idle.borrow_mut().insert(id, connection);
-        self.state.report(|pool, now, actions| {
+        self.state.update(|pool, now, actions| {
             pool.release_unused(now, backend, id, idle_for, actions);
         });
     }
@@ -238,7 +243,7 @@
     fn deref(&self) -> &Connection {
         self.connection
             .as_ref()
-            .expect("a connection is taken out only when its owner is consumed")
+            .expect("the connection is taken only when its owner is consumed")
     }
 }
 
@@ -246,7 +251,7 @@
     fn deref_mut(&mut self) -> &mut Connection {
         self.connection
             .as_mut()
-            .expect("a connection is taken out only when its owner is consumed")
+            .expect("the connection is taken only when its owner is consumed")
     }
 }
 
@@ -255,7 +260,7 @@
         let backend = self.backend;
         if self.connection.take().is_some() {
             self.state
-                .report(|pool, now, actions| pool.connection_closed(now, backend, actions));
+                .update(|pool, now, actions| pool.connection_closed(now, backend, actions));
         }
     }
 }
--- a/src/net/upstream/pool_driver/connection.rs
+++ b/src/net/upstream/pool_driver/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP connection to a backend, and how it is dialed.
+//! One HTTP/1.1 connection to a backend, and the errors of dials.
 
 use super::socket::{ConnectionSocket, SocketIo};
 use crate::net::runtime::capacity::CONNECTION_BUFFER_BYTES;
@@ -14,26 +14,26 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// A connection to a backend; dropped, it is closed at once.
+/// A connection to a backend; closed at once on drop.
 pub(crate) struct Connection {
-    /// Takes the next request.
+    /// Sends the next request.
     pub sender: SendRequest<Full<Bytes>>,
-    /// The socket below the HTTP library.
+    /// The socket that the HTTP library uses.
     pub socket: Rc<ConnectionSocket>,
     task: AbortHandle,
-    /// The address to which it was dialed.
+    /// The address that was dialed.
     pub(super) address: SocketAddr,
-    /// When its last response had been received to the end; `None` while it has carried none.
+    /// When the last response was complete, on the gateway's clock; `None` before the first.
     pub(super) last_response_at: Option<Millis>,
 }
 
 impl Connection {
-    /// Starts HTTP/1.1 on a stream to `address`, with a task of its own for as long as the
-    /// connection lasts.
+    /// Starts HTTP/1.1 on a stream to `address`, and spawns a task that drives the connection until
+    /// it ends.
     ///
     /// # Errors
     ///
-    /// If the options of the socket cannot be set, or the HTTP library does not start.
+    /// If the socket options cannot be set or the HTTP library cannot start.
     pub(super) async fn start(
         stream: TcpStream,
         address: SocketAddr,
@@ -46,7 +46,7 @@
             .await?;
         let closed_socket = socket.clone();
         let task = tokio::task::spawn_local(async move {
-            // An attempt on the connection learns from its sender how the connection ended.
+            // An error reaches the attempt on the connection through its sender.
             let _ = connection.await;
             closed_socket.close();
         });
@@ -59,11 +59,11 @@
         })
     }
 
-    /// Whether another request may be sent: the connection is open, and nothing has followed its
-    /// last response.
+    /// Whether another request may be sent: the connection is open, and no bytes have arrived after
+    /// its last response.
     pub(super) fn is_reusable(&self) -> bool {
         let is_new = self.last_response_at.is_none();
-        !self.sender.is_closed() && (is_new || self.socket.is_open_and_silent())
+        !self.sender.is_closed() && (is_new || self.socket.is_open_without_input())
     }
 }
 
@@ -78,21 +78,21 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DialError {
     /// The backend was removed or began to drain before the dial started.
-    #[error("the backend takes no new requests")]
+    #[error("backend is removed or draining")]
     EndpointUnavailable,
-    /// The backend did not answer within the dial timeout.
-    #[error("no connection within the dial timeout")]
+    /// No connection was established within the dial timeout.
+    #[error("connection not established within the dial timeout")]
     Timeout,
     /// The connection could not be opened.
-    #[error("the connection could not be opened")]
+    #[error("connection could not be opened")]
     Io(#[from] io::Error),
-    /// The HTTP library did not start on the connection.
-    #[error("HTTP did not start on the connection")]
+    /// The HTTP library could not start on the connection.
+    #[error("HTTP could not be started on the connection")]
     Http(#[from] hyper::Error),
 }
 
 impl DialError {
-    /// Which side made the dial fail.
+    /// Which side caused the failure of the dial.
     pub(super) fn failure(&self) -> DialFailure {
         match self {
             DialError::EndpointUnavailable => DialFailure::Local,
@@ -102,8 +102,8 @@
     }
 }
 
-/// Which side an error of a socket tells of. What is not known to come from the backend or the
-/// network, such as a lack of file descriptors, is this gateway's own.
+/// Which side caused a socket error. An error that is not known to come from the backend or the
+/// network, such as a lack of file descriptors, is attributed to this gateway.
 fn failure_of(kind: io::ErrorKind) -> DialFailure {
     use io::ErrorKind::{
         BrokenPipe, ConnectionAborted, ConnectionRefused, ConnectionReset, HostUnreachable,
--- a/src/net/upstream/pool_driver/pool_state.rs
+++ b/src/net/upstream/pool_driver/pool_state.rs
@@ -1,5 +1,5 @@
-//! What dials, waiting attempts and connections in use share: the pure pool, the connections that
-//! it numbers, and the actions that it asks for.
+//! The state that dials, waiting attempts and checked-out connections share: the pool state machine,
+//! the connections and waiters behind its ids, and the execution of its actions.
 
 use super::connection::{Connection, DialError};
 use crate::net::runtime::clock::Clock;
@@ -16,46 +16,47 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The known round trip grows by this factor with each dial, so that a longer one is learned within
-/// some tens of dials.
+/// The factor by which the estimated round-trip time grows with each dial, so that an increase is
+/// learned within some tens of dials.
 const ROUND_TRIP_GROWTH: f64 = 1.05;
 
-/// The pure pool over backends.
+/// The pool state machine for the gateway's backends.
 type Pool = ConnectionPool<BackendId>;
 
-/// What ends a wait for a connection.
+/// The result of waiting for a connection.
 pub(super) type WaitResult = Result<ConnectionId, PoolError>;
 
-/// Where a backend is, and whether it takes new requests.
+/// A backend: its address, its process, and whether it takes new requests.
 #[derive(Clone, Copy)]
 pub(super) struct Endpoint {
     pub(super) address: SocketAddr,
-    /// When its process started, as it was last reported; 0 for long ago.
+    /// When the backend's process started, as last reported, in Unix milliseconds; 0 if it started
+    /// long ago.
     pub(super) started_at: Millis,
     pub(super) takes_new: bool,
 }
 
 impl Endpoint {
-    /// Whether connections to `other` lead to the same process as those to this one.
+    /// Whether this and `other` are the same process at the same address.
     pub(super) fn is_same_process(&self, other: &Endpoint) -> bool {
         self.address == other.address && self.started_at == other.started_at
     }
 }
 
-/// The pure pool together with the sockets, tasks and waiters of its numbers.
+/// The pool state machine together with the connections and waiters behind its ids.
 pub(super) struct PoolState {
     pub(super) clock: Clock,
     pub(super) pool: RefCell<Pool>,
     /// The connections that are not checked out.
     pub(super) idle: RefCell<HashMap<ConnectionId, Connection>>,
-    /// The attempts that wait for a connection, by where they learn how the wait ends.
+    /// For each attempt that waits for a connection, the channel for the result of the wait.
     pub(super) waiters: RefCell<HashMap<WaiterId, oneshot::Sender<WaitResult>>>,
     pub(super) endpoints: RefCell<HashMap<BackendId, Endpoint>>,
     pub(super) dial_timeout: Duration,
-    /// The last number of a connection or a waiter.
-    last_number: Cell<u64>,
-    /// The round trip to a backend: the least that dials have taken of late. `None` before the
-    /// first.
+    /// The id that was assigned last to a connection or a waiter.
+    last_id: Cell<u64>,
+    /// The estimated round-trip time to a backend, in milliseconds: about the shortest recent dial.
+    /// `None` before the first dial.
     round_trip: Cell<Option<Millis>>,
 }
 
@@ -73,18 +74,18 @@
             waiters: RefCell::default(),
             endpoints: RefCell::default(),
             dial_timeout,
-            last_number: Cell::new(0),
+            last_id: Cell::new(0),
             round_trip: Cell::default(),
         }
     }
 
-    /// A number that no connection and no waiter has had.
-    pub(super) fn next_number(&self) -> u64 {
-        self.last_number.set(self.last_number.get() + 1);
-        self.last_number.get()
+    /// Returns an id that no connection and no waiter has had.
+    pub(super) fn next_id(&self) -> u64 {
+        self.last_id.set(self.last_id.get() + 1);
+        self.last_id.get()
     }
 
-    /// The address of a backend, if it takes new requests.
+    /// The address of a backend; `None` if it takes no new requests.
     pub(super) fn address_of(&self, backend: BackendId) -> Option<SocketAddr> {
         self.endpoints
             .borrow()
@@ -93,20 +94,20 @@
             .map(|endpoint| endpoint.address)
     }
 
-    /// Reports an event to the pool and carries out the actions that come of it.
-    pub(super) fn report<T>(
+    /// Calls `update` with the pool and the current time, and executes the actions that it appends.
+    pub(super) fn update<T>(
         self: &Rc<Self>,
-        event: impl FnOnce(&mut Pool, Millis, &mut Vec<PoolAction<BackendId>>) -> T,
+        update: impl FnOnce(&mut Pool, Millis, &mut Vec<PoolAction<BackendId>>) -> T,
     ) -> T {
         let mut actions = Vec::new();
-        let result = event(&mut self.pool.borrow_mut(), self.clock.now(), &mut actions);
+        let result = update(&mut self.pool.borrow_mut(), self.clock.now(), &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute_action(action);
         }
         result
     }
 
-    fn carry_out(self: &Rc<Self>, action: PoolAction<BackendId>) {
+    fn execute_action(self: &Rc<Self>, action: PoolAction<BackendId>) {
         match action {
             PoolAction::Dial(backend, dial) => self.start_dial(backend, dial),
             PoolAction::Assign(waiter, connection) => self.end_wait(waiter, Ok(connection)),
@@ -117,8 +118,8 @@
     }
 
     fn end_wait(&self, waiter: WaiterId, result: WaitResult) {
-        // A waiter that has been dropped is gone from here, and has told the pool. If it is dropped
-        // after this, it returns the connection itself.
+        // A waiter that was dropped earlier has removed itself from this map and from the pool. If
+        // it is dropped after the send, it returns the connection itself.
         if let Some(sender) = self.waiters.borrow_mut().remove(&waiter) {
             let _ = sender.send(result);
         }
@@ -129,11 +130,11 @@
         let at = self.clock.instant_at(at);
         tokio::task::spawn_local(async move {
             tokio::time::sleep_until(at).await;
-            state.report(|pool, now, actions| pool.wake(now, backend, actions));
+            state.update(|pool, now, actions| pool.wake(now, backend, actions));
         });
     }
 
-    /// Takes a connection that the pool has checked out; `None` if it is gone.
+    /// Takes a connection that the pool has checked out; `None` if the connection no longer exists.
     pub(super) fn take_idle(
         self: &Rc<Self>,
         backend: BackendId,
@@ -141,28 +142,28 @@
     ) -> Option<Connection> {
         let connection = self.idle.borrow_mut().remove(&id);
         if connection.is_none() {
-            // The pool counts it as busy.
-            self.report(|pool, now, actions| pool.connection_closed(now, backend, actions));
+            // The pool still counts the connection as busy.
+            self.update(|pool, now, actions| pool.connection_closed(now, backend, actions));
         }
         connection
     }
 
-    /// Dials a backend in a task of its own. The result is the pool's, also if the attempt that it
-    /// was for has ended.
+    /// Dials a backend in a task of its own. The connection goes to the pool, even if the attempt
+    /// that caused the dial has ended by then.
     fn start_dial(self: &Rc<Self>, backend: BackendId, dial: DialId) {
         let state = self.clone();
         tokio::task::spawn_local(async move {
             match state.dial(backend).await {
                 Ok(connection) => {
-                    let id = ConnectionId(state.next_number());
+                    let id = ConnectionId(state.next_id());
                     state.idle.borrow_mut().insert(id, connection);
-                    state.report(|pool, now, actions| {
+                    state.update(|pool, now, actions| {
                         pool.dial_succeeded(now, backend, dial, id, actions);
                     });
                 }
                 Err(error) => {
                     let failure = error.failure();
-                    state.report(|pool, now, actions| {
+                    state.update(|pool, now, actions| {
                         pool.dial_failed(now, backend, dial, failure, actions);
                     });
                 }
@@ -187,8 +188,8 @@
         Connection::start(stream, address).await
     }
 
-    /// Records how long a dial took: a round trip and whatever delayed it, so the least of late is
-    /// the best estimate.
+    /// Updates the estimated round-trip time with the duration of a dial. A dial takes one round
+    /// trip plus any delays, so the shortest recent dial is the best estimate.
     fn record_round_trip(&self, elapsed: Duration) {
         let measured = elapsed.as_secs_f64() * 1000.0;
         let round_trip = self
@@ -198,7 +199,7 @@
         self.round_trip.set(Some(round_trip));
     }
 
-    /// How long a response takes to arrive, in milliseconds; 0 before the first dial.
+    /// The estimated one-way network delay of a response, in milliseconds; 0 before the first dial.
     pub(super) fn one_way_delay(&self) -> Millis {
         self.round_trip.get().unwrap_or(0.0) / 2.0
     }
--- a/src/net/upstream/pool_driver/request_progress.rs
+++ b/src/net/upstream/pool_driver/request_progress.rs
@@ -1,4 +1,5 @@
-//! How much of a request has been written to a socket, as seen below the HTTP library.
+//! Tracks how much of a request has been written to a socket, from the bytes that the HTTP library
+//! writes.
 
 /// The empty line that ends the head of a request.
 const HEAD_TERMINATOR: &[u8] = b"\r\n\r\n";
@@ -6,17 +7,16 @@
 /// How far the request on a connection has been written.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RequestProgress {
-    /// Whether any of it has been written.
+    /// Whether any byte of the request has been written.
     has_started: bool,
-    /// Bytes of [`HEAD_TERMINATOR`] that end what has been written of the head.
+    /// How many leading bytes of [`HEAD_TERMINATOR`] the written part of the head ends with.
     terminator_matched: usize,
     head_complete: bool,
     body_remaining: usize,
 }
 
 impl RequestProgress {
-    /// The progress of a request with a body of `body_len` bytes, of which nothing has been
-    /// written.
+    /// The progress of a request with a body of `body_len` bytes before any byte is written.
     pub(super) fn new(body_len: usize) -> RequestProgress {
         RequestProgress {
             body_remaining: body_len,
@@ -24,8 +24,7 @@
         }
     }
 
-    /// The progress of a request that has been written to its end, for a stand-in that writes
-    /// nothing.
+    /// The progress of a fully written request, for tests that run attempts without a socket.
     #[cfg(test)]
     pub(super) fn complete() -> RequestProgress {
         RequestProgress {
@@ -34,7 +33,7 @@
         }
     }
 
-    /// Records the next bytes that have been written.
+    /// Records that these bytes, the next of the request, have been written.
     pub(super) fn record(&mut self, bytes: &[u8]) {
         self.has_started |= !bytes.is_empty();
         for (index, byte) in bytes.iter().enumerate() {
@@ -54,17 +53,17 @@
         }
     }
 
-    /// Whether any of the request has been written.
+    /// Whether any byte of the request has been written.
     pub(super) fn has_started(&self) -> bool {
         self.has_started
     }
 
-    /// Whether all of the request has been written.
+    /// Whether the whole request has been written.
     pub(super) fn is_complete(&self) -> bool {
         self.head_complete && self.body_remaining == 0
     }
 
-    /// Whether these bytes, written next, would complete the request.
+    /// Whether writing these bytes next would complete the request.
     pub(super) fn would_complete(&self, bytes: &[u8]) -> bool {
         let mut progress = self.clone();
         progress.record(bytes);
--- a/src/net/upstream/pool_driver/socket.rs
+++ b/src/net/upstream/pool_driver/socket.rs
@@ -1,5 +1,5 @@
-//! A socket below the HTTP library, which knows how much of a request has been written and may hold
-//! back its last byte.
+//! A wrapper around the socket that the HTTP library uses. It tracks how much of a request has been
+//! written and can delay the last byte of a request.
 
 use super::request_progress::RequestProgress;
 use crate::net::upstream::send_permit::SendPermit;
@@ -16,22 +16,22 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-/// For how long a cautious request has its last byte held back: within one data center a reset
-/// arrives within this time. Where the round trip is longer, caution detects less and costs no
-/// more.
+/// How long the last byte of a cautious request is delayed. Within one data center, a reset arrives
+/// within this time. With longer round trips, the delay detects fewer dead connections, but does
+/// not grow.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
 
 /// A socket that tracks the request written to it and can be closed at once from outside the HTTP
 /// library.
 pub(crate) struct ConnectionSocket {
-    /// `None` once it has been closed.
+    /// `None` once the socket has been closed.
     stream: RefCell<Option<TcpStream>>,
     progress: RefCell<RequestProgress>,
-    /// Whether the last byte of the request is held back.
+    /// Whether the last byte of the current request is delayed.
     is_cautious: Cell<bool>,
-    /// Runs while the last byte is held back.
+    /// The timer that delays the last byte; `None` until that byte is to be written.
     last_byte_delay: RefCell<Option<Pin<Box<Sleep>>>>,
-    /// What the request has to meet until it has been written.
+    /// The permit of the current request; `None` once the request is fully written.
     permit: RefCell<Option<SendPermit>>,
 }
 
@@ -40,7 +40,7 @@
         ConnectionSocket::with_progress(Some(stream), RequestProgress::default())
     }
 
-    /// A closed socket to which a request has been written, for a stand-in that writes nothing.
+    /// A closed socket with a fully written request, for tests that run attempts without a socket.
     #[cfg(test)]
     pub(super) fn fully_written() -> ConnectionSocket {
         ConnectionSocket::with_progress(None, RequestProgress::complete())
@@ -56,14 +56,13 @@
         }
     }
 
-    /// Whether all of the request has been written: before that, the backend cannot have executed
-    /// it.
+    /// Whether the whole request has been written; before that, the backend cannot have executed it.
     pub(crate) fn is_fully_written(&self) -> bool {
         self.progress.borrow().is_complete()
     }
 
-    /// Prepares for a request with a body of `body_len` bytes, to be written as long as `permit` is
-    /// valid. A cautious request has its last byte held back.
+    /// Prepares for a request with a body of `body_len` bytes, which is written only while `permit`
+    /// is valid. The last byte of a cautious request is delayed.
     pub(crate) fn start_request(&self, body_len: usize, is_cautious: bool, permit: SendPermit) {
         *self.progress.borrow_mut() = RequestProgress::new(body_len);
         self.is_cautious.set(is_cautious);
@@ -71,15 +70,16 @@
         *self.permit.borrow_mut() = Some(permit);
     }
 
-    /// How many of these bytes may be written now.
+    /// Returns how many of these bytes may be written now.
     ///
-    /// A cautious request is protected against connections that are dead without a sign of it: all
-    /// but its last byte goes first, and the last byte only if nothing has come back. A backend
-    /// executes no request before its last byte, so one whose connection breaks earlier may be sent
-    /// again whatever its idempotency.
+    /// A cautious request is protected against half-open connections, which look alive although the
+    /// backend has dropped them. All of the request but its last byte is written first, and the last
+    /// byte follows only if nothing has come back by then. A backend executes no request before it
+    /// has received the last byte, so a request whose connection breaks earlier may be sent again,
+    /// even if it is non-idempotent.
     ///
-    /// A request that could not be written at once may have lost its permit meanwhile, so the
-    /// permit is checked again before the last byte.
+    /// The permit of a request that could not be written in one go may have become invalid meanwhile,
+    /// so the permit is checked again before the last byte.
     ///
     /// # Errors
     ///
@@ -109,8 +109,8 @@
         let mut delay = self.last_byte_delay.borrow_mut();
         let delay = delay.get_or_insert_with(|| Box::pin(tokio::time::sleep(LAST_BYTE_DELAY)));
         ready!(delay.as_mut().poll(cx));
-        // A reset may have arrived just now, and only the operating system knows of it yet.
-        if self.is_open_and_silent() {
+        // A reset may have arrived just now, and only the operating system knows of it so far.
+        if self.is_open_without_input() {
             Poll::Ready(Ok(()))
         } else {
             Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()))
@@ -132,15 +132,15 @@
         }
     }
 
-    /// Closes the socket at once; reads and writes fail with `NotConnected` from now on.
+    /// Closes the socket at once; later reads and writes fail with `NotConnected`.
     pub(super) fn close(&self) {
         self.stream.borrow_mut().take();
     }
 
-    /// Whether the socket is open and holds nothing to be read, such as a response to no request.
-    /// The operating system is asked, since the runtime learns only between two tasks of what has
-    /// arrived.
-    pub(super) fn is_open_and_silent(&self) -> bool {
+    /// Whether the socket is open and has no input to be read. Input on an idle connection would be
+    /// a response that belongs to no request. This asks the operating system, because the runtime
+    /// learns only between two tasks of what has arrived.
+    pub(super) fn is_open_without_input(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let stream = self.stream.borrow();
         let Some(stream) = stream.as_ref() else {
@@ -151,7 +151,7 @@
     }
 }
 
-/// The HTTP library's side of a [`ConnectionSocket`].
+/// A [`ConnectionSocket`] as the I/O object that the HTTP library reads and writes.
 pub(super) struct SocketIo(pub(super) Rc<ConnectionSocket>);
 
 impl AsyncRead for SocketIo {
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -1,8 +1,8 @@
-//! The responses of backends, read within limits of memory, and what their status and headers say.
+//! Reads the responses of backends within memory limits and interprets their status and headers.
 //!
-//! A response with a length or in chunks is complete with its last byte. One without either ends
-//! with its connection (RFC 9112, section 6.3): it is complete if that is closed in order, and
-//! truncated if it is reset.
+//! A response with a `Content-Length` or in chunks is complete with its last byte. A response with
+//! neither ends when its connection closes (RFC 9112, section 6.3): it is complete if the connection
+//! is closed in order, and truncated if the connection is reset.
 
 use crate::net::messages::{AttemptResult, MAX_BODY_BYTES};
 use cometspool::settings::{self, Metric, ParsedSettings};
@@ -14,13 +14,14 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Longest body that is accepted, in bytes. Some backends send far more than the agreed 64 KiB, and
-/// their responses are worth forwarding; a longer one than this counts as no response.
+/// The longest response body that is accepted, in bytes. Some backends send far more than the agreed
+/// 64 KiB, and their responses are still worth forwarding. A response with a longer body counts as
+/// no response.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
-/// One part in this many of the memory may be taken by long responses together, from the first byte
-/// read to the last one written.
+/// All long responses together may take the gateway's memory divided by this number. A response
+/// counts from its first byte read from the backend to its last byte written to the client.
 const MEMORY_DIVISOR: usize = 4;
-/// A reported quota usage above this, in percent, is ignored.
+/// The highest reported quota usage that is accepted, in percent; a higher value is ignored.
 const MAX_USAGE_PERCENT: f64 = 100_000.0;
 
 const NOT_STARTED: HeaderName = HeaderName::from_static("not-started");
@@ -31,22 +32,22 @@
 /// Why a response could not be read.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ResponseError {
-    /// Its status is informational, such as 101, after which the connection speaks another
+    /// The status is informational, such as 101, after which the connection switches to another
     /// protocol.
-    #[error("informational status {0}")]
+    #[error("response has the informational status {0}")]
     Informational(StatusCode),
-    /// Its body is longer than [`MAX_RESPONSE_BYTES`].
-    #[error("the body is longer than {MAX_RESPONSE_BYTES} bytes")]
+    /// The body is longer than [`MAX_RESPONSE_BYTES`].
+    #[error("response body exceeds {MAX_RESPONSE_BYTES} bytes")]
     TooLong,
-    /// Other long responses take the memory that its body needs.
-    #[error("no memory for the body")]
+    /// The memory for long responses does not suffice for the body.
+    #[error("not enough memory for the response body")]
     OutOfMemory,
     /// The connection broke before the end of the body.
-    #[error("the connection broke before the end of the body")]
+    #[error("connection broke before the end of the response body")]
     Truncated(#[from] hyper::Error),
 }
 
-/// The memory that long responses may still take, in bytes.
+/// The memory still available for long responses, in bytes.
 #[derive(Clone)]
 struct MemoryBudget(Arc<AtomicUsize>);
 
@@ -64,14 +65,14 @@
     }
 }
 
-/// Memory reserved for one long response; dropped, it returns to the budget.
+/// Memory reserved for one long response; returned to the budget on drop.
 struct Reservation {
     bytes: usize,
     budget: MemoryBudget,
 }
 
 impl Reservation {
-    /// Reserves `bytes` in all.
+    /// Grows the reservation to `bytes` in total, if it is smaller.
     fn grow_to(&mut self, bytes: usize) -> Result<(), ResponseError> {
         let missing = bytes.saturating_sub(self.bytes);
         let available = &self.budget.0;
@@ -91,8 +92,8 @@
     }
 }
 
-/// A long body with the memory reserved for it, which is returned with the last reference to the
-/// body.
+/// A long body with the memory reserved for it. The memory is returned to the budget when the last
+/// reference to the body is dropped.
 struct ReservedBody {
     body: Vec<u8>,
     _reservation: Reservation,
@@ -106,31 +107,32 @@
 
 /// A complete response.
 pub(crate) struct ReceivedResponse {
-    /// What it says.
+    /// The result of the attempt, as the response states it.
     pub result: AttemptResult,
-    /// Whether its end shows in itself, so that the connection may carry another request.
+    /// Whether the response has a `Content-Length` or is chunked, so that its connection stays open
+    /// after it and may carry another request.
     pub is_delimited: bool,
 }
 
-/// Reads the responses of backends within the memory for them.
+/// Reads the responses of backends within the memory budget.
 pub(crate) struct ResponseReader {
     /// The names of the metrics in load reports.
     metric_names: Vec<String>,
-    /// What each of these metrics is.
+    /// The metric for each of these names, in the same order.
     metrics: Vec<Metric>,
-    /// Most units that a request may have by the settings.
+    /// The highest number of units that a request may be charged by the settings.
     max_units: f64,
     budget: MemoryBudget,
 }
 
 impl ResponseReader {
-    /// A reader by these settings for a gateway with `memory` bytes in all.
-    pub(crate) fn new(settings: &ParsedSettings, memory: usize) -> ResponseReader {
+    /// Creates a reader with these settings for a gateway whose memory limit is `memory_bytes`.
+    pub(crate) fn new(settings: &ParsedSettings, memory_bytes: usize) -> ResponseReader {
         ResponseReader {
             metric_names: settings.names.metrics.clone(),
             metrics: settings.report_metrics.clone(),
             max_units: settings.settings.max_units,
-            budget: MemoryBudget::new(memory / MEMORY_DIVISOR),
+            budget: MemoryBudget::new(memory_bytes / MEMORY_DIVISOR),
         }
     }
 
@@ -138,7 +140,7 @@
     ///
     /// # Errors
     ///
-    /// If the response is informational, is too long, or its connection breaks before its end; see
+    /// If the response is informational, too long for its limits or truncated; see
     /// [`ResponseError`].
     pub(crate) async fn read(
         &self,
@@ -158,8 +160,8 @@
         })
     }
 
-    /// What the status and the headers of a complete response say. Only a good response keeps its
-    /// body.
+    /// Interprets the status and the headers of a complete response. The body is kept only if the
+    /// response is successful.
     fn interpret(&self, status: StatusCode, headers: &HeaderMap, body: Bytes) -> AttemptResult {
         let outcome = outcome_of(status, headers);
         let body = if outcome == Outcome::Ok {
@@ -181,8 +183,8 @@
         }
     }
 
-    /// Parses a load report of the form `name=value, …`. Unknown names and values that are no
-    /// numbers are skipped.
+    /// Parses a load report of the form `name=value, …`. Fields with an unknown name or a value that
+    /// is not a number are skipped.
     fn parse_load_report(&self, text: &str) -> LoadReport {
         let mut report = LoadReport::default();
         for field in text.split(',') {
@@ -198,7 +200,7 @@
     }
 }
 
-/// Reads a body to its end, within the limits for one response and for all.
+/// Reads a body to its end, within the limit for one response and the budget for all responses.
 async fn read_body(budget: &MemoryBudget, body: Incoming) -> Result<Bytes, ResponseError> {
     match body.size_hint().exact() {
         Some(length) if length > MAX_RESPONSE_BYTES as u64 => Err(ResponseError::TooLong),
@@ -207,15 +209,15 @@
     }
 }
 
-/// Reads a body that is long or of unknown length, with memory reserved as it grows.
+/// Reads a body that is long or of unknown length, and reserves memory for it from the budget.
 async fn read_long_body(
     budget: &MemoryBudget,
     mut body: Incoming,
     length: Option<u64>,
 ) -> Result<Bytes, ResponseError> {
     let mut reservation = budget.reservation();
-    // A known length is reserved at once, so that a body that has been begun can be read to its
-    // end.
+    // If the length is known, all memory is reserved up front, so that reading cannot fail half-way
+    // for lack of memory.
     reservation.grow_to(length.unwrap_or(0) as usize)?;
     let mut received = Vec::with_capacity(reservation.bytes);
     while let Some(frame) = body.frame().await {
@@ -240,8 +242,8 @@
     }))
 }
 
-/// The outcome by the status: 200 is good, and 503 or 504 with `not-started: 1` says that the
-/// request never ran.
+/// Derives the outcome from the status: 200 is a success, and 503 or 504 with `not-started: 1` means
+/// that the backend rejected the request without running it. Anything else is an error.
 fn outcome_of(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let is_unavailable = matches!(
         status,
@@ -254,14 +256,14 @@
     }
 }
 
-/// The first value of a header, if it is text, without the space around it.
+/// Returns the first value of a header without surrounding whitespace, if the value is text.
 fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     let value = headers.get(name)?;
     value.to_str().ok().map(str::trim)
 }
 
-/// The first value of a header that is a number from 0 to `max`. Other values are skipped; none
-/// makes a response bad.
+/// Returns the first value of a header that is a number from 0 to `max`. Other values are skipped
+/// and do not invalidate the response.
 fn first_number(headers: &HeaderMap, name: &HeaderName, max: f64) -> Option<f64> {
     headers
         .get_all(name)
--- a/src/net/upstream/response/tests.rs
+++ b/src/net/upstream/response/tests.rs
@@ -1,8 +1,8 @@
-//! What is read from the headers of responses.
+//! Unit tests of the interpretation of response headers.
 
 use super::*;
 
-/// Guards load reports: the metrics that the settings name are read, whatever stands between them.
+/// Guards load reports: the metrics that the settings name are read, and other fields are skipped.
 #[test]
 fn a_load_report_is_parsed_by_the_configured_metric_names() {
     let reader = ResponseReader {
--- a/src/net/upstream/send_permit.rs
+++ b/src/net/upstream/send_permit.rs
@@ -1,13 +1,13 @@
-//! Whether an attempt may still reach its backend: checked before the first byte of its request,
-//! and again before the last byte of a request that could not be written at once.
+//! The permit to send a request to a backend. It is checked before the first byte of the request is
+//! written, and again before the last byte if the request could not be written in one go.
 
 use crate::net::messages::ClientConnection;
 use crate::net::runtime::budget::AttemptDeadline;
 use crate::net::runtime::clock::Clock;
 use std::rc::Rc;
 
-/// The permission to send a request, valid while its client is connected and the attempt may still
-/// start.
+/// The permit to send the request of an attempt, valid while the client is connected and the time
+/// before which the attempt must start has not passed.
 #[derive(Clone, Debug)]
 pub(crate) struct SendPermit {
     client: Rc<dyn ClientConnection>,
@@ -16,7 +16,7 @@
 }
 
 impl SendPermit {
-    /// The permit for an attempt of this client's request with this deadline.
+    /// Creates the permit for an attempt with `deadline` of a request from `client`.
     pub(crate) fn new(
         client: Rc<dyn ClientConnection>,
         deadline: AttemptDeadline,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether the client is still connected and the attempt may still start.
+    /// Whether the request may be sent now.
     pub(crate) fn is_valid(&self) -> bool {
         self.deadline.may_begin(self.clock.now()) && !self.client.is_disconnected()
     }
