--- a/src/connection_pool/endpoint_pool.rs
+++ b/src/connection_pool/endpoint_pool.rs
@@ -1,27 +1,30 @@
-//! The connections to one backend: idle, busy and being dialed, the attempts that wait for one, and
-//! how many may be held.
+//! The pool of one backend: its idle and busy connections, its dials in flight, the attempts that
+//! wait for a connection, and the connection limit.
 
 use super::{ConnectionId, DialId, WaiterId, SETTLE_TIME};
 use crate::policy_api::Millis;
 use std::collections::VecDeque;
 use std::vec::Drain;
 
-/// Standard deviations of random variation by which a gateway may exceed its mean demand.
+/// The margin of the connection limit above the mean demand, in standard deviations of the demand.
 const DEMAND_DEVIATIONS: f64 = 3.0;
-/// Time constant of the mean demand while demand is at or below it.
-pub(super) const DEMAND_MEMORY: Millis = 10_000.0;
-/// Time constant of the mean demand while demand is above it: a rise has to be followed soon.
-const DEMAND_RISE_MEMORY: Millis = 1_000.0;
-/// Dials in flight at once to one backend.
+/// The time constant of the mean demand while the demand is at or below the mean, in milliseconds.
+pub(super) const DEMAND_TIME_CONSTANT: Millis = 10_000.0;
+/// The time constant of the mean demand while the demand is above the mean, in milliseconds. It is
+/// shorter so that the mean follows a rise quickly.
+const DEMAND_RISE_TIME_CONSTANT: Millis = 1_000.0;
+/// The maximum number of dials in flight to one backend.
 pub(super) const MAX_CONCURRENT_DIALS: usize = 2;
-/// Once a backend's table is full, no dial starts, and no further refusal counts, for this long.
+/// The time after a backend's connection table was found full during which no dial starts and no
+/// further refusal counts, in milliseconds.
 const TABLE_FULL_BACKOFF: Millis = 250.0;
-/// Time in which the limit taken from a full table grows by one connection. It is slow against the
-/// halving so that the gateways of a fleet settle at a level.
-pub(super) const TABLE_LIMIT_GROWTH: Millis = 2_000.0;
-/// A limit taken from a full table is forgotten once it has grown to this many connections.
-const FORGOTTEN_TABLE_LIMIT: f64 = 64.0;
-/// Mean demand below which a backend counts as unused.
+/// The time in which a table limit grows by one connection, in milliseconds. The growth is slow
+/// compared with the halving so that the gateways of a fleet converge to a stable level.
+pub(super) const TABLE_LIMIT_GROWTH_INTERVAL: Millis = 2_000.0;
+/// The size in connections from which a table limit is no longer a reason to keep the pool of a
+/// backend that is otherwise unused.
+const IRRELEVANT_TABLE_LIMIT: f64 = 64.0;
+/// The mean demand, in concurrent attempts, at or below which a backend counts as unused.
 const NEGLIGIBLE_DEMAND: f64 = 0.01;
 
 /// An idle connection.
@@ -31,7 +34,7 @@
     pub(super) idle_since: Millis,
 }
 
-/// A limit inferred from a backend whose connection table was full.
+/// A connection limit inferred from a refusal because the backend's connection table was full.
 #[derive(Clone, Copy, Debug)]
 struct TableLimit {
     connections: f64,
@@ -39,39 +42,39 @@
 }
 
 impl TableLimit {
-    /// The limit as it has grown since it was inferred.
+    /// The limit at `now`, with its growth since it was inferred.
     fn at(&self, now: Millis) -> f64 {
-        self.connections + (now - self.inferred_at).max(0.0) / TABLE_LIMIT_GROWTH
+        self.connections + (now - self.inferred_at).max(0.0) / TABLE_LIMIT_GROWTH_INTERVAL
     }
 }
 
-/// The connections to one backend.
+/// The pool of one backend.
 #[derive(Default)]
 pub(super) struct EndpointPool {
-    /// Connections that carry nothing, by the time since when, the most recently used last.
+    /// Connections that are not checked out, the most recently used last.
     pub(super) idle: Vec<IdleConnection>,
-    /// Connections that carry an attempt.
+    /// The number of connections that are checked out by attempts.
     pub(super) busy: usize,
-    /// Dials in flight. A dial that started before the backend changed is not among them: it leads
-    /// elsewhere.
+    /// Dials in flight, without those that started before the backend was last reset: they may lead
+    /// to another process.
     pub(super) dials: Vec<DialId>,
-    /// Attempts that wait for a connection, the first come first.
+    /// Attempts that wait for a connection, in order of arrival.
     pub(super) waiters: VecDeque<WaiterId>,
-    /// Mean number of concurrent attempts, as of `demand_at`.
+    /// The mean number of concurrent attempts, as of `demand_updated_at`.
     pub(super) mean_demand: f64,
-    demand_at: Millis,
-    /// Unknown until the backend has refused a connection.
+    demand_updated_at: Millis,
+    /// `None` until the backend refuses a connection because its table is full.
     table_limit: Option<TableLimit>,
-    /// No dial starts before this time.
+    /// The end of the backoff after a full table: no dial starts before this time.
     pub(super) no_dial_before: Millis,
-    /// The latest time at which the driver was asked to wake the pool for `no_dial_before`.
+    /// The value of `no_dial_before` for which the driver was last asked to wake the pool.
     wakeup_at: Millis,
-    /// When a dial ahead of demand is due.
+    /// When a preconnect dial is due; `None` if none is scheduled.
     pub(super) preconnect_at: Option<Millis>,
 }
 
 impl EndpointPool {
-    /// What is left of a removed backend while `busy` connections still carry attempts.
+    /// The remaining pool of a removed backend while `busy` connections are still checked out.
     pub(super) fn with_busy(busy: usize) -> EndpointPool {
         EndpointPool {
             busy,
@@ -79,30 +82,31 @@
         }
     }
 
-    /// Connections and dials in flight.
+    /// The number of connections and dials in flight.
     pub(super) fn total(&self) -> usize {
         self.idle.len() + self.busy + self.dials.len()
     }
 
-    /// Whether at least one connection is up.
+    /// Whether at least one connection is established.
     pub(super) fn has_connection(&self) -> bool {
         self.busy + self.idle.len() > 0
     }
 
-    /// Brings the mean demand up to now. To be called before `busy` or `waiters` changes.
+    /// Updates the mean demand to `now`. Must be called before each change of `busy` or `waiters`.
     pub(super) fn observe_demand(&mut self, now: Millis) {
         let demand = (self.busy + self.waiters.len()) as f64;
-        let memory = if demand > self.mean_demand {
-            DEMAND_RISE_MEMORY
+        let time_constant = if demand > self.mean_demand {
+            DEMAND_RISE_TIME_CONSTANT
         } else {
-            DEMAND_MEMORY
+            DEMAND_TIME_CONSTANT
         };
-        let decay = (-(now - self.demand_at).max(0.0) / memory).exp();
+        let decay = (-(now - self.demand_updated_at).max(0.0) / time_constant).exp();
         self.mean_demand = self.mean_demand * decay + demand * (1.0 - decay);
-        self.demand_at = now;
+        self.demand_updated_at = now;
     }
 
-    /// Connections that may be held, `spare` of them whatever the demand.
+    /// The number of connections that may be held: the mean demand with a margin plus `spare`, capped
+    /// by the table limit, and at least one.
     pub(super) fn connection_limit(&self, now: Millis, spare: f64) -> usize {
         let margin = DEMAND_DEVIATIONS * self.mean_demand.sqrt();
         let needed = (self.mean_demand + margin).floor() + spare;
@@ -112,8 +116,8 @@
         needed.min(table_limit.floor()).max(1.0) as usize
     }
 
-    /// Index of the idle connection to reuse: the most recently used one that has settled, or else
-    /// the most recent one.
+    /// The index of the idle connection to reuse: the most recently used one that is settled (see
+    /// [`SETTLE_TIME`]), or else the most recently used one.
     pub(super) fn best_idle(&self, now: Millis) -> Option<usize> {
         let settled = self
             .idle
@@ -122,7 +126,7 @@
         settled.or(self.idle.len().checked_sub(1))
     }
 
-    /// Adds a connection that has been idle since `idle_since`, in its place by that time.
+    /// Adds a connection that has been idle since `idle_since`; keeps the order by that time.
     pub(super) fn insert_idle(&mut self, id: ConnectionId, idle_since: Millis) {
         let index = self
             .idle
@@ -130,8 +134,8 @@
         self.idle.insert(index, IdleConnection { id, idle_since });
     }
 
-    /// Takes out the idle connections that have been idle for `max_idle_time` or exceed the limit,
-    /// the least recently used first.
+    /// Removes the idle connections that have been idle for `max_idle_time` or exceed the connection
+    /// limit, the least recently used first.
     pub(super) fn remove_surplus(
         &mut self,
         now: Millis,
@@ -149,20 +153,20 @@
         self.idle.drain(..removed)
     }
 
-    /// Takes a finished dial out of those in flight; whether it was one of them. It is not if the
-    /// backend has changed since the dial started.
+    /// Removes a finished dial from those in flight. Returns `false` if the dial is not among them
+    /// because the backend was reset after the dial started.
     pub(super) fn remove_dial(&mut self, dial: DialId) -> bool {
         let index = self.dials.iter().position(|in_flight| *in_flight == dial);
         index.map(|index| self.dials.remove(index)).is_some()
     }
 
-    /// Whether the backoff after a full table still forbids a dial.
+    /// Whether the backoff after a full table still forbids dials.
     pub(super) fn is_backing_off(&self, now: Millis) -> bool {
         now < self.no_dial_before
     }
 
-    /// The time at which to wake the pool for the end of the backoff, unless the driver has been
-    /// asked already.
+    /// Returns the end of the backoff, when the driver is to wake the pool; `None` if the driver has
+    /// already been asked to.
     pub(super) fn request_wakeup(&mut self) -> Option<Millis> {
         if self.wakeup_at >= self.no_dial_before {
             return None;
@@ -171,8 +175,8 @@
         Some(self.no_dial_before)
     }
 
-    /// Halves the limit because the backend's connection table is full. Several refusals at a time
-    /// count once.
+    /// Halves the connection limit because the backend's connection table is full. Refusals during
+    /// the backoff that follows do not count.
     pub(super) fn record_table_full(&mut self, now: Millis, spare: f64) {
         if self.is_backing_off(now) {
             return;
@@ -186,9 +190,9 @@
         self.no_dial_before = now + TABLE_FULL_BACKOFF;
     }
 
-    /// Forgets what is known of a backend that another process has replaced: its dials, its limit
-    /// and its backoff.
-    pub(super) fn forget_endpoint(&mut self) {
+    /// Clears the state that applies only to the backend's previous process or address: dials in
+    /// flight, table limit, backoff and scheduled preconnect.
+    pub(super) fn clear_process_state(&mut self) {
         self.dials.clear();
         self.table_limit = None;
         self.no_dial_before = 0.0;
@@ -196,11 +200,12 @@
         self.preconnect_at = None;
     }
 
-    /// Whether anything is held here that is worth keeping.
+    /// Whether this pool still has to be kept: it has connections, dials, waiters, a scheduled
+    /// preconnect, a relevant table limit or recent demand.
     pub(super) fn is_in_use(&self, now: Millis) -> bool {
         let has_table_limit = self
             .table_limit
-            .is_some_and(|limit| limit.at(now) < FORGOTTEN_TABLE_LIMIT);
+            .is_some_and(|limit| limit.at(now) < IRRELEVANT_TABLE_LIMIT);
         self.total() + self.waiters.len() > 0
             || self.preconnect_at.is_some()
             || has_table_limit
--- a/src/connection_pool/pool.rs
+++ b/src/connection_pool/pool.rs
@@ -1,6 +1,6 @@
-//! The pools of all backends: checkout, dialing, return and eviction of connections.
+//! The pools of all backends: checkout, dialing, release and eviction of connections.
 
-use super::endpoint_pool::{EndpointPool, DEMAND_MEMORY, MAX_CONCURRENT_DIALS};
+use super::endpoint_pool::{EndpointPool, DEMAND_TIME_CONSTANT, MAX_CONCURRENT_DIALS};
 use super::idle_age::IdleAgeEstimator;
 use super::limits::PoolLimits;
 use super::{Checkout, ConnectionId, DialFailure, DialId, PoolAction, PoolError, WaiterId};
@@ -10,25 +10,26 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 
-/// The connections to all backends, which `B` names.
+/// The pools of all backends; `B` identifies a backend.
 ///
-/// The owner reports every event with its time and carries out the [`PoolAction`]s that each call
-/// appends, in order. Times must not run backwards.
+/// The driver reports every event with its time, and executes in order the [`PoolAction`]s that each
+/// call appends. The times of successive calls must not decrease.
 pub struct ConnectionPool<B> {
     pub(super) limits: PoolLimits,
     pub(super) endpoints: BTreeMap<B, EndpointPool>,
     idle_ages: IdleAgeEstimator,
     rng: Pcg32,
-    /// First attempts a second on average, as of `request_rate_at`.
+    /// The average number of checkouts per second, as of `request_rate_updated_at`.
     request_rate: f64,
-    request_rate_at: Millis,
-    /// Connections and dials in flight.
+    request_rate_updated_at: Millis,
+    /// The number of connections and dials in flight, over all backends.
     open: usize,
+    /// The id that was assigned last to a dial.
     last_dial: u64,
 }
 
 impl<B: Copy + Ord> ConnectionPool<B> {
-    /// A pool without connections; `seed` is the only source of randomness.
+    /// Creates pools without connections. `seed` determines all random choices.
     pub fn new(limits: PoolLimits, seed: u64) -> ConnectionPool<B> {
         ConnectionPool {
             limits,
@@ -36,35 +37,35 @@
             idle_ages: IdleAgeEstimator::default(),
             rng: Pcg32::seed_from_u64(seed),
             request_rate: 0.0,
-            request_rate_at: 0.0,
+            request_rate_updated_at: 0.0,
             open: 0,
             last_dial: 0,
         }
     }
 
-    /// Sizes the pools for a fleet of `gateway_count` gateways from now on.
+    /// Sets the number of gateways in the fleet, from which the pools derive their limits.
     pub fn set_gateway_count(&mut self, gateway_count: u32) {
         self.limits.gateway_count = gateway_count;
     }
 
-    /// Connections and dials in flight, over all backends.
+    /// The number of connections and dials in flight, over all backends.
     pub fn open_connections(&self) -> usize {
         self.open
     }
 
-    /// Backends of which anything is held or remembered.
+    /// The number of backends for which any state is held.
     pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Idle connections to a backend.
+    /// The number of idle connections to a backend.
     pub fn idle_connections(&self, endpoint: B) -> usize {
         self.endpoints
             .get(&endpoint)
             .map_or(0, |pool| pool.idle.len())
     }
 
-    /// Connections to a backend that may be held at present.
+    /// The number of connections that may be held to a backend at present.
     pub fn connection_limit(&self, now: Millis, endpoint: B) -> usize {
         let spare = self.limits.spare_connections();
         self.endpoints
@@ -79,7 +80,7 @@
             .is_some_and(|pool| !pool.dials.is_empty())
     }
 
-    /// Makes every idle connection `by` milliseconds older, for tests that cannot wait.
+    /// Adds `by` milliseconds to the idle age of every idle connection, for tests that cannot wait.
     #[doc(hidden)]
     pub fn age_idle_connections(&mut self, by: Millis) {
         for pool in self.endpoints.values_mut() {
@@ -89,23 +90,24 @@
         }
     }
 
-    /// Takes a connection to a backend for an attempt, or queues the attempt as `waiter`.
+    /// Checks out a connection to a backend for an attempt, or queues the attempt as `waiter`.
     ///
-    /// An attempt that must run no more than once (`run_once`) gets no connection of an idle age at
-    /// which connections have broken of late.
+    /// An attempt whose request must run at most once (`at_most_once`) reuses no connection of an
+    /// idle age at which connections have broken recently.
     pub fn checkout(
         &mut self,
         now: Millis,
         endpoint: B,
         waiter: WaiterId,
-        run_once: bool,
+        at_most_once: bool,
         actions: &mut Vec<PoolAction<B>>,
     ) -> Checkout {
         self.observe_request_rate(now);
-        if let Some(reused) = self.reuse_idle(now, endpoint, run_once) {
+        if let Some(reused) = self.reuse_idle(now, endpoint, at_most_once) {
             return reused;
         }
-        // An attempt does not wait for a shortage of this gateway's own: it learns of it at once.
+        // If this gateway has reached its own connection limit, the attempt fails at once instead of
+        // waiting.
         if self.is_exhausted() && !self.close_longest_idle(actions) {
             return Checkout::Exhausted;
         }
@@ -115,16 +117,16 @@
         Checkout::Queued
     }
 
-    fn reuse_idle(&mut self, now: Millis, endpoint: B, run_once: bool) -> Option<Checkout> {
+    fn reuse_idle(&mut self, now: Millis, endpoint: B, at_most_once: bool) -> Option<Checkout> {
         let max_idle_time = self.max_idle_time();
         let pool = self.endpoints.entry(endpoint).or_default();
         pool.observe_demand(now);
         let index = pool.best_idle(now)?;
         let connection = pool.idle[index];
         let idle_for = now - connection.idle_since;
-        // A request that must run once would be lost with a broken connection; any other costs no
-        // more than a dial.
-        let is_reliable = !run_once || self.idle_ages.is_reliable(now, idle_for);
+        // If the connection breaks, a request that must run at most once may be lost; any other
+        // request is sent again at no more than the cost of a dial.
+        let is_reliable = !at_most_once || self.idle_ages.is_reliable(now, idle_for);
         if idle_for >= max_idle_time || !is_reliable {
             return None;
         }
@@ -136,7 +138,7 @@
         })
     }
 
-    /// A waiter no longer waits. Its dial goes on, and the connection that comes of it is kept.
+    /// Removes a waiter from the queue. A dial in flight continues, and its connection is kept.
     pub fn cancel_wait(&mut self, now: Millis, endpoint: B, waiter: WaiterId) {
         if let Some(pool) = self.endpoints.get_mut(&endpoint) {
             pool.observe_demand(now);
@@ -144,12 +146,13 @@
         }
     }
 
-    /// Schedules a dial to a backend that demand is about to reach and to which there is no
-    /// connection, at a random time within `within` milliseconds.
+    /// Schedules a dial ahead of demand to a backend without connections, at a random time in the
+    /// next `within` milliseconds.
     ///
-    /// The random time spreads the dials of a fleet that learns of a backend at one instant; a
-    /// request that comes sooner dials at once. Where handshakes have a price no dial is made on a
-    /// guess: one in twenty-five is never used, and all that it saves is a round trip.
+    /// The random time spreads the dials of a fleet whose gateways all learn of a backend at the
+    /// same moment; a request that comes earlier dials at once. If handshakes have a price, no dial
+    /// is made ahead of demand: one in twenty-five such connections is never used, and one that is
+    /// used saves only a round trip.
     pub fn preconnect(
         &mut self,
         now: Millis,
@@ -160,16 +163,16 @@
         if self.limits.handshake_cost > 0.0 {
             return;
         }
-        let random_part = uniform(&mut self.rng);
+        let random_fraction = uniform(&mut self.rng);
         let pool = self.endpoints.entry(endpoint).or_default();
         if pool.total() == 0 && pool.preconnect_at.is_none() {
-            let at = now + within * random_part;
+            let at = now + within * random_fraction;
             pool.preconnect_at = Some(at);
             actions.push(PoolAction::Wake(endpoint, at));
         }
     }
 
-    /// A time has come for which [`PoolAction::Wake`] asked.
+    /// Starts the dials that are due at a time that [`PoolAction::Wake`] has asked for.
     pub fn wake(&mut self, now: Millis, endpoint: B, actions: &mut Vec<PoolAction<B>>) {
         let Some(pool) = self.endpoints.get_mut(&endpoint) else {
             return;
@@ -181,16 +184,16 @@
         self.start_due_dials(now, endpoint, actions);
     }
 
-    /// Starts the dials that are due: no more than there are waiters, few at a time, and none
-    /// beyond the limit.
+    /// Starts the dials that are due: at most one for each waiter, at most [`MAX_CONCURRENT_DIALS`]
+    /// at a time, and none beyond the connection limit.
     fn start_due_dials(&mut self, now: Millis, endpoint: B, actions: &mut Vec<PoolAction<B>>) {
         while self.is_dial_due(now, endpoint, actions) {
             self.start_dial(endpoint, actions);
         }
     }
 
-    /// Whether a dial for a waiter may start now. Asks to be woken where only the backoff forbids
-    /// it.
+    /// Whether a dial for a waiter is to start now. If only the backoff prevents the dial, this asks
+    /// the driver to wake the pool when the backoff ends.
     fn is_dial_due(&mut self, now: Millis, endpoint: B, actions: &mut Vec<PoolAction<B>>) -> bool {
         let is_exhausted = self.is_exhausted();
         let spare = self.limits.spare_connections();
@@ -201,8 +204,8 @@
         if is_exhausted || pool.dials.len() >= wanted_dials {
             return false;
         }
-        // Idle connections do not count: a waiter dials although they are there, so they were not
-        // good enough for it.
+        // Idle connections do not count towards the limit: if there are any, they were not suitable
+        // for the waiter.
         let in_use = pool.busy + pool.dials.len();
         if in_use == 0 {
             return true;
@@ -227,7 +230,8 @@
         actions.push(PoolAction::Dial(endpoint, dial));
     }
 
-    /// A dial came up as `connection`, which goes to the first waiter or is kept idle.
+    /// Records that a dial has established `connection`, which is assigned to the first waiter or
+    /// kept idle.
     pub fn dial_succeeded(
         &mut self,
         now: Millis,
@@ -237,7 +241,7 @@
         actions: &mut Vec<PoolAction<B>>,
     ) {
         let Some(pool) = self.take_dialed(endpoint, dial) else {
-            self.close_stray(connection, actions);
+            self.close_unowned(connection, actions);
             return;
         };
         pool.observe_demand(now);
@@ -246,11 +250,11 @@
         self.start_due_dials(now, endpoint, actions);
     }
 
-    /// A dial failed.
+    /// Records that a dial has failed.
     ///
-    /// Beside working connections a remote failure counts as a full table and fails the first
-    /// waiter only: the others wait for a connection that is released. Where nothing works it fails
-    /// all waiters, who are better off elsewhere.
+    /// If other connections to the backend work, a remote failure counts as a full connection table,
+    /// and only the first waiter fails: the others wait for a connection to be released. If no
+    /// connection works, all waiters fail, so that their requests can be sent to other backends.
     pub fn dial_failed(
         &mut self,
         now: Millis,
@@ -285,21 +289,22 @@
         self.start_due_dials(now, endpoint, actions);
     }
 
-    /// Takes a finished dial off its backend's pool; `None` if the backend has changed since the
-    /// dial started.
+    /// Removes a finished dial and returns the pool of its backend; `None` if the backend was reset
+    /// or removed after the dial started.
     fn take_dialed(&mut self, endpoint: B, dial: DialId) -> Option<&mut EndpointPool> {
         let pool = self.endpoints.get_mut(&endpoint)?;
         pool.remove_dial(dial).then_some(pool)
     }
 
-    /// A backend rejected the first request on a new connection: its connection table is full.
+    /// Records that a backend's connection table is full: it rejected the first request on a new
+    /// connection.
     pub fn record_table_full(&mut self, now: Millis, endpoint: B) {
         if let Some(pool) = self.endpoints.get_mut(&endpoint) {
             pool.record_table_full(now, self.limits.spare_connections());
         }
     }
 
-    /// A connection has carried its request to the end, and goes to the first waiter or is kept
+    /// Returns a connection after a complete exchange; it is assigned to the first waiter or kept
     /// idle.
     pub fn release(
         &mut self,
@@ -311,8 +316,8 @@
         self.release_unused(now, endpoint, connection, 0.0, actions);
     }
 
-    /// A connection comes back that has carried nothing since it was checked out; it has been idle
-    /// for `idle_for`.
+    /// Returns a connection that has carried no request since it was checked out, and that has been
+    /// idle for `idle_for` milliseconds in all.
     pub fn release_unused(
         &mut self,
         now: Millis,
@@ -322,7 +327,7 @@
         actions: &mut Vec<PoolAction<B>>,
     ) {
         let Some(pool) = self.endpoints.get_mut(&endpoint) else {
-            self.close_stray(connection, actions);
+            self.close_unowned(connection, actions);
             return;
         };
         pool.observe_demand(now);
@@ -334,7 +339,7 @@
         pool.insert_idle(connection, now - idle_for);
     }
 
-    /// A connection that was checked out is closed.
+    /// Records that a checked-out connection has been closed.
     pub fn connection_closed(
         &mut self,
         now: Millis,
@@ -360,40 +365,42 @@
         }
     }
 
-    /// Another process has a backend's address, or the backend drains: closes its idle connections,
-    /// fails its waiters and disowns its dials in flight.
+    /// Resets the pool of a backend that is draining, has moved, or whose process has been replaced:
+    /// closes its idle connections, fails its waiters, and disregards its dials in flight, whose
+    /// connections are closed when they are established.
     pub fn reset_endpoint(&mut self, endpoint: B, actions: &mut Vec<PoolAction<B>>) {
         self.close_idle(endpoint, actions);
         let Some(pool) = self.endpoints.get_mut(&endpoint) else {
             return;
         };
-        pool.forget_endpoint();
+        pool.clear_process_state();
         for waiter in pool.waiters.drain(..) {
             actions.push(PoolAction::Fail(waiter, PoolError::EndpointRemoved));
         }
     }
 
-    /// Resets a backend that is gone, and forgets it. Connections that carry attempts close when
-    /// these end.
+    /// Resets the pool of a backend that is no longer listed, and drops it. Checked-out connections
+    /// are closed when their attempts end.
     pub fn remove_endpoint(&mut self, endpoint: B, actions: &mut Vec<PoolAction<B>>) {
         self.reset_endpoint(endpoint, actions);
         let Some(removed) = self.endpoints.remove(&endpoint) else {
             return;
         };
-        // The driver closes and reports what is still busy; until then it has to be counted.
+        // Checked-out connections count until the driver has closed and reported them.
         if removed.busy > 0 {
             let remainder = EndpointPool::with_busy(removed.busy);
             self.endpoints.insert(endpoint, remainder);
         }
     }
 
-    /// Records whether a connection that had been idle for `idle_for` broke under its next request.
+    /// Records whether a connection that had been idle for `idle_for` milliseconds broke on its next
+    /// request.
     pub fn record_reuse(&mut self, now: Millis, idle_for: Millis, broke: bool) {
         self.idle_ages.record(now, idle_for, broke);
     }
 
-    /// Closes connections that have been idle for too long or exceed the limit, and forgets
-    /// backends of which nothing is held. To be called at regular intervals.
+    /// Closes connections that have been idle for too long or exceed the connection limit, and drops
+    /// the pools that are no longer in use. Must be called at regular intervals.
     pub fn evict_expired(&mut self, now: Millis, actions: &mut Vec<PoolAction<B>>) {
         let max_idle_time = self.max_idle_time();
         let spare = self.limits.spare_connections();
@@ -406,19 +413,19 @@
         self.endpoints.retain(|_, pool| pool.is_in_use(now));
     }
 
-    /// For how long an idle connection is kept, by the request rate observed here.
+    /// How long an idle connection is kept at the observed request rate, in milliseconds.
     pub(super) fn max_idle_time(&self) -> Millis {
         self.limits
             .max_idle_time(self.request_rate, self.endpoints.len())
     }
 
     fn observe_request_rate(&mut self, now: Millis) {
-        let decay = (-(now - self.request_rate_at).max(0.0) / DEMAND_MEMORY).exp();
-        self.request_rate = self.request_rate * decay + 1000.0 / DEMAND_MEMORY;
-        self.request_rate_at = now;
+        let decay = (-(now - self.request_rate_updated_at).max(0.0) / DEMAND_TIME_CONSTANT).exp();
+        self.request_rate = self.request_rate * decay + 1000.0 / DEMAND_TIME_CONSTANT;
+        self.request_rate_updated_at = now;
     }
 
-    /// Whether the connections and dials in flight use up what this gateway may open.
+    /// Whether the connections and dials in flight have reached this gateway's limit.
     fn is_exhausted(&self) -> bool {
         self.open >= self.limits.max_connections
     }
@@ -427,14 +434,14 @@
         self.open = self.open.saturating_sub(connections);
     }
 
-    /// Closes a connection that no backend's pool owns any more.
-    fn close_stray(&mut self, connection: ConnectionId, actions: &mut Vec<PoolAction<B>>) {
+    /// Closes a connection that does not belong to any backend's pool, or no longer does.
+    fn close_unowned(&mut self, connection: ConnectionId, actions: &mut Vec<PoolAction<B>>) {
         self.count_closed(1);
         actions.push(PoolAction::Close(connection));
     }
 
-    /// Closes the connection that has been idle longest, to whichever backend; whether there was
-    /// one.
+    /// Closes the connection that has been idle longest, over all backends; returns `false` if none
+    /// is idle.
     fn close_longest_idle(&mut self, actions: &mut Vec<PoolAction<B>>) -> bool {
         let with_idle = self
             .endpoints
@@ -446,7 +453,7 @@
             return false;
         };
         let connection = pool.idle.remove(0);
-        self.close_stray(connection.id, actions);
+        self.close_unowned(connection.id, actions);
         true
     }
 }
--- a/src/connection_pool/tests/churn.rs
+++ b/src/connection_pool/tests/churn.rs
@@ -1,4 +1,4 @@
-//! Accounting and memory of the connection pools under long runs of random events.
+//! Property tests: the accounting and the memory use of the connection pools under random events.
 
 use super::*;
 use proptest::prelude::{any, proptest, ProptestConfig as Config};
@@ -7,32 +7,32 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeSet;
 
-/// A pool under random events, with every connection, dial and waiter accounted for beside it.
-struct Churn {
+/// A pool under random events, and a model of the connections, dials and waiters that it must have.
+struct ChurnSimulation {
     rng: Pcg32,
     pool: ConnectionPool<u32>,
-    driver: Driver,
+    driver: RecordingDriver,
     now: Millis,
-    /// The number of the step's waiter or connection.
-    number: u64,
+    /// The id for a waiter or a connection that is created in the current step.
+    next_id: u64,
     dialing: Vec<(u32, DialId)>,
     busy: Vec<(u32, ConnectionId)>,
     idle: BTreeSet<ConnectionId>,
     waiting: Vec<(u32, WaiterId)>,
 }
 
-impl Churn {
-    fn new(seed: u64) -> Churn {
+impl ChurnSimulation {
+    fn new(seed: u64) -> ChurnSimulation {
         let free_handshakes = PoolLimits {
             handshake_cost: 0.0,
             ..limits()
         };
-        Churn {
+        ChurnSimulation {
             rng: Pcg32::seed_from_u64(seed),
             pool: ConnectionPool::new(free_handshakes, seed),
-            driver: Driver::default(),
+            driver: RecordingDriver::default(),
             now: 0.0,
-            number: 0,
+            next_id: 0,
             dialing: Vec::new(),
             busy: Vec::new(),
             idle: BTreeSet::new(),
@@ -40,39 +40,40 @@
         }
     }
 
-    fn pick(&mut self, n: u32) -> u32 {
+    /// Draws a random number below `n`.
+    fn random_below(&mut self, n: u32) -> u32 {
         self.rng.next_u32() % n
     }
 
-    /// Backends come and go: each is in use for some hundred steps.
+    /// Performs one random event. Backends are replaced over time: each is in use for 300 steps.
     fn step(&mut self, step: u32) {
-        self.now += f64::from(self.pick(200));
-        self.number += 1;
-        let endpoint = step / 300 * 3 + self.pick(3);
-        match self.pick(10) {
+        self.now += f64::from(self.random_below(200));
+        self.next_id += 1;
+        let endpoint = step / 300 * 3 + self.random_below(3);
+        match self.random_below(10) {
             0..=3 => self.check_out(endpoint),
             4..=5 if !self.dialing.is_empty() => self.finish_dial(),
             6..=7 if !self.busy.is_empty() => self.finish_attempt(),
             8 if !self.waiting.is_empty() => self.cancel_wait(),
-            _ => self.disturb(endpoint),
+            _ => self.change_endpoint(endpoint),
         }
         self.wake();
-        self.account_for_actions();
+        self.apply_actions();
         self.check(step);
     }
 
     fn check_out(&mut self, endpoint: u32) {
-        let waiter = WaiterId(self.number);
-        let run_once = self.pick(2) == 0;
+        let waiter = WaiterId(self.next_id);
+        let at_most_once = self.random_below(2) == 0;
         let actions = &mut self.driver.actions;
         match self
             .pool
-            .checkout(self.now, endpoint, waiter, run_once, actions)
+            .checkout(self.now, endpoint, waiter, at_most_once, actions)
         {
             Checkout::Reused { connection, .. } => {
                 assert!(
                     self.idle.remove(&connection),
-                    "a connection that was not idle"
+                    "a connection was reused that was not idle"
                 );
                 self.busy.push((endpoint, connection));
             }
@@ -84,17 +85,17 @@
     }
 
     fn finish_dial(&mut self) {
-        let index = self.pick(self.dialing.len() as u32) as usize;
+        let index = self.random_below(self.dialing.len() as u32) as usize;
         let (endpoint, dial) = self.dialing.swap_remove(index);
-        if self.pick(3) > 0 {
-            let connection = ConnectionId(self.number);
+        if self.random_below(3) > 0 {
+            let connection = ConnectionId(self.next_id);
             self.idle.insert(connection);
             let actions = &mut self.driver.actions;
             self.pool
                 .dial_succeeded(self.now, endpoint, dial, connection, actions);
             return;
         }
-        let failure = if self.pick(4) == 0 {
+        let failure = if self.random_below(4) == 0 {
             DialFailure::Local
         } else {
             DialFailure::Remote
@@ -105,9 +106,9 @@
     }
 
     fn finish_attempt(&mut self) {
-        let index = self.pick(self.busy.len() as u32) as usize;
+        let index = self.random_below(self.busy.len() as u32) as usize;
         let (endpoint, connection) = self.busy.swap_remove(index);
-        let is_reusable = self.pick(4) > 0;
+        let is_reusable = self.random_below(4) > 0;
         let actions = &mut self.driver.actions;
         if is_reusable {
             self.idle.insert(connection);
@@ -118,14 +119,15 @@
     }
 
     fn cancel_wait(&mut self) {
-        let index = self.pick(self.waiting.len() as u32) as usize;
+        let index = self.random_below(self.waiting.len() as u32) as usize;
         let (endpoint, waiter) = self.waiting.swap_remove(index);
         self.pool.cancel_wait(self.now, endpoint, waiter);
     }
 
-    fn disturb(&mut self, endpoint: u32) {
-        let kind = self.pick(6);
-        let is_reset = kind == 0 && self.pick(2) == 0;
+    /// Resets, closes, removes, preconnects or otherwise changes the pool of a backend.
+    fn change_endpoint(&mut self, endpoint: u32) {
+        let kind = self.random_below(6);
+        let is_reset = kind == 0 && self.random_below(2) == 0;
         let actions = &mut self.driver.actions;
         match kind {
             0 if is_reset => self.pool.reset_endpoint(endpoint, actions),
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Wakes the pool at the times for which it has asked.
+    /// Wakes the pool for the requested times that have been reached.
     fn wake(&mut self) {
         let now = self.now;
         let (due, later) = self.driver.wakes.iter().partition(|(_, at)| *at <= now);
@@ -148,12 +150,16 @@
         }
     }
 
-    fn account_for_actions(&mut self) {
+    /// Applies the recorded actions of the pool to the model.
+    fn apply_actions(&mut self) {
         self.driver.record_actions();
         self.dialing.append(&mut self.driver.in_flight);
         for (waiter, connection) in std::mem::take(&mut self.driver.assigned) {
             let endpoint = self.end_wait(waiter);
-            assert!(self.idle.remove(&connection), "a connection assigned twice");
+            assert!(
+                self.idle.remove(&connection),
+                "a connection was assigned twice"
+            );
             self.busy.push((endpoint, connection));
         }
         for (waiter, _) in std::mem::take(&mut self.driver.failed) {
@@ -162,12 +168,12 @@
         for connection in self.driver.closed.drain(..) {
             assert!(
                 self.idle.remove(&connection),
-                "a closed connection that is busy or gone"
+                "a connection was closed that is busy or closed already"
             );
         }
     }
 
-    /// Takes out a waiter, which must be one; the backend that it waits for.
+    /// Removes a waiter and returns the backend that it waits for; panics if it does not wait.
     fn end_wait(&mut self, waiter: WaiterId) -> u32 {
         let index = self
             .waiting
@@ -177,6 +183,7 @@
         self.waiting.swap_remove(index).0
     }
 
+    /// Checks the invariants of the pool against the model.
     fn check(&self, step: u32) {
         let open = self.pool.open_connections();
         assert_eq!(
@@ -186,24 +193,27 @@
         );
         assert!(
             open <= limits().max_connections,
-            "over the limit of connections"
+            "more connections than the limit"
         );
         for (endpoint, waiter) in &self.waiting {
-            let helped = self.dialing.iter().any(|(at, _)| at == endpoint)
+            let may_be_served = self.dialing.iter().any(|(at, _)| at == endpoint)
                 || self.busy.iter().any(|(at, _)| at == endpoint)
                 || self.driver.wakes.iter().any(|(at, _)| at == endpoint);
             let has_room = open < limits().max_connections;
-            assert!(helped || !has_room, "{waiter:?} waits in vain");
+            assert!(
+                may_be_served || !has_room,
+                "{waiter:?} waits although nothing pending can serve it"
+            );
         }
         let endpoints = self.pool.endpoint_count();
-        assert!(endpoints <= 64, "{endpoints} endpoints");
+        assert!(endpoints <= 64, "{endpoints} endpoints are kept");
     }
 }
 
-fn churn(seed: u64, steps: u32) {
-    let mut churn = Churn::new(seed);
+fn simulate_churn(seed: u64, steps: u32) {
+    let mut simulation = ChurnSimulation::new(seed);
     for step in 0..steps {
-        churn.step(step);
+        simulation.step(step);
     }
 }
 
@@ -215,18 +225,18 @@
         ..Config::default()
     })]
 
-    /// Guards the accounting: whatever happens in whatever order, each connection and each waiter
-    /// is accounted for once, the limit of connections holds, no waiter waits in vain, and removed
-    /// backends leave nothing behind.
+    /// Guards the accounting under events in any order: each connection and each waiter is accounted
+    /// for exactly once, the connection limit holds, no waiter is left without a pending event that
+    /// can serve it, and pools of removed backends are dropped.
     #[test]
     fn every_connection_and_every_waiter_is_accounted_for(seed in any::<u64>()) {
-        churn(seed, 600);
+        simulate_churn(seed, 600);
     }
 }
 
-/// Guards memory over an hour and more of simulated churn: ten steps a second, all backends
+/// Guards memory over an hour of simulated churn: ten steps per second on average, and all backends
 /// replaced every 30 s.
 #[test]
 fn an_hour_of_endpoint_churn_leaves_nothing_behind() {
-    churn(1, 36_000);
+    simulate_churn(1, 36_000);
 }
--- a/src/connection_pool/tests/mod.rs
+++ b/src/connection_pool/tests/mod.rs
@@ -1,6 +1,6 @@
-//! Unit tests of the connection pools, against a driver that only takes notes.
+//! Unit tests of the connection pools, with a driver that records actions instead of executing them.
 
-use super::endpoint_pool::{MAX_CONCURRENT_DIALS, TABLE_LIMIT_GROWTH};
+use super::endpoint_pool::{MAX_CONCURRENT_DIALS, TABLE_LIMIT_GROWTH_INTERVAL};
 use super::idle_age::IdleAgeEstimator;
 use super::*;
 
@@ -27,11 +27,11 @@
     }
 }
 
-/// A driver that carries nothing out and records every action of the pool.
+/// A driver that records every action of the pool and executes none.
 #[derive(Default)]
-struct Driver {
+struct RecordingDriver {
     actions: Vec<PoolAction<u32>>,
-    /// The backend of every dial so far, in order.
+    /// The backends of all dials so far, in the order of the dials.
     dials: Vec<u32>,
     /// The dials in flight, the oldest first.
     in_flight: Vec<(u32, DialId)>,
@@ -41,8 +41,8 @@
     wakes: Vec<(u32, Millis)>,
 }
 
-impl Driver {
-    /// Takes out the oldest dial in flight to a backend.
+impl RecordingDriver {
+    /// Removes and returns the oldest dial in flight to a backend.
     fn take_oldest_dial(&mut self, endpoint: u32) -> DialId {
         self.record_actions();
         let index = self
@@ -97,9 +97,9 @@
     }
 }
 
-/// Guards the estimate of reliable idle ages: failures of old connections speak against that age
-/// and higher ones, not against lower ones; an occasional break speaks against none; and an age
-/// that recovers is trusted again.
+/// Guards the estimate of reliable idle ages: breaks of connections at some idle age make this age
+/// and higher ones unreliable, but not lower ones. Occasional breaks make no age unreliable, and an
+/// age at which connections work again becomes reliable again.
 #[test]
 fn only_idle_ages_at_which_connections_break_are_unreliable() {
     let [young, old, older] = [20.0, 200.0, 2000.0];
@@ -107,7 +107,10 @@
     let mut ages = IdleAgeEstimator::default();
     for i in 0..20 {
         ages.record(start, young, i % 10 == 0);
-        assert!(ages.is_reliable(start, older), "a tenth broken");
+        assert!(
+            ages.is_reliable(start, older),
+            "unreliable although only a tenth broke"
+        );
     }
     for _ in 0..3 {
         ages.record(start, old, true);
@@ -125,13 +128,13 @@
         [young, old, older].map(|age| ages.is_reliable(later, age)),
         [true; 3]
     );
-    // The passing of time alone lets them be tried again, too.
+    // Without further observations, an age also becomes reliable again with time.
     assert!(ages.is_reliable(start + 60_000.0, older));
 }
 
-/// Guards reuse: the most recently used connection is taken first, and one whose response has only
-/// just ended only where there is no other; one that has been idle beyond the limit is closed, not
-/// taken.
+/// Guards reuse: the most recently used settled connection is reused first, and one whose response
+/// has only just ended is reused only if there is no other. A connection that has been idle for too
+/// long is closed and not reused.
 #[test]
 fn checkout_prefers_the_most_recently_used_settled_connection() {
     let mut pool = ConnectionPool::new(
@@ -141,7 +144,7 @@
         },
         7,
     );
-    let mut driver = Driver::default();
+    let mut driver = RecordingDriver::default();
     for connection in 1..=3u64 {
         assert_eq!(
             pool.checkout(0.0, 1, WaiterId(connection), false, &mut driver.actions),
@@ -178,12 +181,12 @@
     assert_eq!(driver.closed, [ConnectionId(3)]);
 }
 
-/// Guards the dial in flight: a waiter takes a connection that is released first, and the dialed
-/// connection is kept for the next attempt; it is kept as well if the waiter cancels.
+/// Guards dials in flight: a waiter takes a connection that is released before its dial finishes.
+/// The dialed connection is then kept for the next attempt, as it is if the waiter cancels.
 #[test]
 fn a_waiter_takes_a_released_connection_and_its_dial_is_kept() {
     let mut pool = pool();
-    let mut driver = Driver::default();
+    let mut driver = RecordingDriver::default();
     pool.checkout(0.0, 1, WaiterId(1), false, &mut driver.actions);
     driver.connect(&mut pool, 1.0, 1, 1);
     pool.checkout(2.0, 1, WaiterId(2), false, &mut driver.actions);
@@ -204,7 +207,7 @@
         pool.checkout(10.0, 1, WaiterId(3), false, &mut driver.actions),
         reused(2, 6)
     );
-    // One connection closes, so that another dial is within the limit.
+    // A connection closes, so that the limit permits another dial.
     pool.connection_closed(10.5, 1, &mut driver.actions);
     pool.checkout(11.0, 1, WaiterId(4), false, &mut driver.actions);
     pool.cancel_wait(12.0, 1, WaiterId(4));
@@ -215,9 +218,9 @@
     );
 }
 
-/// Guards a backend against a burst of dials: few are in flight at a time, and no more connections
-/// are held than the mean demand and its variation call for; further attempts wait for a released
-/// connection.
+/// Guards a backend against a burst of dials: few dials are in flight at a time, and the number of
+/// connections does not exceed the mean demand plus a margin. Further attempts wait for a connection
+/// to be released.
 #[test]
 fn a_burst_limits_concurrent_dials_and_holds_what_demand_needs() {
     let mut pool = ConnectionPool::new(
@@ -227,7 +230,7 @@
         },
         7,
     );
-    let mut driver = Driver::default();
+    let mut driver = RecordingDriver::default();
     for waiter in 0..40 {
         assert_eq!(
             pool.checkout(0.0, 1, WaiterId(waiter), false, &mut driver.actions),
@@ -245,9 +248,9 @@
     assert_eq!(
         (driver.dials.len(), driver.assigned.len()),
         (2, 2),
-        "no demand has been observed yet"
+        "more connections than permitted before any demand was observed"
     );
-    // The demand lasts, so the limit rises.
+    // The demand continues, so the connection limit rises.
     for step in 1..200u32 {
         let now = f64::from(step) * 100.0;
         let waiter = WaiterId(1000 + u64::from(step));
@@ -263,18 +266,18 @@
     }
     assert!(
         (20..=60).contains(&driver.dials.len()),
-        "{} dials for a demand of forty",
+        "{} dials for a demand of 40 connections",
         driver.dials.len()
     );
 }
 
-/// Guards a connection table that all gateways share: a dial refused beside working connections
-/// halves the limit there, the next dial comes after a backoff, and the limit grows slowly by one
-/// connection at a time.
+/// Guards the connection table of a backend, which all gateways share: a dial that is refused while
+/// other connections work halves the connection limit. The next dial comes only after a backoff, and
+/// the limit grows back slowly, by one connection at a time.
 #[test]
 fn a_full_table_halves_the_limit_which_grows_back_slowly() {
     let mut pool = pool();
-    let mut driver = Driver::default();
+    let mut driver = RecordingDriver::default();
     for waiter in 0..8 {
         pool.checkout(0.0, 1, WaiterId(waiter), false, &mut driver.actions);
         pool.endpoints.get_mut(&1).expect("a pool").mean_demand = 8.0;
@@ -297,8 +300,8 @@
     assert_eq!(
         [
             2.0,
-            2.0 + TABLE_LIMIT_GROWTH,
-            2.0 + 4.0 * TABLE_LIMIT_GROWTH
+            2.0 + TABLE_LIMIT_GROWTH_INTERVAL,
+            2.0 + 4.0 * TABLE_LIMIT_GROWTH_INTERVAL
         ]
         .map(|at| endpoint_pool.connection_limit(at, 2.0)),
         [3, 4, 7]
@@ -307,11 +310,15 @@
         pool.checkout(3.0, 1, WaiterId(20), false, &mut driver.actions),
         Checkout::Queued
     );
-    assert_eq!(driver.actions, [], "a dial to a full table");
+    assert_eq!(
+        driver.actions,
+        [],
+        "dialed during the backoff after a full table"
+    );
 }
 
-/// Guards the classes of failure: a backend where nothing works fails all waiters; a shortage of
-/// this gateway's own is reported as such.
+/// Guards the classification of failed dials: if no connection to the backend works, a failed dial
+/// fails all waiters. A failure caused by this gateway is reported as such.
 #[test]
 fn a_failed_dial_without_working_connections_fails_all_waiters() {
     for (failure, error) in [
@@ -319,13 +326,13 @@
         (DialFailure::Local, PoolError::LocalLimit),
     ] {
         let mut pool = pool();
-        let mut driver = Driver::default();
+        let mut driver = RecordingDriver::default();
         for waiter in 0..3 {
             pool.checkout(0.0, 1, WaiterId(waiter), false, &mut driver.actions);
         }
         driver.fail(&mut pool, 1.0, 1, failure);
         driver.record_actions();
-        assert_eq!(driver.dials, [1, 1], "dialed again");
+        assert_eq!(driver.dials, [1, 1], "another dial was started");
         driver.fail(&mut pool, 2.0, 1, failure);
         assert_eq!(
             driver.failed,
@@ -335,20 +342,20 @@
     }
 }
 
-/// Guards against connections to what a backend was before: those that are idle or being dialed
-/// when its address changes or it drains are closed, and the waiters fail at once.
+/// Guards against stale connections: when a backend's address changes or the backend drains, its
+/// waiters fail at once, and the connections of dials in flight are closed once established.
 #[test]
-fn dials_started_before_a_reset_are_closed_when_they_come_up() {
-    for late in [false, true] {
+fn connections_dialed_before_a_reset_are_closed_when_established() {
+    for stale_last in [false, true] {
         let mut pool = pool();
-        let mut driver = Driver::default();
+        let mut driver = RecordingDriver::default();
         pool.checkout(0.0, 1, WaiterId(1), false, &mut driver.actions);
         pool.reset_endpoint(1, &mut driver.actions);
         pool.checkout(1.0, 1, WaiterId(2), false, &mut driver.actions);
         driver.record_actions();
         let [before, after] = [driver.in_flight[0].1, driver.in_flight[1].1];
-        // In whichever order they come up, the one started before the reset is known by its number.
-        let order = if late {
+        // Whichever dial finishes first, the one started before the reset is recognized by its id.
+        let order = if stale_last {
             [after, before]
         } else {
             [before, after]
@@ -357,7 +364,7 @@
             pool.dial_succeeded(2.0, 1, dial, ConnectionId(connection), &mut driver.actions);
         }
         driver.record_actions();
-        let [stale, good] = if late { [2, 1] } else { [1, 2] };
+        let [stale, good] = if stale_last { [2, 1] } else { [1, 2] };
         assert_eq!(driver.failed, [(WaiterId(1), PoolError::EndpointRemoved)]);
         assert_eq!(
             (driver.closed, driver.assigned),
@@ -370,12 +377,12 @@
     }
 }
 
-/// Guards non-idempotent requests: none goes out on a connection of an idle age at which others
-/// have broken of late.
+/// Guards non-idempotent requests: none is sent on a connection of an idle age at which other
+/// connections have broken recently.
 #[test]
-fn run_once_checkout_avoids_unreliable_idle_ages() {
+fn at_most_once_checkout_avoids_unreliable_idle_ages() {
     let mut pool = pool();
-    let mut driver = Driver::default();
+    let mut driver = RecordingDriver::default();
     for _ in 0..4 {
         pool.record_reuse(5000.0, 5000.0, true);
     }
@@ -392,9 +399,9 @@
     );
 }
 
-/// Guards a backend that a whole fleet learns of at one instant: the dials ahead of demand are
-/// spread over the given time, each gateway at a time of its own, and none is made where there is a
-/// connection already.
+/// Guards a backend against dials from a whole fleet that learns of it at the same moment: each
+/// gateway schedules its preconnect dial at a random time in the given interval, and makes none if
+/// it has a connection by then or if handshakes have a price.
 #[test]
 fn preconnect_dials_are_spread_over_the_given_time() {
     let mut tenths = [0; 10];
@@ -403,7 +410,7 @@
             handshake_cost: 0.0,
             ..limits()
         };
-        let mut driver = Driver::default();
+        let mut driver = RecordingDriver::default();
         let mut pool = ConnectionPool::<u32>::new(free_handshakes, seed);
         pool.preconnect(0.0, 1, 1000.0, &mut driver.actions);
         pool.preconnect(0.0, 1, 1000.0, &mut driver.actions);
@@ -422,7 +429,11 @@
         let mut priced = ConnectionPool::<u32>::new(limits(), seed);
         let mut none = Vec::new();
         priced.preconnect(0.0, 1, 1000.0, &mut none);
-        assert_eq!(none, [], "a priced handshake on a guess");
+        assert_eq!(
+            none,
+            [],
+            "a preconnect was scheduled although handshakes have a price"
+        );
     }
     assert!(
         tenths.iter().all(|count| (10..=60).contains(count)),
@@ -430,10 +441,10 @@
     );
 }
 
-/// Guards prices: where open connections cost and handshakes are cheap, no idle one is kept for
-/// longer than it is worth.
+/// Guards the cost of idle connections: if open connections have a price, an idle one is closed when
+/// keeping it costs more than a new handshake.
 #[test]
-fn idle_connections_are_kept_no_longer_than_they_are_worth() {
+fn idle_connections_are_closed_when_keeping_them_costs_more_than_a_handshake() {
     let mut pool: ConnectionPool<u32> = ConnectionPool::new(
         PoolLimits {
             connection_cost: 1.0,
