--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -1,5 +1,6 @@
-//! Clients that disconnect while their request waits, over loopback sockets: where the disconnect and the chance to send are
-//! found in one turn of the event loop, the disconnect is processed first, and nothing is forwarded for a client that left.
+//! Clients that disconnect while their requests wait, over loopback sockets. If the gateway finds a disconnect and the
+//! opportunity to send the request in the same iteration of its event loop, it processes the disconnect first, so that
+//! nothing is forwarded for a disconnected client.
 
 use cometspool_fault_injection::scripted_peers::*;
 use serde_json::Value;
@@ -21,8 +22,8 @@
     disconnect_all(vec![client], how);
 }
 
-/// Returns once the system has closed the connections: a process that is being started by another test may hold copies of
-/// their descriptors for a moment.
+/// Disconnects clients and waits until the operating system has closed their connections. This may take a moment if
+/// another test is starting a process, which briefly holds copies of the file descriptors.
 fn disconnect_all(clients: Vec<ScriptedConnection>, how: Disconnect) {
     let ends = |client: &ScriptedConnection| {
         let stream = client.reader.get_ref();
@@ -41,14 +42,14 @@
     });
 }
 
-/// Settings with or without the permission to cancel attempts.
+/// Settings that permit cancelling attempts, or not.
 fn with_cancellation(cancel: bool) -> Value {
     let mut settings = default_settings();
     settings["policy_limits"]["cancel"] = cancel.into();
     settings
 }
 
-/// Settings in which a request of the class `read` has ten minutes.
+/// Settings in which requests of the class `read` may take ten minutes.
 fn with_long_reads(mut settings: Value) -> Value {
     for key in ["aim", "give_up"] {
         settings["grades"][0][key] = 600_000.0.into();
@@ -56,8 +57,8 @@
     settings
 }
 
-/// Sends a request of another client, and asserts that it is the next one that a backend gets: what was sent before it was
-/// not forwarded. `accept` returns the connection on which a backend gets a request.
+/// Sends a request from another client and asserts that it is the next one that a backend receives, so no earlier
+/// request was forwarded. `accept` returns the connection on which a backend receives the request.
 fn assert_only_next_is_forwarded(
     program: &GatewayProcess,
     accept: impl FnOnce() -> ScriptedConnection,
@@ -72,9 +73,10 @@
     assert_eq!(client.read().body, b"ok", "{name}");
 }
 
-/// The attempt of a client that disconnects is canceled long before its deadline, and the gateway goes on serving.
+/// When a client disconnects, its attempt is cancelled long before the deadline, and the gateway serves the next
+/// request.
 #[test]
-fn a_disconnected_clients_attempt_is_canceled() {
+fn a_disconnected_clients_attempt_is_cancelled() {
     let fixture = TestFixture::with_settings(with_long_reads(default_settings()), 1);
     let mut client = fixture.program.connect_client();
     client.write(request_with("id-1", "read", "wide", "600"));
@@ -90,9 +92,10 @@
     assert_eq!(client.read().status(), 200);
 }
 
-/// A client disconnects while its request waits for a connection, which is established then.
-fn disconnect_while_connecting(cancel: bool, how: Disconnect, one_turn: bool) {
-    let name = format!("cancel {cancel}, {how:?}, one turn {one_turn}");
+/// Disconnects a client while its request waits for a connection, lets the connection be established, and checks that
+/// the request is not forwarded. With `one_iteration`, the gateway finds both in one iteration of its event loop.
+fn disconnect_while_connecting(cancel: bool, how: Disconnect, one_iteration: bool) {
+    let name = format!("cancel {cancel}, {how:?}, one iteration {one_iteration}");
     let discovery = TestListener::new();
     let FullBacklog {
         listener: backend,
@@ -105,35 +108,35 @@
     wait_for("a connection attempt that hangs", || {
         is_connecting(backend.address()).then_some(())
     });
-    if one_turn {
+    if one_iteration {
         program.pause();
     }
     disconnect(client, how);
     for _ in &fillers {
         backend.accept();
     }
-    // The system repeats the attempt by itself.
+    // The operating system retries the connection attempt on its own.
     wait_for("an established connection", || {
         (!is_connecting(backend.address())).then_some(())
     });
-    if one_turn {
+    if one_iteration {
         program.resume();
     }
     let connection = backend.accept();
     assert_only_next_is_forwarded(&program, || connection, &name);
 }
 
-/// A client disconnects while its request waits for a connection: once that is established it carries nothing of the
-/// request, whether attempts may be canceled or not, and whether both are found in one turn of the event loop or the
-/// disconnect first.
+/// If a client disconnects while its request waits for a connection, nothing of the request is sent on the connection
+/// once it is established. This holds whether or not attempts may be cancelled, and whether the gateway finds the
+/// disconnect first or both events in one iteration of its event loop.
 #[test]
 fn a_connection_established_after_the_disconnect_carries_nothing() {
     let mut runs = Vec::new();
     for cancel in [true, false] {
         for how in DISCONNECTS {
-            for one_turn in [true, false] {
+            for one_iteration in [true, false] {
                 runs.push(std::thread::spawn(move || {
-                    disconnect_while_connecting(cancel, how, one_turn);
+                    disconnect_while_connecting(cancel, how, one_iteration);
                 }));
             }
         }
@@ -143,8 +146,8 @@
     }
 }
 
-/// A client whose request waits for a connection disconnects in the turn in which the response to another request releases
-/// one.
+/// If a client whose request waits for a connection disconnects in the same iteration of the event loop in which the
+/// response to another request releases one, nothing of the request is sent on that connection.
 #[test]
 fn a_connection_released_with_the_disconnect_carries_nothing() {
     for (cancel, how) in [
@@ -168,7 +171,7 @@
         connection.read();
         let _fillers: Vec<TcpStream> = fillers
             .iter()
-            .map(|_| TcpStream::connect(backend.address()).expect("a queue for two"))
+            .map(|_| TcpStream::connect(backend.address()).expect("room in the accept queue"))
             .collect();
         let mut client = program.connect_client();
         client.write(request_with("left", "charge", "wide", LONG_TIMEOUT));
@@ -185,32 +188,32 @@
     }
 }
 
-/// A client disconnects in the turn in which its attempt is reported as not started, with further bytes behind its request
-/// or without: there is no retry.
+/// If a client disconnects in the same iteration of the event loop in which its backend responds that the request was
+/// not started, the request is not retried, whether or not further bytes follow it.
 #[test]
 fn a_disconnected_clients_request_is_not_retried() {
     for cancel in [true, false] {
-        for (how, has_bytes_behind) in [
+        for (how, has_bytes_after) in [
             (Disconnect::Close, false),
             (Disconnect::Reset, false),
             (Disconnect::Close, true),
         ] {
             let fixture = TestFixture::with_settings(with_cancellation(cancel), 2);
             let mut client = fixture.program.connect_client();
-            let behind = if has_bytes_behind {
+            let following = if has_bytes_after {
                 request_with("behind", "charge", "wide", LONG_TIMEOUT)
             } else {
                 String::new()
             };
-            client.write(request_with("left", "charge", "wide", LONG_TIMEOUT) + &behind);
+            client.write(request_with("left", "charge", "wide", LONG_TIMEOUT) + &following);
             let (_, mut backend) = fixture.accept_any();
             assert_eq!(backend.read().header("request-id"), Some("left"));
             fixture.program.pause();
             backend.respond(503, "Not-Started: 1\r\n", "");
             disconnect(client, how);
             fixture.program.resume();
-            let name = format!("cancel {cancel}, {how:?}, bytes behind {has_bytes_behind}");
-            // The next request comes on the connection that is open or on a new one.
+            let name = format!("cancel {cancel}, {how:?}, bytes after {has_bytes_after}");
+            // The next request arrives on the open connection or on a new one.
             let accept = || {
                 wait_for("the next request", || {
                     let accepted = fixture.backends.iter().find_map(TestListener::try_accept);
@@ -228,14 +231,14 @@
     }
 }
 
-/// Requests that lay unread while the process was stopped, from a client that disconnected meanwhile, one or several behind
-/// each other, are not forwarded.
+/// If one or several pipelined requests lie unread while the gateway is stopped and their client disconnects meanwhile,
+/// the requests are not forwarded.
 #[test]
 fn unread_requests_of_a_disconnected_client_are_not_forwarded() {
     for how in DISCONNECTS {
         for count in [1, 3] {
             let fixture = TestFixture::new(1);
-            // The gateway has accepted the connection.
+            // The gateway must have accepted the connection before it is stopped.
             let mut client = fixture.program.connect_healthy_client();
             fixture.program.pause();
             for i in 0..count {
@@ -253,13 +256,13 @@
     }
 }
 
-/// A disconnect behind further bytes is seen all the same: the attempt is canceled well before its deadline, and what is
-/// behind it is not forwarded.
+/// A disconnect is detected even if unread bytes precede it: the attempt is cancelled well before its deadline, and the
+/// bytes are not forwarded.
 #[test]
 fn a_disconnect_behind_further_bytes_is_seen() {
     let settings = with_long_reads(default_settings());
-    // A further request, more than is read ahead, and what is no request at all.
-    for behind in [
+    // A further request, more bytes than the gateway reads ahead, and bytes that are not a request.
+    for following in [
         request_with("behind", "read", "wide", "600"),
         "x".repeat(200_000),
         "\r\n\r\n".to_owned(),
@@ -270,27 +273,28 @@
         let mut backend = fixture.backends[0].accept();
         assert_eq!(backend.read().header("request-id"), Some("left"));
         client.reader.get_ref().set_nonblocking(true).unwrap();
-        // As much as the system buffers.
-        let _ = client.reader.get_mut().write(behind.as_bytes());
+        // This writes as much as the operating system buffers.
+        let _ = client.reader.get_mut().write(following.as_bytes());
         disconnect(client, Disconnect::Close);
         backend.expect_close();
         assert_only_next_is_forwarded(
             &fixture.program,
             || fixture.backends[0].accept(),
-            &behind[..behind.len().min(12)],
+            &following[..following.len().min(12)],
         );
     }
 }
 
-/// Clients of one run with many of them.
+/// The number of clients in a run with many clients.
 const CLIENTS: usize = 80;
-/// Every so many clients, one stays connected.
+/// One client in this many stays connected.
 const STAYING: usize = 4;
-/// Backends of such a run: one to which no connection is established gets few requests, so there are several.
+/// The number of backends in a run with many clients. There are several, because the gateway sends few requests to a
+/// backend to which no connection is established.
 const BACKENDS: usize = 12;
 
-/// Accepts all connections of a backend and answers each request with its id, from threads of its own; the ids are
-/// recorded.
+/// Spawns threads that accept all connections of a backend, respond to each request with its id, and record the ids in
+/// `ids`.
 fn serve_and_record(backend: FullBacklog, ids: &Arc<Mutex<Vec<String>>>) {
     let FullBacklog { listener, fillers } = backend;
     for _ in &fillers {
@@ -314,7 +318,8 @@
     });
 }
 
-/// Starts a gateway whose backends establish no connection, with no deadline that a slow machine could reach.
+/// Starts a gateway to whose backends no connection can be established, with deadlines so long that even a slow machine
+/// does not reach them.
 fn start_with_closed_backends(
     cancel: bool,
     discovery: &TestListener,
@@ -334,9 +339,10 @@
     )
 }
 
-/// Disconnects all clients but every fourth in two bursts, one by each way; returns how many of them were still waiting.
+/// Disconnects all clients but every fourth in two bursts, one for each way to disconnect. Returns how many of the
+/// disconnected clients were still waiting for a response.
 fn disconnect_in_bursts(clients: &mut [Option<ScriptedConnection>]) -> usize {
-    // A request that was rejected at once waits no longer.
+    // A client whose request was rejected at once no longer waits.
     let is_waiting = |client: &&Option<ScriptedConnection>| {
         client.as_ref().is_some_and(|client| !client.is_readable())
     };
@@ -352,9 +358,9 @@
     waiting
 }
 
-/// Many clients disconnect in bursts while their requests wait for connections under load: of those that had disconnected
-/// before any connection was established none is forwarded, those that stay get their responses, and nothing is forwarded
-/// twice.
+/// Many clients disconnect in bursts while their requests wait for connections, before any connection is established.
+/// None of their requests is forwarded, the clients that stay connected get their responses, and no request is
+/// forwarded twice.
 #[test]
 fn no_request_is_forwarded_for_many_clients_that_disconnect_while_waiting() {
     for cancel in [true, false] {
@@ -378,7 +384,7 @@
         let disconnected = disconnect_in_bursts(&mut clients);
         assert!(
             disconnected >= 15,
-            "only {disconnected} disconnected while they waited"
+            "only {disconnected} clients disconnected while they waited"
         );
         let forwarded = Arc::new(Mutex::new(Vec::new()));
         for backend in backends {
@@ -388,7 +394,8 @@
         for (i, client) in clients.into_iter().enumerate() {
             let Some(mut client) = client else { continue };
             let response = client.read();
-            // A request for which there was no room was rejected at once; nobody gets another client's response.
+            // A request that exceeded the gateway's capacity was rejected at once. No client gets the response to the
+            // request of another.
             assert!(
                 matches!(response.status(), 200 | 429),
                 "r-{i}: {}",
@@ -408,13 +415,13 @@
             .count();
         assert_eq!(
             late, 0,
-            "cancel {cancel}: forwarded for disconnected clients, of {disconnected}"
+            "cancel {cancel}: requests of disconnected clients forwarded, of {disconnected}"
         );
         assert_eq!(forwarded.len(), served, "cancel {cancel}: {forwarded:?}");
         forwarded.dedup();
-        assert_eq!(forwarded.len(), served, "forwarded twice");
+        assert_eq!(forwarded.len(), served, "a request was forwarded twice");
         println!(
-            "cancel {cancel}: {disconnected} disconnected while they waited, {late} of these were forwarded, {served} that stayed were served"
+            "cancel {cancel}: {disconnected} clients disconnected while waiting, requests of {late} of these were forwarded, {served} that stayed were served"
         );
     }
 }
--- a/tests/complete_responses.rs
+++ b/tests/complete_responses.rs
@@ -1,14 +1,15 @@
-//! When a backend's response is complete, over loopback sockets: one with a length or in chunks with its last byte, any
-//! other where its connection closes in order. A truncated, malformed or too long response reaches no client as one.
+//! When a backend's response is complete, over loopback sockets. A response with a `Content-Length` or in chunks is
+//! complete with its last byte, any other when its connection closes in order. A truncated, malformed or too long
+//! response is not forwarded to the client.
 
 use cometspool_fault_injection::scripted_peers::*;
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-/// The head of a response that ends with its connection.
+/// The head of a response without a length, which ends when its connection closes.
 const HEAD: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\nApi-Usage: 12\r\n\r\n";
 
-/// A client's request that has reached the only backend completely.
+/// A request that the backend has received completely, with the connections at both ends.
 struct ForwardedRequest {
     client: ScriptedConnection,
     backend: ScriptedConnection,
@@ -22,7 +23,7 @@
     ForwardedRequest { client, backend }
 }
 
-/// Returns once the gateway has served another request: it has read by then what arrived before.
+/// Returns once the gateway has served another request; by then it has read all bytes that arrived before.
 fn serve_another(fixture: &TestFixture, id: &str) {
     let ForwardedRequest {
         mut client,
@@ -36,8 +37,8 @@
     connection.reset_on_close();
 }
 
-/// The connection of a response without a length stays open until the backend closes it, however the body is split, and the
-/// complete body is forwarded with a length.
+/// A response without a length stays open until the backend closes its connection, however the body is split. The
+/// complete body is then forwarded with a length.
 #[test]
 fn a_response_without_a_length_is_complete_when_its_connection_closes() {
     let long = "0123456789abcdef".repeat(25_000);
@@ -58,7 +59,7 @@
             serve_another(&fixture, &format!("between-{number}"));
             assert!(
                 !client.is_readable() && !backend.is_readable(),
-                "ended before the backend did"
+                "the response or its connection ended before the backend closed it"
             );
         }
         drop(backend);
@@ -70,12 +71,13 @@
             response.body.len()
         );
         assert!(response.header("content-length").is_some());
-        // Its connection is not reused.
+        // The connection is not reused: the next request gets a new one.
         serve_another(&fixture, "next");
     }
 }
 
-/// A reset, before the first byte of the body or after any, makes a response without a length incomplete.
+/// A reset of the connection makes a response without a length incomplete, whether or not any of the body has arrived.
+/// A non-idempotent request then fails, and an idempotent one is retried.
 #[test]
 fn a_reset_truncates_a_response_without_a_length() {
     for sent in ["", "half"] {
@@ -107,7 +109,7 @@
     }
 }
 
-/// A response without a length that does not end times out with the request.
+/// A response without a length that does not end is abandoned at the deadline of its request.
 #[test]
 fn a_response_without_end_times_out_with_its_request() {
     let fixture = TestFixture::new(1);
@@ -120,7 +122,7 @@
     backend.expect_close();
 }
 
-/// A response without a length, or in chunks, fails as soon as it is longer than any response may be.
+/// A response without a length, or in chunks, fails as soon as it exceeds the longest body that is accepted.
 #[test]
 fn a_response_that_proves_too_long_fails_at_once() {
     let megabyte = "x".repeat(1 << 20);
@@ -136,15 +138,15 @@
             mut client,
             mut backend,
         } = forward_request(&fixture, "id-1", "charge");
-        // The gateway may close before all is written.
+        // The gateway may close the connection before all bytes are written.
         let _ = backend.reader.get_mut().write_all(start.as_bytes());
         assert_eq!(client.read().status(), 502, "{name}");
         backend.expect_close();
     }
 }
 
-/// A response that cannot be told to be complete fails at once, and a non-idempotent request with it; the connection is
-/// closed, and the next request is served on another.
+/// A malformed or endless response fails at once, and so does its non-idempotent request. The connection is closed, and
+/// the next request is served on another one.
 #[test]
 fn a_malformed_response_fails_at_once() {
     let endless = format!(
@@ -183,12 +185,12 @@
         let mut backend = fixture.backends[0].accept();
         backend.read();
         let start = Instant::now();
-        // The gateway may close before all is written.
+        // The gateway may close the connection before all bytes are written.
         let _ = backend.reader.get_mut().write_all(text.as_bytes());
         assert_eq!(client.read().status(), 502, "{name}");
         assert!(
             start.elapsed().as_secs_f64() < 3.0,
-            "{name}: waited for more"
+            "{name}: the gateway waited for more of the response"
         );
         backend.expect_close();
         client.write(request_with("id-2", "charge", "wide", LONG_TIMEOUT));
@@ -199,7 +201,7 @@
     }
 }
 
-/// A valid response is forwarded although 1xx responses precede it and its usage headers are malformed.
+/// A valid response is forwarded even if 1xx responses precede it and its usage headers are malformed.
 #[test]
 fn a_valid_response_with_malformed_usage_headers_is_forwarded() {
     let fixture = TestFixture::new(1);
@@ -220,8 +222,8 @@
     );
 }
 
-/// A response far beyond the agreed 64 KiB is forwarded completely, with a length or in chunks, and many of them one after
-/// another: the memory that each takes is released.
+/// Responses far beyond the agreed 64 KiB are forwarded completely, with a length or in chunks. Many of them can follow
+/// one another, because the memory that each takes is released.
 #[test]
 fn a_long_response_is_forwarded_completely() {
     let fixture = TestFixture::new(1);
@@ -229,7 +231,7 @@
     let long = "0123456789abcdef".repeat(25_000);
     client.write(request_with("id-0", "charge", "wide", LONG_TIMEOUT));
     let mut backend = fixture.backends[0].accept();
-    // Together they are longer than the memory of the gateway.
+    // Together, the responses are longer than the memory of the gateway.
     for number in 1..=200 {
         backend.read();
         if number % 2 == 0 {
@@ -255,8 +257,8 @@
     }
 }
 
-/// Memory is reserved as responses grow, so many long responses at once that state no length before their end are all
-/// forwarded completely.
+/// Many long responses at once that do not state their lengths are all forwarded completely, because memory is reserved
+/// only as each response grows.
 #[test]
 fn many_long_responses_at_once_are_forwarded_completely() {
     let body = "0123456789abcdef".repeat(6_000);
@@ -315,9 +317,9 @@
     }
 }
 
-/// Sends requests for long responses, one after another, and reads none until the gateway can write no more and the
-/// deadline of the last one has just passed. Returns whether all of them then arrive completely, or `None` if the machine
-/// was too slow to tell.
+/// Sends requests with long responses, one after another, and reads no response until the gateway cannot write any more
+/// and the deadline of the last request has just passed. Returns whether all responses then arrive completely, or
+/// `None` if the machine was too slow for the result to be valid.
 fn read_just_after_the_deadline() -> Option<bool> {
     let timeout = Duration::from_millis(1500);
     let fixture = TestFixture::new(1);
@@ -329,7 +331,7 @@
     let body = "0123456789abcdef".repeat(60_000);
     let mut responses = 0;
     let mut last = Instant::now();
-    // The system buffers some MB for a client that does not read; the rest waits in the gateway.
+    // The operating system buffers some MB for a client that does not read; the rest waits in the gateway.
     while backend.receives_within(Duration::from_millis(300)) {
         last = Instant::now();
         backend.read();
@@ -350,8 +352,8 @@
     in_time.then_some(complete && received.len() == expected)
 }
 
-/// A response that is being written to a slow client at the request's deadline goes on for as long as its client may still
-/// read it.
+/// A response that is being written to a slow client at the request's deadline is written to its end, because the
+/// client may still read it.
 #[test]
 fn a_response_being_written_at_the_deadline_is_completed() {
     let complete = (0..10).find_map(|_| read_just_after_the_deadline());
--- a/tests/connection_reuse.rs
+++ b/tests/connection_reuse.rs
@@ -1,16 +1,16 @@
-//! Connections to backends between one request and the next, over loopback sockets: when they are reused, and what must
-//! not be read from them.
+//! Reuse of connections to backends, over loopback sockets: when a connection is reused, and that bytes after a
+//! response are never taken for the next response.
 
 use cometspool_fault_injection::scripted_peers::*;
 use std::io::Read;
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long a connection rests after a response before it is reused, as a backend can measure it: delays only lengthen
-/// what it sees.
-const REST: Duration = Duration::from_millis(3);
+/// The minimum time between a response and the next request on the same connection. A backend measures at least this
+/// time, because delays only lengthen it.
+const SETTLE_TIME: Duration = Duration::from_millis(3);
 
-/// Connections are reused on both sides: new ones cost the backend work.
+/// Connections of clients and to backends are reused, because new connections cost the backend work.
 #[test]
 fn connections_to_clients_and_backends_are_reused() {
     let fixture = TestFixture::new(1);
@@ -29,7 +29,7 @@
     assert!(fixture.no_backend_contacted());
 }
 
-/// A connection that the backend has closed while it was idle is not reused.
+/// A connection that the backend has closed while it was idle is not reused; the next request gets a new connection.
 #[test]
 fn a_closed_idle_connection_is_not_reused() {
     let fixture = TestFixture::new(1);
@@ -40,7 +40,7 @@
     backend.respond(200, "", "one");
     assert_eq!(client.read().body, b"one");
     backend.reader.get_mut().shutdown(Shutdown::Write).unwrap();
-    // Once the gateway has closed its own side, it has seen the close.
+    // The gateway closes its own side once it has seen the backend's close.
     backend.expect_close();
     client.write(request_with("id-2", "charge", "wide", LONG_TIMEOUT));
     let mut backend = fixture.backends[0].accept();
@@ -49,12 +49,12 @@
     assert_eq!(client.read().body, b"two");
 }
 
-/// What a backend sends behind a response, in one write with it or later, never becomes the next request's response. The
-/// response itself is forwarded, and the connection is not reused.
+/// Bytes that a backend sends after a response, in the same write or later, are never taken for the response to the
+/// next request. The response itself is forwarded, and the connection is not reused.
 #[test]
-fn bytes_behind_a_response_reach_no_other_request() {
+fn bytes_after_a_response_reach_no_other_request() {
     let duplicate = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
-    for (behind, together) in [
+    for (extra, together) in [
         (duplicate, true),
         ("noise", true),
         (duplicate, false),
@@ -67,24 +67,25 @@
         backend.read();
         let response = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
         if together {
-            backend.write(format!("{response}{behind}"));
+            backend.write(format!("{response}{extra}"));
             assert_eq!(client.read().body, b"one");
         } else {
             backend.write(response);
             assert_eq!(client.read().body, b"one");
-            backend.write(behind);
+            backend.write(extra);
         }
         client.write(request_with("id-2", "charge", "wide", LONG_TIMEOUT));
         let mut second = fixture.backends[0].accept();
         assert_eq!(second.read().header("request-id"), Some("id-2"));
         second.respond(200, "", "two");
-        assert_eq!(client.read().body, b"two", "{behind} together: {together}");
+        assert_eq!(client.read().body, b"two", "{extra} together: {together}");
         backend.expect_close();
     }
 }
 
-/// A backend vanishes, and its connections stay open and silent: the first attempt that times out closes its connection
-/// and the idle ones, which are as dead; the next request opens a new one.
+/// If a backend stops responding while its connections stay open, the first attempt that times out closes its
+/// connection and the idle connections to the same backend, which are presumably dead, too. The next request opens a
+/// new connection.
 #[test]
 fn a_timed_out_attempt_closes_idle_connections_to_the_same_backend() {
     let fixture = TestFixture::new(1);
@@ -108,7 +109,8 @@
         backend.respond(200, "", "ok");
         assert_eq!(client.read().status(), 200);
     }
-    // From here on the backend is silent. Both connections close: the one that was used and the idle one.
+    // From here on the backend does not respond. Both connections are closed: the one with the request and the idle
+    // one.
     clients[0].write(request_with("id-2", "charge", "wide", "0.7"));
     assert!(clients[0].read().status() >= 400);
     let received: Vec<bool> = connections
@@ -122,10 +124,13 @@
     );
     for (mut connection, received) in connections.into_iter().zip(received) {
         let mut rest = Vec::new();
-        // A reset is a close as well; a read that only timed out is none.
+        // A reset also counts as a close; a read that timed out does not.
         let result = connection.reader.read_to_end(&mut rest);
         let open = result.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock);
-        assert!(!open, "still open, received {received}");
+        assert!(
+            !open,
+            "the connection is still open; received a request: {received}"
+        );
     }
     clients[0].write(request_with("id-3", "charge", "wide", LONG_TIMEOUT));
     let mut backend = fixture.backends[0].accept();
@@ -134,11 +139,11 @@
     assert_eq!(clients[0].read().status(), 200);
 }
 
-/// A gateway with one backend, and a first request that has reached it over the only connection.
+/// A gateway with one backend, and a first request that has reached the backend over its only connection.
 struct FirstRequest {
     program: GatewayProcess,
     backend: TestListener,
-    /// Connections that filled the backend's accept queue, all of them accepted.
+    /// The connections that filled the backend's accept queue; the backend has accepted all of them.
     fillers: Vec<TcpStream>,
     client: ScriptedConnection,
     connection: ScriptedConnection,
@@ -171,11 +176,11 @@
         }
     }
 
-    /// Fills the backend's accept queue again.
+    /// Fills the backend's accept queue again, so that no further connection can be established.
     fn refill(&self) -> Vec<TcpStream> {
         self.fillers
             .iter()
-            .map(|_| TcpStream::connect(self.backend.address()).expect("a queue for two"))
+            .map(|_| TcpStream::connect(self.backend.address()).expect("room in the accept queue"))
             .collect()
     }
 
@@ -188,14 +193,14 @@
     }
 }
 
-/// A duplicate response may come some milliseconds late: a connection is reused only once it would have arrived, whether
-/// the next request comes later or has waited for the connection.
+/// A duplicate response may arrive some milliseconds after the response. A connection is therefore reused only after
+/// the settle time, whether the next request comes later or already waits for the connection.
 #[test]
 fn a_connection_rests_before_it_is_reused() {
     for waits in [false, true] {
         let mut first = FirstRequest::send();
         let mut second = first.program.connect_client();
-        // No further connection can be established.
+        // From here on no further connection can be established.
         let _fillers = first.refill();
         if waits {
             first.send_waiting(&mut second);
@@ -208,8 +213,8 @@
         }
         assert_eq!(first.connection.read().header("request-id"), Some("second"));
         assert!(
-            responded.elapsed() >= REST,
-            "waits {waits}: after {:?}",
+            responded.elapsed() >= SETTLE_TIME,
+            "waits {waits}: reused after {:?}",
             responded.elapsed()
         );
         first.connection.respond(200, "", "two");
@@ -217,8 +222,9 @@
     }
 }
 
-/// A duplicate response has arrived behind the first when its connection becomes idle: it is discarded, the connection is
-/// closed, and the request that waited for the connection, or comes next, gets its own response on another.
+/// If a duplicate response has arrived by the time at which its connection becomes idle, it is discarded and the
+/// connection is closed. The request that waits for the connection, or comes next, gets its own response on another
+/// connection.
 #[test]
 fn a_duplicate_response_is_discarded_and_closes_its_connection() {
     for waits in [false, true] {
@@ -228,7 +234,7 @@
         if waits {
             first.send_waiting(&mut second);
         }
-        // In two writes, found in one turn of the event loop.
+        // The gateway finds both writes in one iteration of its event loop.
         first.program.pause();
         first.connection.respond(200, "", "one");
         first.connection.respond(200, "", "stray");
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,12 +1,12 @@
-//! Which requests are retried, over loopback sockets: those that never ran, and those that may be repeated where and for as
-//! long as that is safe.
+//! Which requests are retried, over loopback sockets: those that never ran, and those whose repetition is safe, for as
+//! long as it is safe and only at backends where it is safe.
 
 use cometspool_fault_injection::scripted_peers::*;
 use serde_json::Value;
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// A way in which an attempt ends.
+/// A way in which a backend ends an attempt; the connection may stay open.
 struct AttemptEnd {
     name: &'static str,
     act: fn(&mut ScriptedConnection),
@@ -16,7 +16,7 @@
     backend.reader.get_mut().shutdown(Shutdown::Both).unwrap();
 }
 
-/// Ways in which a backend ends an attempt that may have run.
+/// The ways to end an attempt after which its request may have run.
 const MAY_HAVE_RUN: [AttemptEnd; 6] = [
     AttemptEnd {
         name: "500",
@@ -47,7 +47,7 @@
     },
 ];
 
-/// A non-idempotent request that may have run is not retried, and its response is neither 200 nor a rejection.
+/// A non-idempotent request that may have run is not retried, and the client's response is neither 200 nor a rejection.
 #[test]
 fn a_non_idempotent_request_that_may_have_run_fails_without_a_retry() {
     for AttemptEnd { name, act } in MAY_HAVE_RUN {
@@ -63,7 +63,7 @@
     }
 }
 
-/// A request that never ran is retried, also a non-idempotent one.
+/// A request that never ran is retried, even if it is non-idempotent.
 #[test]
 fn a_non_idempotent_request_that_never_ran_is_retried() {
     for status in [503, 504] {
@@ -73,7 +73,7 @@
         let (first, mut backend) = fixture.accept_any();
         backend.read();
         backend.respond(status, "Not-Started: 1\r\n", "");
-        // The backend that rejected it is avoided for a while.
+        // The backend that rejected the request is avoided for a while.
         let mut backend = fixture.backends[1 - first].accept();
         assert_eq!(backend.read().header("request-id"), Some("id-1"));
         backend.respond(200, "", "done");
@@ -81,7 +81,7 @@
     }
 }
 
-/// A request whose connection was refused never ran, so also a non-idempotent one may be rejected.
+/// A request whose connection was refused never ran, so even a non-idempotent one is rejected, which permits a retry.
 #[test]
 fn a_refused_connection_counts_as_never_run() {
     let discovery = TestListener::new();
@@ -96,8 +96,8 @@
     assert_eq!(client.read().status(), 429);
 }
 
-/// An attempt of an idempotent request that hangs is given up by closing its connection first, and another backend serves
-/// the request well before its client stops waiting.
+/// If an attempt of an idempotent request hangs, its connection is closed, and another backend serves the request well
+/// before the client stops waiting.
 #[test]
 fn a_hung_attempt_leaves_time_for_a_retry() {
     let mut settings = default_settings();
@@ -116,7 +116,7 @@
     assert_eq!(client.read().body, b"in time");
 }
 
-/// A gateway with three backends, the last in a cell of its own.
+/// A gateway with three backends: two in one cell, and the last in another cell.
 struct Cells {
     program: GatewayProcess,
     backends: Vec<TestListener>,
@@ -124,11 +124,11 @@
 }
 
 impl Cells {
-    /// Starts a gateway for which a cell remembers an idempotency key for `memory_ms`.
-    fn start(memory_ms: f64) -> Cells {
+    /// Starts a gateway with settings by which a cell remembers an idempotency key for `retention_ms`.
+    fn start(retention_ms: f64) -> Cells {
         let mut settings = default_settings();
         settings["grades"][1]["group"] = "cell".into();
-        settings["grades"][1]["memory_span"] = memory_ms.into();
+        settings["grades"][1]["memory_span"] = retention_ms.into();
         let discovery = TestListener::new();
         let backends: Vec<TestListener> = (0..3).map(|_| TestListener::new()).collect();
         let hosts: Vec<Value> = (0..3)
@@ -151,7 +151,7 @@
     }
 }
 
-/// A way in which an attempt that may have run ends, with the end of its connection.
+/// A way in which a backend ends an attempt, and its connection with it, after which the request may have run.
 struct FinalEnd {
     name: &'static str,
     act: fn(ScriptedConnection),
@@ -174,32 +174,32 @@
     },
 ];
 
-/// The first attempt of a request with an idempotency key may have run: every retry is sent to the same cell, and once the
-/// cell may have forgotten the key there is none, and no response that calls a repetition safe.
+/// If the first attempt of a request with an idempotency key may have run, retries go only to the same cell. Once the
+/// cell may have forgotten the key, there is no retry, and the client does not get a response that permits one.
 #[test]
 fn a_request_with_a_key_is_retried_only_where_and_while_its_key_is_remembered() {
     for FinalEnd { name, act } in FINAL_ENDS {
-        for memory_ms in [8000.0, 50.0] {
+        for retention_ms in [8000.0, 50.0] {
             let Cells {
                 program,
                 backends,
                 _discovery,
-            } = Cells::start(memory_ms);
+            } = Cells::start(retention_ms);
             let mut client = program.connect_client();
             client.write(request_with("keyed", "extend", "wide", LONG_TIMEOUT));
             let (first, mut backend) =
                 accept_any_unless_answered(&backends, &client).expect("a first attempt");
             assert_eq!(backend.read().header("idempotency-key"), Some("5c0f6e1a"));
             let received = Instant::now();
-            if memory_ms < 100.0 {
-                // A longer wait does no harm: the key stays forgotten.
-                wait_for("a key that is forgotten", || {
+            if retention_ms < 100.0 {
+                // A longer wait does not change the result: the key stays forgotten.
+                wait_for("the end of the retention of the key", || {
                     (received.elapsed() > Duration::from_millis(60)).then_some(())
                 });
             }
             act(backend);
             let retry = accept_any_unless_answered(&backends, &client);
-            if memory_ms < 100.0 {
+            if retention_ms < 100.0 {
                 assert!(
                     retry.is_none(),
                     "{name}: retried after its key was forgotten"
@@ -209,8 +209,11 @@
                 continue;
             }
             let Some((second, mut backend)) = retry else {
-                // Its cell may have no other backend.
-                assert_eq!(first, 2, "{name}: another of its cell was there");
+                // The third backend is the only one of its cell.
+                assert_eq!(
+                    first, 2,
+                    "{name}: no retry although the cell has another backend"
+                );
                 assert!(client.read().status() >= 500, "{name}");
                 continue;
             };
@@ -222,10 +225,10 @@
     }
 }
 
-/// A backend to which a connection is established only once `open` is called.
+/// A backend to which no connection is established until `open` is called.
 struct ClosedBackend {
     listener: TestListener,
-    /// Connections in its accept queue; they stay there after their other ends have closed.
+    /// The number of connections that fill the accept queue; they stay there after the other ends have closed them.
     fillers: usize,
 }
 
@@ -242,7 +245,7 @@
         is_connecting(self.listener.address())
     }
 
-    /// Lets the waiting connection be established.
+    /// Empties the accept queue, so that the waiting connection is established, and accepts it.
     fn open(&mut self) -> ScriptedConnection {
         for _ in 0..std::mem::take(&mut self.fillers) {
             self.listener.accept();
@@ -251,21 +254,22 @@
     }
 }
 
-/// What happened to a request with a key whose retry was due within the window in which its key is remembered, and could be
-/// sent only after it.
+/// The outcome for a request with an idempotency key whose retry was due while the key was remembered, but could be
+/// sent only after the key may have been forgotten.
 #[derive(Debug, PartialEq)]
-enum LateRetry {
-    /// It was sent to the second backend.
+enum DelayedRetry {
+    /// The retry was sent to the second backend.
     Sent,
     /// The request was answered with this status.
     Answered(u16),
-    /// The window had passed before there was a retry: the run shows nothing.
-    NotTried,
+    /// No retry was due before the key may have been forgotten, so the run is not conclusive.
+    Inconclusive,
 }
 
-fn delay_retry_beyond_window(memory_ms: f64) -> LateRetry {
+/// Runs a request whose retry gets its connection only after `retention_ms`, when its key may have been forgotten.
+fn delay_retry_beyond_retention(retention_ms: f64) -> DelayedRetry {
     let mut settings = default_settings();
-    settings["grades"][1]["memory_span"] = memory_ms.into();
+    settings["grades"][1]["memory_span"] = retention_ms.into();
     settings["policy_limits"]["dial_timeout"] = 20_000.0.into();
     let discovery = TestListener::new();
     let mut backends = [ClosedBackend::new(), ClosedBackend::new()];
@@ -291,27 +295,27 @@
         (second.is_connecting() || client.is_readable()).then_some(())
     });
     if !second.is_connecting() {
-        return LateRetry::NotTried;
+        return DelayedRetry::Inconclusive;
     }
-    wait_for("the end of the window", || {
-        (start.elapsed().as_secs_f64() * 1000.0 > memory_ms).then_some(())
+    wait_for("the end of the retention of the key", || {
+        (start.elapsed().as_secs_f64() * 1000.0 > retention_ms).then_some(())
     });
     let late = second.open();
     if late.is_readable_before(&client) {
-        LateRetry::Sent
+        DelayedRetry::Sent
     } else {
-        LateRetry::Answered(client.read().status())
+        DelayedRetry::Answered(client.read().status())
     }
 }
 
-/// A retry that was due within the window in which its key is remembered, but whose connection is established only after
-/// it, is not sent, and the request fails at once.
+/// A retry that is due while its key is remembered, but gets its connection only after the key may have been forgotten,
+/// is not sent, and the request fails at once.
 #[test]
 fn a_retry_is_not_sent_after_its_key_may_be_forgotten() {
-    // On a machine that is held up, the longer window shows it.
+    // If a slow machine makes the run with the shorter retention inconclusive, the longer one is tried.
     let outcome = [3000.0, 7000.0]
         .into_iter()
-        .map(delay_retry_beyond_window)
-        .find(|outcome| *outcome != LateRetry::NotTried);
-    assert_eq!(outcome, Some(LateRetry::Answered(502)));
+        .map(delay_retry_beyond_retention)
+        .find(|outcome| *outcome != DelayedRetry::Inconclusive);
+    assert_eq!(outcome, Some(DelayedRetry::Answered(502)));
 }
