--- a/src/connection_pool/endpoint_pool.rs
+++ b/src/connection_pool/endpoint_pool.rs
@@ -15,8 +15,8 @@
 const DEMAND_RISE_TIME_CONSTANT: Millis = 1_000.0;
 /// The maximum number of dials in flight to one backend.
 pub(super) const MAX_CONCURRENT_DIALS: usize = 2;
-/// The time after a backend's connection table was found full during which no dial starts and no
-/// further refusal counts, in milliseconds.
+/// The backoff after a backend's connection table was found full, in milliseconds. Until it ends, no
+/// dial starts while connections are busy, and no further refusal counts.
 const TABLE_FULL_BACKOFF: Millis = 250.0;
 /// The time in which a table limit grows by one connection, in milliseconds. The growth is slow
 /// compared with the halving so that the gateways of a fleet converge to a stable level.
@@ -65,7 +65,8 @@
     demand_updated_at: Millis,
     /// `None` until the backend refuses a connection because its table is full.
     table_limit: Option<TableLimit>,
-    /// The end of the backoff after a full table: no dial starts before this time.
+    /// The end of the backoff after a full table: no dial starts before this time while connections
+    /// are busy.
     pub(super) no_dial_before: Millis,
     /// The value of `no_dial_before` for which the driver was last asked to wake the pool.
     wakeup_at: Millis,
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -103,8 +103,8 @@
 }
 
 impl Driver {
-    /// Creates a driver with an empty endpoint list that runs attempts over sockets. `wake_recorder` has recorded the
-    /// wake-ups of the event loop since the process started.
+    /// Creates a driver with an empty endpoint list that runs attempts over sockets. `wake_recorder` records when the
+    /// event loop has woken up since the process started.
     ///
     /// # Errors
     ///
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -76,8 +76,8 @@
         loop {
             let connection = match self.connect().await {
                 Ok(connection) => connection,
-                // The failed connect already counts against the backend, so the connections that
-                // broke before are not reported.
+                // A failed connect says more about the backend than the pooled connections that
+                // broke before, so these are not reported.
                 Err(Outcome::ConnectFailed) => return failed(Outcome::ConnectFailed, 0),
                 Err(outcome) => return failed(outcome, broken_connections),
             };
