--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,14 @@
 //! The policy of an admission gateway for a service sold by plan: which requests to admit, which backend each is
 //! forwarded to, and when to retry.
 //!
-//! The policy is pure. Its driver owns sockets, connections, timers and the clock: it makes one [`PolicyEngine`]
-//! from [`Settings`] and a seed, reports every [`Event`] with its time, and carries out each [`Action`] that comes
-//! back. The policy reads no clock, does no I/O and shares no state, so the same events give the same actions.
+//! The policy is sans I/O. Its driver owns the sockets, connections, timers and the clock. The driver creates one
+//! [`PolicyEngine`] from [`Settings`] and a seed, reports every [`Event`] with its time, and executes each [`Action`]
+//! that the engine returns. The policy reads no clock, does no I/O and shares no state, so the same events always
+//! produce the same actions.
 //!
-//! Admission is by recent average rate limiters, with a [`Cewma`] and a penalty box for each customer. The modules
-//! of the policy are private; their documentation says which subject each has. [`settings`] parses the text that a
-//! deployment writes its settings in.
+//! Requests are admitted by recent average rate limiters, with a [`Cewma`] and a penalty box for each customer. The
+//! modules of the policy are private; the documentation of each module describes its responsibility. [`settings`]
+//! parses the text format in which a deployment writes its settings.
 //!
 //! ```
 //! use cometspool::*;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's process: starts it, and ends with its exit code.
+//! Entry point of the gateway: runs the gateway until it shuts down and maps a start-up error to the exit code.
 
 #![forbid(unsafe_code)]
 
@@ -18,7 +18,8 @@
     }
 }
 
-/// Serves on one thread: a gateway has one core, and nothing on the path of a request needs a lock.
+/// Runs the gateway on a single-threaded runtime. A gateway has one core, and a single thread needs no locks on the
+/// path of a request.
 fn serve() -> Result<(), StartError> {
     let wake_recorder = WakeRecorder::new();
     let recorder = wake_recorder.clone();
--- a/src/net/control/config/error.rs
+++ b/src/net/control/config/error.rs
@@ -71,7 +71,7 @@
 
 impl ConfigError {
     /// The exit code of a start that ends with this error: 2 for the `fleet` section, 1 for all else.
-    pub(crate) fn code(&self) -> u8 {
+    pub(crate) fn exit_code(&self) -> u8 {
         if matches!(self, ConfigError::Fleet(_)) {
             2
         } else {
--- a/src/net/control/config/file/tests.rs
+++ b/src/net/control/config/file/tests.rs
@@ -111,13 +111,16 @@
     let section =
         serde_json::json!({"name": "f", "listen": "127.0.0.1:1", "peers": [], "links": 200});
     let error = file_with("fleet", section).fleet_section("n0").unwrap_err();
-    assert_eq!(error.code(), 2);
+    assert_eq!(error.exit_code(), 2);
     assert_eq!(
         error.to_string(),
         "fleet.accepted: 64 and fleet.links: 200 leave too little of 256 sockets"
     );
     assert_eq!(
-        file_with("seed", "xyz".into()).check().unwrap_err().code(),
+        file_with("seed", "xyz".into())
+            .check()
+            .unwrap_err()
+            .exit_code(),
         1
     );
     assert_eq!(
--- a/src/net/control/config/tests.rs
+++ b/src/net/control/config/tests.rs
@@ -9,5 +9,5 @@
         error.to_string(),
         "BALANCER_LISTEN: \"localhost\" is not an address with a port"
     );
-    assert_eq!(error.code(), 1);
+    assert_eq!(error.exit_code(), 1);
 }
--- a/src/net/downstream/connections.rs
+++ b/src/net/downstream/connections.rs
@@ -1,12 +1,12 @@
 //! Client connections: the accept loop, the registry of open connections, and the timeouts that end them.
 //!
-//! | module | concern |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `state` | what one connection is doing, and since when |
-//! | `io` | the socket as hyper sees it: notes when bytes arrive, and limits writes |
-//! | `service` | serves one connection: hands its requests to the [`RequestHandler`] and writes the answers |
-//! | `response` | HTTP responses |
-//! | `eviction`, `eviction_rank` | which connection makes room for a new one at the limit |
+//! | `state` | the state of one connection, with its timestamps |
+//! | `io` | the socket as hyper uses it: records when bytes arrive, and enforces the write deadline |
+//! | `service` | serves one connection: passes its requests to the [`RequestHandler`] and writes the answers |
+//! | `response` | builds the HTTP responses |
+//! | `eviction`, `eviction_rank` | which connection is closed for a new one at the connection limit |
 //! | `shutdown` | graceful shutdown |
 
 mod eviction;
@@ -30,48 +30,51 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{oneshot, watch, Notify};
 
-/// How often all connections are checked for timeouts and for clients that disconnected.
+/// Interval at which all connections are checked for timeouts and disconnected clients.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Shortest stall of the event loop, in milliseconds, that is reported to the operators.
+/// Minimum length of an event loop stall that is logged, in milliseconds.
 const MIN_REPORTED_STALL: Millis = 250.0;
 
-/// Decides on the requests that the connections read, and answers them.
+/// Answers the requests that are read from client connections.
 pub(crate) trait RequestHandler {
-    /// Whether there is an endpoint list to serve from.
+    /// Whether an endpoint list has been received, so that requests can be served.
     fn is_ready(&self) -> bool;
-    /// Takes a request in and returns its id with the receiver of its one final answer; `None` if a request with the same
-    /// id has come before.
+    /// Submits a request. Returns its id and the receiver of its one final answer, or `None` if a request with the same
+    /// id was submitted before.
     fn submit(&self, incoming: IncomingRequest) -> Option<(RequestId, oneshot::Receiver<Answer>)>;
-    /// Notes that the client of a request has disconnected; does nothing if the request has been answered.
+    /// Called when the client of a request has disconnected. Does nothing if the request has been answered.
     fn client_disconnected(&self, id: RequestId);
-    /// Begins a graceful shutdown that has to have answered all requests by `end`.
+    /// Begins a graceful shutdown. All requests must have been answered by `end`, in milliseconds on the gateway's
+    /// clock.
     fn begin_shutdown(&self, end: Millis);
-    /// Rejects every request submitted from now on, since the shutdown is too far along to serve it.
+    /// Rejects every request submitted from now on. Called when too little time is left to serve new requests before
+    /// the shutdown ends.
     fn reject_new_requests(&self);
-    /// The number of requests without a final answer.
+    /// Number of requests that have no final answer yet.
     fn pending_requests(&self) -> usize;
 }
 
-/// All connections of clients: accepts them, keeps their number within the limit, and ends them.
+/// All client connections: accepts them, enforces the connection limit, and closes them.
 pub(crate) struct DownstreamConnections {
     handler: Rc<dyn RequestHandler>,
     context: Rc<RuntimeContext>,
-    /// The most connections that may be open.
+    /// Maximum number of open connections.
     limit: usize,
-    /// The open connections, by number in the order of their acceptance.
+    /// The open connections. The key numbers the connections in the order in which they were accepted.
     open: RefCell<HashMap<u64, Rc<ConnectionState>>>,
-    /// How many connections have been accepted.
+    /// Number of connections accepted since the start, which is also the key of the latest one in `open`.
     accepted: Cell<u64>,
-    /// Notified whenever a connection has closed.
+    /// Notified each time a connection has closed.
     closed: Notify,
-    /// Set when a new connection waits and none can be evicted, until there is room: each response then closes its
+    /// Set while a new connection waits for a free slot and none can be evicted. Each response then closes its
     /// connection.
     keep_alive_disabled: Cell<bool>,
     phase: watch::Sender<ShutdownPhase>,
 }
 
 impl DownstreamConnections {
-    /// The client side of `handler`, in a process that may have `descriptors` descriptors open.
+    /// Creates the registry of the connections whose requests `handler` answers. The connection limit follows from
+    /// `descriptors`, the number of file descriptors that clients and backends may use.
     pub(crate) fn new(
         handler: Rc<dyn RequestHandler>,
         context: Rc<RuntimeContext>,
@@ -89,7 +92,7 @@
         })
     }
 
-    /// Accepts connections for as long as the gateway runs, during a graceful shutdown too.
+    /// Accepts connections for as long as the gateway runs, including during a graceful shutdown.
     pub(crate) async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -110,8 +113,8 @@
         tokio::task::spawn_local(self.clone().serve(number, connection));
     }
 
-    /// Closes connections whose time is over or whose client has disconnected, for as long as the gateway runs. Its timer
-    /// is also the one by which stalls of the event loop are detected.
+    /// Periodically closes connections that have timed out or whose client has disconnected, for as long as the gateway
+    /// runs. Its timer also serves to detect stalls of the event loop.
     pub(crate) async fn close_expired_connections(self: Rc<Self>) {
         let stall_monitor = &self.context.stall_monitor;
         loop {
@@ -129,10 +132,11 @@
 
     fn close_expired(&self, now: Millis) {
         for connection in self.open.borrow().values() {
-            // Bytes behind a request hide that its client disconnected from a reader that reads only when it has to.
+            // While a request awaits its response, hyper reads no further than it has to. Pipelined bytes behind that
+            // request would hide the disconnect from hyper, so it is checked here.
             if connection.awaits_response() && connection.is_disconnected() {
                 connection.request_close(CloseMode::Immediate);
-            } else if let Some(mode) = connection.expired(now) {
+            } else if let Some(mode) = connection.timeout_close_mode(now) {
                 connection.request_close(mode);
             }
         }
--- a/src/net/downstream/connections/eviction.rs
+++ b/src/net/downstream/connections/eviction.rs
@@ -1,4 +1,4 @@
-//! Eviction: which connection is closed to make room for a new one when as many are open as the descriptors allow.
+//! Eviction: chooses the connection to close for a new one when the connection limit is reached.
 
 use super::eviction_rank::EvictionKind;
 use super::state::{CloseMode, ConnectionState};
@@ -7,33 +7,34 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a new connection waits for an evicted one to close before the next candidate is chosen.
+/// How long to wait for an evicted connection to close before the next candidate is chosen.
 const EVICTION_WAIT: Duration = Duration::from_millis(20);
 
-/// A connection that may be evicted.
+/// A connection that may be evicted, and its kind.
 struct EvictionCandidate {
     kind: EvictionKind,
     connection: Rc<ConnectionState>,
 }
 
 impl DownstreamConnections {
-    /// Waits until one more connection may be open, evicting one at a time.
+    /// Waits until the number of open connections is below the limit, evicting one connection at a time.
     ///
-    /// A connection that the system has accepted takes a descriptor of this process already, so it is never left waiting
-    /// for long. Where nothing may be evicted, responses close their connections until there is room.
+    /// A new connection has already been accepted and takes a file descriptor of this process, so a free slot has to be
+    /// found quickly. While no connection may be evicted, each response closes its connection until a slot is free.
     pub(super) async fn wait_for_free_slot(&self) {
         while self.open.borrow().len() >= self.limit {
             match self.eviction_candidate(self.context.clock.now()) {
                 Some(candidate) => candidate.evict(),
                 None => self.keep_alive_disabled.set(true),
             }
-            // Whether one has closed or the wait is over, the loop looks again.
+            // The loop checks the limit again in both cases, after a close and after the timeout.
             let _ = tokio::time::timeout(EVICTION_WAIT, self.closed.notified()).await;
         }
         self.keep_alive_disabled.set(false);
     }
 
-    /// The connection of the highest rank on which no bytes wait unread, if any may be evicted.
+    /// The connection with the highest eviction rank among those without unread bytes; `None` if no connection may be
+    /// evicted.
     fn eviction_candidate(&self, now: Millis) -> Option<EvictionCandidate> {
         let open = self.open.borrow();
         let mut ranked = Vec::new();
@@ -43,7 +44,7 @@
             }
         }
         ranked.sort_by(|(a, _), (b, _)| b.total_cmp(a));
-        // Sorted first, since each check for unread bytes is a system call.
+        // Sorted before the check for unread bytes, since each check is a system call.
         let (rank, connection) = ranked
             .into_iter()
             .find(|(_, connection)| !connection.has_unread_bytes())?;
@@ -57,7 +58,7 @@
 impl EvictionCandidate {
     fn evict(&self) {
         let mode = match self.kind {
-            // A request that has begun to arrive meanwhile is still answered.
+            // A graceful close still answers a request that has begun to arrive in the meantime.
             EvictionKind::Idle => CloseMode::Graceful,
             EvictionKind::SlowRequest | EvictionKind::Unused => CloseMode::Immediate,
         };
--- a/src/net/downstream/connections/eviction_rank.rs
+++ b/src/net/downstream/connections/eviction_rank.rs
@@ -1,25 +1,25 @@
-//! How readily a client connection is evicted.
+//! The order in which client connections are evicted.
 
 use cometspool::Millis;
 use std::cmp::Ordering;
 
-/// What an eviction would interrupt. Later variants are evicted first.
+/// The activity that an eviction would interrupt. The variants are in ascending order: later ones are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionKind {
-    /// A request that is slow to arrive.
+    /// A request that is arriving slowly.
     SlowRequest,
-    /// Nothing: the connection is between two requests.
+    /// None: the connection is idle between two requests.
     Idle,
-    /// Nothing: no byte has ever arrived on the connection.
+    /// None: no byte has ever arrived on the connection.
     Unused,
 }
 
-/// How readily a connection is evicted: by kind, then by how long it has been in that state.
+/// The eviction rank of a connection; the highest rank is evicted first. Ranks compare by kind, then by age.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EvictionRank {
-    /// What the eviction would interrupt.
+    /// The activity that the eviction would interrupt.
     pub(super) kind: EvictionKind,
-    /// How long the connection has been in that state, ms.
+    /// How long the connection has been in its present state, in milliseconds.
     pub(super) age: Millis,
 }
 
--- a/src/net/downstream/connections/io.rs
+++ b/src/net/downstream/connections/io.rs
@@ -1,4 +1,4 @@
-//! A client's socket as hyper reads and writes it.
+//! The adapter through which hyper reads and writes a client's socket.
 
 use super::state::ConnectionState;
 use crate::net::runtime::context::RuntimeContext;
@@ -10,16 +10,16 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Sleep;
 
-/// A client's socket that notes when bytes arrive, and that fails writes once nobody waits for the response any more.
+/// A client's socket that records when bytes arrive and fails pending writes after the write deadline.
 pub(super) struct ConnectionIo {
     connection: Rc<ConnectionState>,
     context: Rc<RuntimeContext>,
-    /// Runs while the client takes no more bytes.
+    /// Fires at the write deadline; `None` unless a write is pending because the client does not read.
     write_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl ConnectionIo {
-    /// The socket of `connection`, which closes when this is dropped.
+    /// Wraps the socket of `connection`. The socket is closed when this value is dropped.
     pub(super) fn new(
         connection: Rc<ConnectionState>,
         context: Rc<RuntimeContext>,
@@ -31,9 +31,9 @@
         }
     }
 
-    /// Guards against clients that send requests and do not read: a write that is still pending when the client no longer
-    /// takes the response fails with `TimedOut`, which ends the connection.
-    fn or_timed_out<T>(
+    /// Returns the result of a write, or `TimedOut` if the write is still pending at the write deadline. The error ends
+    /// the connection. This protects against clients that send requests and do not read the responses.
+    fn fail_after_write_deadline<T>(
         &mut self,
         cx: &mut Context<'_>,
         written: Poll<io::Result<T>>,
@@ -59,7 +59,7 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let filled_before = buf.filled().len();
-        if self.connection.is_read_broken() {
+        if self.connection.next_byte_was_dropped() {
             return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
         }
         let read = if self.connection.take_read_ahead(buf) {
@@ -86,11 +86,11 @@
         let written = self
             .connection
             .poll_socket(|stream| stream.poll_write(cx, buf));
-        self.or_timed_out(cx, written)
+        self.fail_after_write_deadline(cx, written)
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // hyper flushes once all that it had to write has been written.
+        // hyper flushes once all bytes of the response have been written to the socket.
         self.connection.response_written();
         self.connection.poll_socket(|stream| stream.poll_flush(cx))
     }
@@ -108,7 +108,7 @@
         let written = self
             .connection
             .poll_socket(|stream| stream.poll_write_vectored(cx, bufs));
-        self.or_timed_out(cx, written)
+        self.fail_after_write_deadline(cx, written)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -117,7 +117,8 @@
 }
 
 impl Drop for ConnectionIo {
-    /// Closes the connection at once, although attempts for its client may still hold its state.
+    /// Closes the socket immediately, since attempts for the client may still hold a reference to the connection's
+    /// state.
     fn drop(&mut self) {
         self.connection.close_socket();
     }
--- a/src/net/downstream/connections/response.rs
+++ b/src/net/downstream/connections/response.rs
@@ -1,4 +1,4 @@
-//! The HTTP responses that clients get.
+//! Builds the HTTP responses to clients.
 
 use crate::net::downstream::request::RequestError;
 use crate::net::messages::Answer;
@@ -7,7 +7,7 @@
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// The response to a readiness check: 200, or 503 as long as the gateway is not ready.
+/// The response to a readiness check: 200 if the gateway is ready, 503 if not.
 pub(super) fn health(is_ready: bool) -> Response<Full<Bytes>> {
     if is_ready {
         with_status(StatusCode::OK, Bytes::new())
@@ -16,7 +16,7 @@
     }
 }
 
-/// The response to a request that is not well formed, with the reason on one line.
+/// The response to a request that was not submitted, with the error message on one line as the body.
 pub(super) fn request_error(error: &RequestError) -> Response<Full<Bytes>> {
     with_status(error.status(), Bytes::from(format!("{error}\n")))
 }
@@ -27,7 +27,7 @@
         Answer::Served(body) => with_status(StatusCode::OK, body),
         Answer::Rejected(retry_after) => {
             let mut response = with_status(StatusCode::TOO_MANY_REQUESTS, Bytes::new());
-            // Seconds with three decimals, which this service's clients read.
+            // The clients of this service parse seconds with three decimals.
             let seconds = retry_after.map(|millis| format!("{:.3}", millis / 1000.0));
             if let Some(value) = seconds.and_then(|text| HeaderValue::try_from(text).ok()) {
                 response.headers_mut().insert(RETRY_AFTER, value);
--- a/src/net/downstream/connections/service.rs
+++ b/src/net/downstream/connections/service.rs
@@ -1,4 +1,4 @@
-//! Serves one connection over HTTP/1.1: reads its requests, hands them to the request handler and writes the answers.
+//! Serves one connection over HTTP/1.1: reads its requests, passes them to the request handler and writes the answers.
 
 use super::io::ConnectionIo;
 use super::response;
@@ -19,16 +19,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Path of the readiness check that the load balancer in front makes.
+/// Path of the readiness check, which the load balancer in front of the gateways requests.
 const HEALTH_PATH: &str = "/_health";
-/// How long a connection that was accepted after the idle ones were closed may take to send its request.
+/// How long a connection may take to send its request if it was accepted after the shutdown closed idle connections.
 const LATE_CONNECTION_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long after the end of a request's budget, in milliseconds, its client still takes the response: it is late then, and
-/// not lost.
+/// How long after the end of a request's budget its response may still be written, in milliseconds. A response within
+/// this time is late, but not lost.
 const LATE_RESPONSE_GRACE: Millis = 500.0;
 
 impl DownstreamConnections {
-    /// Serves the connection registered under `number` until it ends.
+    /// Serves the connection with the key `number` in the registry until it ends.
     pub(super) async fn serve(self: Rc<Self>, number: u64, state: Rc<ConnectionState>) {
         let _registration = Registration {
             connections: &self,
@@ -46,13 +46,14 @@
         let mut connection = std::pin::pin!(connection);
         let mut phase = self.phase.subscribe();
         let mut is_closing = false;
-        // A connection accepted once idle ones are closed gets a little time to send its request, so that the rejection
-        // can say when to come back.
+        // A connection accepted after idle connections were closed gets LATE_CONNECTION_TIMEOUT to send its request, so
+        // that the rejection can tell the client when to retry.
         let is_late = *phase.borrow() == ShutdownPhase::ClosingIdle;
         let mut late_timeout = std::pin::pin!(tokio::time::sleep(LATE_CONNECTION_TIMEOUT));
         loop {
             tokio::select! {
-                // An error means a client that disconnected, or one that sent no HTTP, which hyper has answered.
+                // An error means that the client disconnected or sent invalid HTTP. hyper has answered the latter
+                // itself.
                 _ = connection.as_mut() => return,
                 _ = phase.wait_for(|phase| *phase == ShutdownPhase::ClosingIdle), if !is_closing && !is_late => {}
                 () = late_timeout.as_mut(), if !is_closing && is_late => {}
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The response to one request; every outcome has one.
+    /// Handles one request. Every outcome, including an error, produces a response.
     async fn respond(
         &self,
         request: Request<IncomingBody>,
@@ -77,7 +78,7 @@
             match self.handle(request, state).await {
                 Ok(answer) => response::answer(answer),
                 Err(error) => {
-                    // Nothing that follows on such a connection can be trusted to be a request.
+                    // After an invalid request, the following bytes cannot be trusted to begin a new request.
                     close = true;
                     response::request_error(&error)
                 }
@@ -93,7 +94,7 @@
         response
     }
 
-    /// Reads a request to its end, submits it and waits for its final answer.
+    /// Reads a complete request, submits it and waits for its final answer.
     async fn handle(
         &self,
         request: Request<IncomingBody>,
@@ -126,7 +127,7 @@
     }
 }
 
-/// The entry of an open connection in the registry, removed when this is dropped.
+/// The registration of an open connection. Dropping it removes the connection from the registry.
 struct Registration<'a> {
     connections: &'a DownstreamConnections,
     number: u64,
@@ -139,10 +140,11 @@
     }
 }
 
-/// Tells the request handler that the client has disconnected, which drops the waiting request before its answer.
+/// Reports a disconnect to the request handler if it is dropped before the request has been answered. The future of a
+/// waiting request is dropped when the client disconnects or its connection is closed.
 struct DisconnectGuard<'a> {
     handler: &'a dyn RequestHandler,
-    /// `None` once the request has been answered.
+    /// The request that awaits its answer; `None` once it has been answered.
     pending: Option<RequestId>,
 }
 
--- a/src/net/downstream/connections/state.rs
+++ b/src/net/downstream/connections/state.rs
@@ -1,4 +1,4 @@
-//! The state of one client connection: what it is doing, since when, and how it is to end.
+//! The state of one client connection: its socket, the progress of its request, its timeouts and how it is closed.
 //!
 //! All times are [`Millis`] on the gateway's clock.
 
@@ -17,60 +17,62 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Time for a complete request from its first byte, and for the first one on a connection from the accept, in
-/// milliseconds.
+/// Time within which a request has to arrive completely, in milliseconds. It runs from the first byte of the request,
+/// or from the accept for the first request of a connection.
 pub(super) const REQUEST_READ_TIMEOUT: Millis = 2000.0;
-/// How much longer than [`REQUEST_READ_TIMEOUT`] a connection stays open, in milliseconds, so that a response can still
-/// say why the request failed.
+/// How long a connection stays open after [`REQUEST_READ_TIMEOUT`], in milliseconds, so that a response can still tell
+/// the client why the request failed.
 const READ_TIMEOUT_RESPONSE_GRACE: Millis = 200.0;
-/// How long a connection without a request is kept open, in milliseconds: most clients come back sooner.
+/// How long an idle connection is kept open, in milliseconds. Most clients send their next request sooner.
 const IDLE_TIMEOUT: Millis = 6000.0;
-/// Age, in milliseconds, from which a request that is still arriving may be evicted.
+/// Age above which a request that is still arriving may be evicted, in milliseconds.
 const SLOW_REQUEST_AGE: Millis = 250.0;
-/// Bytes that one system call reads ahead, behind a request without a response.
+/// Maximum number of bytes that one system call reads ahead while a request awaits its response.
 const READ_AHEAD_CHUNK_BYTES: usize = 4096;
-/// Reads ahead in a row: a client that sends faster is looked at again with the next check of all connections.
+/// Maximum number of consecutive reads ahead. A client that sends more than that is checked again in the next periodic
+/// check of all connections.
 const READ_AHEAD_MAX_READS: usize = 64;
 
-/// How a connection is to end.
+/// How a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseMode {
-    /// Once the response to the present request has been written.
+    /// After the response to the current request has been written.
     Graceful,
-    /// At once.
+    /// Immediately, without a response to the current request.
     Immediate,
 }
 
 /// The state of one client connection.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionState {
-    /// `None` once the connection is over.
+    /// `None` once the connection has been closed.
     socket: RefCell<Option<TcpStream>>,
-    /// What has been read behind a request without a response, [`CONNECTION_BUFFER_BYTES`] at most.
+    /// Pipelined bytes that were read behind a request that awaits its response, at most [`CONNECTION_BUFFER_BYTES`].
     read_ahead: RefCell<VecDeque<u8>>,
-    /// Whether bytes beyond `read_ahead` were dropped. Nothing that follows can then be trusted to be a request.
+    /// Whether bytes that did not fit into `read_ahead` were dropped. The bytes after them can then not be trusted to
+    /// begin a request.
     read_ahead_overflowed: Cell<bool>,
     accepted_at: Millis,
-    /// When the first byte of the request that is being read arrived; `None` between two requests.
+    /// When the first byte of the request that is being read arrived; `None` if no request is being read.
     first_byte_at: Cell<Option<Millis>>,
-    /// When the last bytes arrived.
+    /// When the most recent bytes arrived; the time of the accept before the first ones.
     last_byte_at: Cell<Millis>,
-    /// Whether a complete request has no response yet.
+    /// Whether a complete request has been read whose response is not ready yet.
     awaits_response: Cell<bool>,
-    /// Whether a response is ready and not yet written to the end.
+    /// Whether a response is ready that has not been written completely.
     response_unwritten: Cell<bool>,
-    /// When the last response was ready; `None` before the first.
+    /// When the most recent response was ready; `None` before the first response.
     last_response_at: Cell<Option<Millis>>,
     close_requested: Cell<Option<CloseMode>>,
     close_signal: Notify,
-    /// When the last byte of the response has to be written.
+    /// Time by which the response must have been written completely.
     write_deadline: Cell<Millis>,
 }
 
 impl ConnectionState {
-    /// The state of a connection that was accepted at `now`.
+    /// Creates the state of a connection that was accepted at `now`.
     pub(super) fn new(now: Millis, stream: TcpStream) -> ConnectionState {
-        // If this fails, responses are late, not wrong.
+        // A failure is ignored: without TCP_NODELAY responses may be delayed, but they are correct.
         let _ = stream.set_nodelay(true);
         ConnectionState {
             accepted_at: now,
@@ -82,7 +84,7 @@
 
     // ---- Reading and writing --------------------------------------------------------------------
 
-    /// Polls the socket with `operation`; an error of the kind `NotConnected` once the connection is over.
+    /// Polls the socket with `operation`. Fails with `NotConnected` once the connection has been closed.
     pub(super) fn poll_socket<T>(
         &self,
         operation: impl FnOnce(Pin<&mut TcpStream>) -> Poll<io::Result<T>>,
@@ -93,12 +95,12 @@
         }
     }
 
-    /// Closes the socket at once, even while others still hold this state.
+    /// Closes the socket immediately, even if other owners still hold a reference to this state.
     pub(super) fn close_socket(&self) {
         self.socket.borrow_mut().take();
     }
 
-    /// Moves bytes that were read ahead to `buf`; whether there were any.
+    /// Moves bytes that were read ahead to `buf`. Returns whether there were any.
     pub(super) fn take_read_ahead(&self, buf: &mut ReadBuf<'_>) -> bool {
         let mut read_ahead = self.read_ahead.borrow_mut();
         let (front, _) = read_ahead.as_slices();
@@ -108,18 +110,18 @@
         count > 0
     }
 
-    /// Whether bytes were dropped behind a request without a response.
+    /// Whether bytes behind a request were dropped because the read-ahead buffer was full.
     pub(super) fn read_ahead_overflowed(&self) -> bool {
         self.read_ahead_overflowed.get()
     }
 
-    /// Whether the next byte to read was dropped.
-    pub(super) fn is_read_broken(&self) -> bool {
+    /// Whether the next byte of the stream was dropped, so that nothing more can be read from the connection.
+    pub(super) fn next_byte_was_dropped(&self) -> bool {
         self.read_ahead_overflowed.get() && self.read_ahead.borrow().is_empty()
     }
 
-    /// Whether bytes have arrived that nobody has read. The system is asked, since the runtime polls for input only
-    /// between two rounds of its tasks, and many connections can be evicted within one round.
+    /// Whether unread bytes have arrived on the socket. This asks the operating system, since the runtime polls for
+    /// input only between two rounds of its tasks, and many connections can be evicted within one round.
     pub(super) fn has_unread_bytes(&self) -> bool {
         let socket = self.socket.borrow();
         let Some(stream) = socket.as_ref() else {
@@ -129,7 +131,7 @@
         peeked.is_ok_and(|count| count > 0)
     }
 
-    /// Stores bytes that were read ahead, as far as they fit.
+    /// Stores as many bytes that were read ahead as fit into the buffer, and drops the rest.
     fn store_read_ahead(&self, bytes: &[u8]) {
         let mut read_ahead = self.read_ahead.borrow_mut();
         let free = CONNECTION_BUFFER_BYTES - read_ahead.len();
@@ -140,9 +142,9 @@
         }
     }
 
-    // ---- The progress of requests ---------------------------------------------------------------
+    // ---- Request progress -----------------------------------------------------------------------
 
-    /// Notes that bytes of a request arrived at `at`.
+    /// Records that bytes of a request arrived at `at`.
     pub(super) fn bytes_received(&self, at: Millis) {
         self.last_byte_at.set(at);
         if self.first_byte_at.get().is_none() {
@@ -150,59 +152,60 @@
         }
     }
 
-    /// Notes that a request is complete: what is read from now on belongs to the next one.
+    /// Records that a request has been read completely. Bytes read from now on belong to the next request.
     pub(super) fn request_completed(&self) {
         self.awaits_response.set(true);
         self.first_byte_at.set(None);
     }
 
-    /// Notes that the response is ready.
+    /// Records that the response is ready to be written.
     pub(super) fn response_ready(&self, now: Millis) {
         self.awaits_response.set(false);
         self.response_unwritten.set(true);
         self.last_response_at.set(Some(now));
     }
 
-    /// Notes that all bytes of the response have been written.
+    /// Records that the response has been written completely.
     pub(super) fn response_written(&self) {
         self.response_unwritten.set(false);
     }
 
-    /// When the first byte of the present request arrived. Of a request that came in one read with the one before it, only
-    /// the time of that read is known.
+    /// When the first byte of the current request arrived. If the request arrived in the same read as the previous one,
+    /// only the time of that read is known.
     pub(super) fn request_started_at(&self) -> Millis {
         self.first_byte_at.get().unwrap_or(self.last_byte_at.get())
     }
 
-    /// When the last bytes arrived.
+    /// When the most recent bytes arrived.
     pub(super) fn last_byte_at(&self) -> Millis {
         self.last_byte_at.get()
     }
 
-    /// Whether a complete request has no response yet.
+    /// Whether a complete request has been read whose response is not ready yet.
     pub(super) fn awaits_response(&self) -> bool {
         self.awaits_response.get()
     }
 
-    /// When the last byte of the response has to be written.
+    /// Time by which the response must have been written completely.
     pub(super) fn write_deadline(&self) -> Millis {
         self.write_deadline.get()
     }
 
-    /// Sets when the last byte of the response has to be written.
+    /// Sets the time by which the response must have been written completely.
     pub(super) fn set_write_deadline(&self, at: Millis) {
         self.write_deadline.set(at);
     }
 
     // ---- Timeouts, eviction and closing ---------------------------------------------------------
 
-    /// Whether a response is due or is being written.
+    /// Whether a response is awaited or being written.
     fn is_busy(&self) -> bool {
         self.awaits_response.get() || self.response_unwritten.get()
     }
 
-    /// From when the timeout counts that applies now: to the request that is being read, or to the idle connection. The
-    /// first request counts from the accept, so that a client cannot first be silent and then slow.
+    /// When the timeout that applies now started: the one of the request that is being read, or the idle timeout. For
+    /// the first request it starts at the accept, so that a client cannot use up the timeout first by silence and then
+    /// again by a slow request.
     pub(super) fn timeout_started_at(&self) -> Millis {
         match (self.last_response_at.get(), self.first_byte_at.get()) {
             (None, _) => self.accepted_at,
@@ -211,8 +214,8 @@
         }
     }
 
-    /// How the connection is to be closed if it has timed out by `now`.
-    pub(super) fn expired(&self, now: Millis) -> Option<CloseMode> {
+    /// How to close the connection if it has timed out at `now`; `None` if it has not.
+    pub(super) fn timeout_close_mode(&self, now: Millis) -> Option<CloseMode> {
         if self.is_busy() {
             return None;
         }
@@ -227,8 +230,8 @@
         }
     }
 
-    /// How readily the connection is evicted at `now`; `None` if it may not be: a response is due, a request has only begun
-    /// to arrive, or it is closing already.
+    /// The eviction rank of the connection at `now`. `None` if the connection must not be evicted: a response is
+    /// awaited or being written, a request has only begun to arrive, or the connection is already closing.
     pub(super) fn eviction_rank(&self, now: Millis) -> Option<EvictionRank> {
         if self.is_busy() || self.close_requested.get().is_some() {
             return None;
@@ -243,13 +246,13 @@
         Some(EvictionRank { kind, age })
     }
 
-    /// Asks the task that serves the connection to close it.
+    /// Requests that the task that serves the connection closes it.
     pub(super) fn request_close(&self, mode: CloseMode) {
         self.close_requested.set(Some(mode));
         self.close_signal.notify_one();
     }
 
-    /// Waits until the connection is to be closed, and returns how.
+    /// Waits until a close is requested, and returns its mode.
     pub(super) async fn close_requested(&self) -> Option<CloseMode> {
         self.close_signal.notified().await;
         self.close_requested.get()
@@ -257,11 +260,11 @@
 }
 
 impl ClientConnection for ConnectionState {
-    /// Asks the system, since the runtime polls for input only between two rounds of its tasks: where a request could be
-    /// sent at the moment its client disconnects, this shows the disconnect first.
+    /// Asks the operating system, since the runtime polls for input only between two rounds of its tasks. A disconnect
+    /// is thus seen before a request of the same client is sent in the same round.
     ///
-    /// Bytes behind a request would hide the end of the stream, so they are read ahead; what is more than a client may have
-    /// there is dropped.
+    /// Pipelined bytes behind the request would hide the end of the stream, so they are read ahead. Bytes beyond
+    /// [`CONNECTION_BUFFER_BYTES`] are dropped.
     fn is_disconnected(&self) -> bool {
         let socket = self.socket.borrow();
         let Some(stream) = socket.as_ref() else {
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! The client side of the gateway: connections of clients, and the requests read from them.
+//! The client side of the gateway: client connections, and the parsing of the requests that arrive on them.
 
 pub(super) mod connections;
 pub(super) mod request;
--- a/src/net/downstream/request.rs
+++ b/src/net/downstream/request.rs
@@ -1,6 +1,6 @@
-//! Parsing and validation of a client's request, before the policy engine sees it.
+//! Parsing and validation of client requests, before they are submitted to the policy engine.
 //!
-//! Validation is strict: what goes on to a backend is what a client of this service would have sent; anything else is
+//! Validation is strict: only requests that a client of this service would send are forwarded. Any other request is
 //! answered with the status of its [`RequestError`].
 
 use crate::net::messages::{
@@ -20,41 +20,42 @@
 use std::error::Error;
 use std::rc::Rc;
 
-/// Customer numbers are below this.
+/// Exclusive upper bound of customer numbers.
 const CUSTOMER_NUMBER_LIMIT: u64 = 1 << 33;
-/// Digits of a customer number in the cookie.
+/// Number of hexadecimal digits of a customer number in the cookie.
 const CUSTOMER_HEX_DIGITS: usize = 16;
-/// Longest request id and longest idempotency key, in bytes.
+/// Maximum length of a request id and of an idempotency key, in bytes.
 const MAX_TOKEN_BYTES: usize = 128;
-/// By what fraction the units of a request may exceed the largest that the settings allow, so that rounding rejects none of
-/// the largest.
+/// Fraction by which the units of a request may exceed the maximum of the settings, so that rounding does not reject a
+/// request with exactly the maximum.
 const UNITS_TOLERANCE: f64 = 1e-6;
 
-/// The class of the request, which its path repeats.
+/// Header with the class of the request, which the first segment of the path repeats.
 const REQUEST_CLASS: HeaderName = HeaderName::from_static("request-class");
-/// The plan of the customer.
+/// Header with the customer's plan.
 const API_PLAN: HeaderName = HeaderName::from_static("api-plan");
-/// What the request takes from the customer's quota, and the customer's gateways.
+/// Header with the units that the request takes from the customer's quota, and the gateways that serve the customer.
+/// See [`QuotaTerms`].
 const API_TERMS: HeaderName = HeaderName::from_static("api-terms");
-/// `1` on a retry by the client.
+/// Header that marks a retry by the client with the value `1`.
 const CLIENT_RETRY: HeaderName = HeaderName::from_static("client-retry");
 
-/// Why a request is answered without being submitted. The client gets the message as the body of the response.
+/// Reasons why a request is answered without being submitted. The message is sent to the client as the response body.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RequestError {
-    /// A header is missing, repeated or malformed.
+    /// A header is missing, repeated or malformed; holds its name.
     #[error("{0} is missing, repeated or cannot be read")]
     InvalidHeader(HeaderName),
-    /// The settings have no such class, or the path names another one than the header.
+    /// The settings have no such class, or the path and the header name different classes.
     #[error("unknown class")]
     UnknownClass,
     /// The settings have no such plan.
     #[error("unknown plan")]
     UnknownPlan,
-    /// The path is missing or has bytes that are not visible ASCII.
+    /// The path is missing or contains bytes other than visible ASCII.
     #[error("the path cannot be read")]
     InvalidPath,
-    /// The method, the idempotency key or a body does not go with the class.
+    /// The method, the idempotency key or the presence of a body does not match the class.
     #[error("the method does not go with the class")]
     MethodMismatch,
     /// The body ended early or is malformed.
@@ -66,19 +67,19 @@
     /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("the body is too long")]
     BodyTooLong,
-    /// The body did not arrive in time.
+    /// The body did not arrive completely before its deadline.
     #[error("the body did not come in time")]
     BodyTimeout(#[source] tokio::time::error::Elapsed),
-    /// The client has disconnected, so nobody reads the response.
+    /// The client has disconnected, so nobody will read the response.
     #[error("the client has left")]
     ClientDisconnected,
-    /// The id is in use, or was a moment ago.
+    /// The request id is in use or was used recently.
     #[error("a request with this id has come before")]
     DuplicateId,
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// The HTTP status of the response.
     pub(crate) fn status(&self) -> StatusCode {
         match self {
             RequestError::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
@@ -97,8 +98,9 @@
     }
 }
 
-/// Parses the head of a request of `client` whose first byte arrived at `started_at`. The body is left empty, and the
-/// request counts as received at `started_at`, until the body has been read.
+/// Parses the head of a request from `client` whose first byte arrived at `started_at`, in milliseconds on the
+/// gateway's clock. The caller fills in the body and `received_at` once the body has been read; until then the body is
+/// empty and `received_at` is `started_at`.
 pub(crate) fn read_head(
     context: &RuntimeContext,
     head: &Parts,
@@ -106,8 +108,9 @@
     client: Rc<dyn ClientConnection>,
 ) -> Result<IncomingRequest, RequestError> {
     let headers = &head.headers;
-    // Where a request has both framings, hyper goes by the chunks and drops the length silently; what one hop takes for
-    // the body another one could take for the next request. Clients of this service send the length.
+    // If a request has both Transfer-Encoding and Content-Length, hyper uses the chunks and silently drops the length.
+    // Hops that disagree on the framing allow request smuggling: one hop could take a part of the body for the next
+    // request. Clients of this service always send Content-Length.
     if headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::LengthRequired);
     }
@@ -149,13 +152,14 @@
     })
 }
 
-/// The content type, if there is one. A malformed one says nothing about the body, so it is left out.
+/// The content type, if the request has a valid one. A malformed content type tells nothing about the body, so it is
+/// not forwarded.
 fn content_type(headers: &HeaderMap) -> Option<HeaderValue> {
     header_text(headers, &CONTENT_TYPE).ok()?;
     headers.get(CONTENT_TYPE).cloned()
 }
 
-/// Reads a body, which has to be complete by `deadline`. A request without one has an empty body.
+/// Reads a body, which must be complete by `deadline`. Returns an empty body if the request has none.
 pub(crate) async fn read_body(
     body: IncomingBody,
     method: &Method,
@@ -181,7 +185,7 @@
     }
 }
 
-/// The class, on which header, path, method and idempotency key have to agree.
+/// The class of the request. The header, the path, the method and the idempotency key must all agree with it.
 fn read_class(context: &RuntimeContext, head: &Parts) -> Result<ClassId, RequestError> {
     let name = header_text(&head.headers, &REQUEST_CLASS)?;
     let class = position_of(name, &context.names.classes).ok_or(RequestError::UnknownClass)?;
@@ -207,7 +211,7 @@
     Ok(PlanId(plan))
 }
 
-/// The index of `name`, as a client writes it, among names of the settings.
+/// The index of `name`, as the client wrote it, in the list of names from the settings.
 fn position_of(name: &str, known_names: &[String]) -> Option<usize> {
     let normalized = normalize_name(name);
     known_names.iter().position(|known| *known == normalized)
@@ -231,17 +235,18 @@
     }
 }
 
-/// The terms header: `units=2.5, spread=3, first=0`, in any order. Fields with other names are ignored.
+/// The fields of the `api-terms` header, for example `units=2.5, spread=3, first=0`, in any order. Unknown fields are
+/// ignored.
 struct QuotaTerms {
     /// Units that the request takes from the customer's quota.
     units: f64,
-    /// Gateways that serve the customer (`spread`).
+    /// Number of gateways that serve the customer (`spread`).
     gateway_count: f64,
 }
 
 impl QuotaTerms {
-    /// `None` if a field is missing, repeated, malformed or beyond what `settings` allow: the policy engine would clamp
-    /// such a value and serve the request.
+    /// `None` if a field is missing, repeated, malformed or outside the range that `settings` allow. An out-of-range
+    /// value is rejected here, since the policy engine would clamp it and serve the request.
     fn parse(text: &str, settings: &Settings) -> Option<QuotaTerms> {
         let gateways = settings.gateways.max(1);
         let max_units = settings.max_units.max(1.0) * (1.0 + UNITS_TOLERANCE);
@@ -252,7 +257,7 @@
             let (name, value) = field.trim().split_once('=')?;
             match name {
                 "units" => {
-                    let value = parse_positive(value).filter(|units| *units <= max_units)?;
+                    let value = parse_positive_number(value).filter(|units| *units <= max_units)?;
                     set_once(&mut units, value)?;
                 }
                 "spread" => {
@@ -266,7 +271,7 @@
                 _ => {}
             }
         }
-        // Required, but its value is not used here.
+        // `first` is required, but its value is not used.
         first_gateway?;
         Some(QuotaTerms {
             units: units?,
@@ -275,7 +280,7 @@
     }
 }
 
-/// Sets a field; `None` if it was set before.
+/// Sets a field, or returns `None` if the field was already set.
 fn set_once<T>(field: &mut Option<T>, value: T) -> Option<()> {
     match field.replace(value) {
         Some(_) => None,
@@ -283,7 +288,8 @@
     }
 }
 
-/// The value of a header that occurs once and is visible ASCII, spaces and tabs included, without those at its ends.
+/// The value of a header that must occur exactly once and consist of visible ASCII, spaces and tabs. Leading and
+/// trailing white space is removed.
 fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, RequestError> {
     let mut values = headers.get_all(name).iter();
     let value = values.next().and_then(|value| value.to_str().ok());
@@ -293,7 +299,7 @@
     }
 }
 
-/// The value of a header that identifies something: 1 to [`MAX_TOKEN_BYTES`] bytes of visible ASCII without spaces.
+/// The value of a header that holds an identifier: 1 to [`MAX_TOKEN_BYTES`] bytes of visible ASCII without spaces.
 fn header_token<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, RequestError> {
     let value = header_text(headers, name)?;
     let has_valid_length = (1..=MAX_TOKEN_BYTES).contains(&value.len());
@@ -304,12 +310,13 @@
     }
 }
 
-/// Whether the client marks the request as a retry. A malformed mark counts as none: it says nothing about the request.
+/// Whether the client marked the request as a retry. A malformed mark is ignored, since it tells nothing about the
+/// request.
 fn is_marked_retry(headers: &HeaderMap) -> bool {
     header_text(headers, &CLIENT_RETRY).is_ok_and(|mark| mark == "1")
 }
 
-/// The customer, from the one cookie named `client`.
+/// The customer number from the cookie `client`, which must occur exactly once.
 fn read_customer(headers: &HeaderMap) -> Option<CustomerId> {
     let cookies = header_text(headers, &COOKIE).ok()?;
     let mut values = cookies
@@ -325,12 +332,12 @@
     (number < CUSTOMER_NUMBER_LIMIT).then_some(CustomerId(number))
 }
 
-fn parse_positive(text: &str) -> Option<f64> {
+fn parse_positive_number(text: &str) -> Option<f64> {
     let number: f64 = text.parse().ok()?;
     (number.is_finite() && number > 0.0).then_some(number)
 }
 
-/// An integer, also where it is written with decimals, as in `3.0`.
+/// Parses a non-negative integer. Decimals are accepted if they are zero, as in `3.0`.
 fn parse_integer(text: &str) -> Option<u32> {
     let number: f64 = text.parse().ok()?;
     let is_integer = number >= 0.0 && number.fract() == 0.0 && number <= f64::from(u32::MAX);
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,5 +1,5 @@
-//! The messages that the parts of the gateway exchange: the client's request, what is forwarded to a backend, the result of
-//! an attempt, and the final answer.
+//! The messages that the parts of the gateway exchange: the client's request, the request forwarded to a backend, the
+//! result of an attempt, and the final answer.
 
 use crate::net::runtime::budget::Budget;
 use cometspool::{ClassId, CustomerId, LoadReport, Millis, Outcome, PlanId};
@@ -9,56 +9,57 @@
 use hyper::{Method, Request, Uri};
 use std::rc::Rc;
 
-/// Longest body of a request, and longest body of a response that is read without reserving memory for it, in bytes.
+/// Maximum length of a request body, and maximum length of a response body that is read without reserving memory for
+/// it, in bytes.
 pub(super) const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// The id of a request, the same on every attempt.
+/// Header with the request id, which is the same on every attempt.
 pub(super) const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
-/// How long the sender waits for the response, in seconds.
+/// Header that tells how long the sender waits for the response, in seconds.
 pub(super) const REQUEST_TIMEOUT: HeaderName = HeaderName::from_static("request-timeout");
-/// The key by which backends recognize a repeated request.
+/// Header with the idempotency key, by which backends recognize a repeated request.
 pub(super) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// A client's request, read completely and validated.
 #[derive(Debug)]
 pub(super) struct IncomingRequest {
-    /// When its last byte arrived, on the gateway's clock.
+    /// When the last byte of the request arrived, in milliseconds on the gateway's clock.
     pub received_at: Millis,
-    /// Its time budget.
+    /// The time that the request has until its client stops waiting.
     pub budget: Budget,
-    /// The customer that sent it.
+    /// The customer that sent the request.
     pub customer: CustomerId,
     /// The customer's plan.
     pub plan: PlanId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Units that it takes from the customer's quota.
+    /// Units that the request takes from the customer's quota, as its terms header declares them.
     pub units: f64,
-    /// Gateways that serve the customer; a whole number.
+    /// Number of gateways that serve the customer; an integer.
     pub gateway_count: f64,
-    /// Whether the client marks it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// What is forwarded to a backend.
+    /// The request as it is forwarded to a backend.
     pub upstream_request: UpstreamRequest,
 }
 
-/// The connection of the client that waits for an answer.
+/// The connection of a client that waits for an answer.
 pub(super) trait ClientConnection: std::fmt::Debug {
-    /// Whether the client has disconnected, as far as the system knows now. A request forwarded after that would be work
-    /// that nobody waits for.
+    /// Whether the client has disconnected, as far as the operating system knows now. A request forwarded after the
+    /// disconnect would be work that nobody waits for.
     fn is_disconnected(&self) -> bool;
 }
 
-/// What is forwarded to a backend, the same on every attempt.
+/// The request as it is forwarded to a backend, the same on every attempt.
 #[derive(Clone, Debug)]
 pub(super) struct UpstreamRequest {
     /// The client that waits for the answer.
     pub client: Rc<dyn ClientConnection>,
-    /// The request id.
+    /// The request id as text.
     pub id: Rc<str>,
-    /// The request id as the client sent it.
+    /// The request id as a header value, as the client sent it.
     pub id_value: HeaderValue,
-    /// The `Host` that the client sent.
+    /// The `Host` header that the client sent.
     pub host: HeaderValue,
     /// The HTTP method.
     pub method: Method,
@@ -68,12 +69,12 @@
     pub key: Option<HeaderValue>,
     /// The content type, if the client sent a valid one.
     pub content_type: Option<HeaderValue>,
-    /// The body.
+    /// The complete body; empty if the request has none.
     pub body: Bytes,
 }
 
 impl UpstreamRequest {
-    /// The HTTP request for a backend, with `timeout_seconds` as the time that it has.
+    /// Builds the HTTP request for a backend, with `timeout_seconds` in the [`REQUEST_TIMEOUT`] header.
     pub(super) fn request(&self, timeout_seconds: &str) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -94,25 +95,25 @@
     }
 }
 
-/// How an attempt ended, and what its response reported.
+/// The outcome of an attempt and the data that the response reported.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptResult {
-    /// What the policy engine learns of the attempt.
+    /// The outcome that is reported to the policy engine.
     pub outcome: Outcome,
     /// The complete body of a successful response; empty otherwise.
     pub body: Bytes,
     /// The customer's usage as a fraction of its rate limit, if the response reports it.
     pub quota_usage: Option<f64>,
-    /// The units that the request really took, if the response reports them.
+    /// The units that the request actually took from the quota, if the response reports them.
     pub actual_units: Option<f64>,
-    /// The backend's load report; empty if the response has none.
+    /// The load report of the backend; empty if the response has none.
     pub load_report: LoadReport,
-    /// Established connections that broke under the attempt.
+    /// Number of established connections that failed during the attempt.
     pub broken_connections: u32,
 }
 
 impl AttemptResult {
-    /// The result of an attempt without a response.
+    /// The result of an attempt that got no response.
     pub(super) fn without_response(outcome: Outcome) -> AttemptResult {
         AttemptResult {
             outcome,
@@ -125,13 +126,14 @@
     }
 }
 
-/// The final answer of a request, of which each request gets exactly one.
+/// The final answer to a request. Each request gets exactly one.
 #[derive(Debug)]
 pub(super) enum Answer {
-    /// A backend's response body; 200.
+    /// Status 200 with the response body of a backend.
     Served(Bytes),
-    /// Not served, and a retry is harmless; 429, with the milliseconds to wait before one, if known.
+    /// Status 429: the request was not served, so a retry is safe. Holds the time to wait before a retry, in
+    /// milliseconds, if known.
     Rejected(Option<Millis>),
-    /// Not served, and a retry may run the request a second time; 502.
+    /// Status 502: the request failed and may have run, so a retry may run it a second time.
     Failed,
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,6 +1,7 @@
-//! The gateway on real sockets: the parts round the policy, and how they start and shut down.
+//! The gateway on real sockets: everything that connects the policy to the network, with start-up and shutdown.
 
-// Each imports only what stands above it here, and the driver alone knows both sides.
+// The modules are declared in dependency order: each one imports only modules declared above it. Only the driver
+// depends on both the upstream and the downstream side.
 pub(crate) mod runtime;
 
 mod control;
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -1,4 +1,4 @@
-//! The life of a gateway process: start, reload at SIGHUP, graceful shutdown at SIGTERM.
+//! The lifecycle of a gateway process: start-up, configuration reload on SIGHUP, graceful shutdown on SIGTERM.
 
 use super::control::backoff::Backoff;
 use super::control::config::{Config, ConfigError};
@@ -19,27 +19,27 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Why a gateway did not start.
+/// Reasons why a gateway failed to start.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StartError {
     /// The asynchronous runtime could not be built.
-    #[error("cannot start: {0}")]
+    #[error("cannot build the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// Signal handlers could not be installed.
-    #[error("no signals: {0}")]
+    /// The handlers of SIGHUP and SIGTERM could not be installed.
+    #[error("cannot install the signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The configuration cannot be used.
+    /// The configuration is missing or invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The address for clients could not be bound.
+    /// The listener for clients could not be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The driver could not take up its state.
+    /// The driver could not be initialized.
     #[error(transparent)]
     Driver(#[from] DriverError),
     /// The fleet layer did not start.
@@ -48,23 +48,23 @@
 }
 
 impl StartError {
-    /// The exit code of the process.
+    /// The exit code of a process that fails to start with this error.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
-            StartError::Config(error) => error.code(),
+            StartError::Config(error) => error.exit_code(),
             _ => 1,
         }
     }
 }
 
-/// The signals that a gateway handles.
+/// The streams of the signals that a gateway handles.
 struct Signals {
     hangup: Signal,
     terminate: Signal,
 }
 
 impl Signals {
-    /// Installs the handlers; until then both signals end the process.
+    /// Installs the signal handlers. Before this call, either signal terminates the process.
     fn install() -> io::Result<Signals> {
         Ok(Signals {
             hangup: signal(SignalKind::hangup())?,
@@ -73,11 +73,11 @@
     }
 }
 
-/// Serves until a graceful shutdown has been completed.
+/// Runs the gateway until SIGTERM, then shuts it down gracefully and returns.
 ///
 /// # Errors
 ///
-/// A [`StartError`], before the first request is accepted.
+/// Returns a [`StartError`] if start-up fails. No error is returned once `serving requests` has been logged.
 pub(crate) async fn run(wake_recorder: WakeRecorder) -> Result<(), StartError> {
     let mut signals = Signals::install().map_err(StartError::Signals)?;
     let config = Config::from_env()?;
@@ -127,7 +127,7 @@
     Ok(())
 }
 
-/// The tools of a fleet read its log as JSON.
+/// JSON in a fleet, since the fleet's tools parse the log; plain text otherwise.
 fn log_format(config: &Config) -> LogFormat {
     match config.fleet {
         Some(_) => LogFormat::Json,
@@ -141,7 +141,7 @@
         .map_err(|source| StartError::Listen { address, source })
 }
 
-/// The address that was bound, which has a port also where the `configured` one leaves it to the system.
+/// The address that the listener is bound to. If the `configured` port is 0, this holds the port that the system chose.
 fn local_address(listener: &TcpListener, configured: SocketAddr) -> Result<SocketAddr, StartError> {
     listener.local_addr().map_err(|source| StartError::Listen {
         address: configured,
@@ -149,7 +149,8 @@
     })
 }
 
-/// Starts the fleet layer of `driver`, which may have `max_clients` requests in progress.
+/// Starts the fleet layer. It announces the load of `driver` to the other gateways: the pending requests per thousand
+/// of `max_clients`, the limit on client connections.
 async fn start_fleet(
     section: FleetSection,
     driver: &Rc<Driver>,
@@ -171,7 +172,7 @@
     .await
 }
 
-/// Passes the fleet's size on to what the configuration has paced by it.
+/// The callback for changes of the fleet's size: forwards the size to each component that `pace` enables.
 fn fleet_size_observer(
     pace: Pace,
     driver: Rc<Driver>,
@@ -190,7 +191,7 @@
     })
 }
 
-/// Reloads the configuration at each SIGHUP; returns at SIGTERM.
+/// Reloads the configuration on each SIGHUP; returns on SIGTERM.
 async fn serve_until_terminated(signals: &mut Signals, discovery: &watch::Sender<SocketAddr>) {
     loop {
         tokio::select! {
@@ -200,13 +201,13 @@
     }
 }
 
-/// Re-reads the configuration. Only the address of discovery can change while the gateway runs; a file that cannot be
-/// used is reported and ignored.
+/// Re-reads the configuration file. Only the address of discovery can change while the gateway runs. An invalid file is
+/// logged and ignored.
 fn reload(discovery: &watch::Sender<SocketAddr>) {
     match Config::reread_discovery_address() {
         Ok(address) => {
             tracing::info!(discovery = %address, "configuration reloaded");
-            // Also where it is the same address: the watch is opened anew.
+            // Sent even if the address is unchanged, since a reload always reopens the watch.
             discovery.send_replace(address);
         }
         Err(error) => tracing::warn!(%error, "invalid configuration ignored"),
