--- a/src/net/control/backoff.rs
+++ b/src/net/control/backoff.rs
@@ -1,10 +1,11 @@
-//! Pauses between calls to a shared service, so that the gateways of a fleet do not call it in step.
+//! Randomized exponential backoff between calls to a shared service, so that the gateways of a fleet do not call it in
+//! step.
 //!
-//! One gateway that calls four times a second costs a service nothing. A hundred that come back at the same pace can keep
-//! it overloaded for good: each call is rejected because of the others. Where a service says that it is overloaded, the
-//! window from which a pause is drawn grows with the fleet and doubles with each rejected call, and the pause is drawn
-//! uniformly, so that no two gateways stay in step. What the service has must be known in time all the same, so the caller
-//! gives the longest pause that its deadline leaves.
+//! One gateway that calls four times a second is no load for a service. A hundred gateways that retry at the same rate
+//! can keep the service overloaded indefinitely, since each call is rejected because of the others. When a service
+//! reports that it is overloaded, each pause is therefore drawn uniformly from a window. The window grows with the
+//! fleet and doubles with each rejected call, and the random draw keeps any two gateways from staying in step. Updates
+//! from the service must still take effect in time, so the caller passes the longest pause that its deadline allows.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -12,34 +13,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The window after a failure that is no sign of overload, and the smallest window after a rejection.
+/// Window of the pause after a failure that does not indicate overload, and minimum window after a rejection.
 const BASE_WINDOW: Duration = Duration::from_millis(200);
-/// What each gateway of the fleet adds to the first window after a rejection.
+/// Window after the first rejection, for each gateway of the fleet.
 ///
-/// With [`MAX_WINDOW_PER_GATEWAY`] a fleet all of whose calls are rejected makes some twenty-five calls a second at first,
-/// and comes down to under fifteen, as long as the window is below the longest pause that the caller allows. A service that
-/// works on calls whose callers have left recovers only at a lower rate of calls than it can serve.
+/// Together with [`MAX_WINDOW_PER_GATEWAY`] this bounds the call rate of a fleet all of whose calls are rejected: it
+/// starts at about 25 calls per second and drops below 15, as long as the window is below the longest pause that the
+/// caller allows. A service that still processes calls whose callers have given up recovers only if the call rate is
+/// below the rate that it can serve.
 const INITIAL_WINDOW_PER_GATEWAY: Duration = Duration::from_millis(60);
-/// What each gateway of the fleet adds to the largest window.
+/// Maximum window after repeated rejections, for each gateway of the fleet.
 const MAX_WINDOW_PER_GATEWAY: Duration = Duration::from_millis(120);
-/// A pause takes at least this fraction of its window, one in four: the service may still work on the rejected call, ahead
-/// of the next one.
+/// Divisor of the window that gives the shortest pause: a quarter of the window. The service may still be processing
+/// the rejected call, ahead of the next one.
 const MIN_PAUSE_DIVISOR: u32 = 4;
-/// Beyond this many rejections in a row the window no longer doubles.
+/// Maximum number of consecutive rejections that double the window.
 const MAX_DOUBLINGS: u32 = 16;
-/// The number of values of a random `u32`.
+/// Number of distinct values of a random `u32`.
 const RANDOM_RANGE: f64 = 4_294_967_296.0;
 
-/// Draws the pauses between calls to a service that other gateways call too.
+/// Draws the pauses between calls to a service that is shared with other gateways.
 pub(crate) struct Backoff {
     fleet_size: Rc<Cell<u32>>,
-    /// Rejections since the service last answered.
+    /// Consecutive rejections since the service last answered.
     rejections: u32,
     rng: Pcg32,
 }
 
 impl Backoff {
-    /// For one of `gateways` gateways; `seed` is the only source of its random numbers.
+    /// Creates the backoff for one gateway of a fleet of `gateways`. `seed` alone determines its random numbers.
     pub(crate) fn new(gateways: u32, seed: u64) -> Backoff {
         Backoff {
             fleet_size: Rc::new(Cell::new(gateways)),
@@ -48,20 +50,21 @@
         }
     }
 
-    /// The number of gateways by which the windows go; who knows it better may set it.
+    /// The number of gateways that scales the windows. The holder of this cell may update it when the size of the fleet
+    /// changes.
     pub(crate) fn fleet_size(&self) -> Rc<Cell<u32>> {
         self.fleet_size.clone()
     }
 
-    /// The pause after a call or a connection that failed. It is at most 200 ms: a change that the service has counts as
-    /// known while this gateway does not call.
+    /// The pause after a call or a connection that failed, at most 200 ms. It is short, since the gateway misses any
+    /// update of the service during the pause.
     pub(crate) fn after_failure(&mut self) -> Duration {
         self.draw_pause(BASE_WINDOW)
     }
 
-    /// The pause after a call that was rejected because the service is overloaded: at most `max_pause`, or 200 ms if that
-    /// is more, as a shorter window would leave the gateways in step. The window is cut to it rather than the pause: pauses
-    /// that are cut would end in step.
+    /// The pause after a call that was rejected because the service is overloaded. It is at most `max_pause`, but the
+    /// window is never shorter than 200 ms, since a shorter window would leave the gateways in step. `max_pause` limits
+    /// the window rather than the drawn pause, since all pauses that were cut to the limit would end in step.
     pub(crate) fn after_rejection(&mut self, max_pause: Duration) -> Duration {
         let doubled = self
             .initial_window()
@@ -73,7 +76,7 @@
         self.draw_pause(window)
     }
 
-    /// The service has answered: the next rejection counts as the first.
+    /// Called when the service has answered. The next rejection counts as the first again.
     pub(crate) fn reset(&mut self) {
         self.rejections = 0;
     }
@@ -90,7 +93,7 @@
             .max(self.initial_window())
     }
 
-    /// Uniform over the window above its smallest part.
+    /// Draws a pause uniformly between a quarter of the window and the whole window.
     fn draw_pause(&mut self, window: Duration) -> Duration {
         let shortest = window / MIN_PAUSE_DIVISOR;
         let fraction = f64::from(self.rng.next_u32()) / RANDOM_RANGE;
--- a/src/net/control/backoff/tests.rs
+++ b/src/net/control/backoff/tests.rs
@@ -3,13 +3,15 @@
 use super::*;
 use crate::net::control::discovery::MAX_BACKOFF;
 
+/// Size of the fleet in `busiest_tenth`, in gateways.
 const FLEET: u64 = 100;
-/// The largest fleet whose windows are not capped by the longest pause.
+/// Size of the largest fleet whose windows are not capped by [`MAX_BACKOFF`], in gateways.
 const UNCAPPED_FLEET: u32 = 36;
-/// Mean part of a window that a pause takes.
-const MEAN_PART: f64 = 0.625;
+/// Mean pause as a fraction of its window.
+const MEAN_PAUSE_FRACTION: f64 = 0.625;
 
-/// Most calls that fall into one tenth of a second if every gateway's call fails from the same instant on.
+/// The maximum number of calls within one tenth of a second if the calls of every gateway are rejected from the same
+/// instant on.
 fn busiest_tenth(from: Duration, to: Duration) -> usize {
     let mut tenths = vec![0; 600];
     for gateway in 0..FLEET {
@@ -25,8 +27,8 @@
     tenths.into_iter().max().unwrap_or(0)
 }
 
-/// Guards a service that an entire fleet lost at the same instant against being called by all in step, and
-/// against being kept overloaded by the calls that it rejected.
+/// Guards against gateways that retry in step, and against retries that keep a service overloaded, after an entire
+/// fleet has lost the service at the same instant.
 #[test]
 fn a_fleet_that_fails_together_does_not_retry_in_step() {
     let first = busiest_tenth(Duration::ZERO, Duration::from_secs(2));
@@ -41,8 +43,8 @@
     );
 }
 
-/// Guards a small fleet against waiting for others that it does not have, and any against a long pause where
-/// the service is not short of anything.
+/// Guards against a small fleet pausing as long as a large one, and against a long pause when the service is not
+/// overloaded.
 #[test]
 fn the_pause_after_a_failure_is_short_for_any_fleet() {
     let mut alone = Backoff::new(1, 7);
@@ -53,7 +55,7 @@
         .all(|pause| pause > Duration::ZERO && pause <= BASE_WINDOW));
 }
 
-/// Guards a gateway against going without a list for long, however often it was rejected.
+/// Guards against a gateway that is without a list for long after many rejections.
 #[test]
 fn the_pause_after_rejections_is_bounded_and_reset_by_an_answer() {
     let mut backoff = Backoff::new(100, 3);
@@ -68,7 +70,7 @@
     assert!(backoff.after_rejection(Duration::MAX) <= backoff.initial_window());
 }
 
-/// Guards a pace that follows the fleet's size: as if it had been given that size from the start.
+/// Guards against windows that ignore the reported fleet size: the pauses must be those of a fleet configured with it.
 #[test]
 fn windows_follow_the_reported_fleet_size() {
     let mut configured = Backoff::new(300, 9);
@@ -82,7 +84,7 @@
     }
 }
 
-/// Calls of a fleet all of whose calls are rejected from the same instant on, in each tenth of a second.
+/// The number of calls in each tenth of a second, for a fleet whose calls are all rejected from the same instant on.
 fn calls_in_time(fleet: u32, tenths: usize) -> Vec<usize> {
     let mut calls = vec![0; tenths];
     for gateway in 0..fleet {
@@ -96,19 +98,19 @@
     calls
 }
 
-/// Guards a service that an entire fleet lost against being called in step where the update deadline caps the windows: up
-/// to 36 gateways stay under the bounds of an uncapped window. Beyond that each calls no more often than the longest pause
-/// makes it, with no tenth of a second busier than chance has it.
+/// Guards against retries in step when the update deadline caps the windows. Up to 36 gateways stay within the bounds
+/// of an uncapped window. In a larger fleet, each gateway calls no more often than the longest pause implies, and no
+/// tenth of a second has more calls than independent calls would produce by chance.
 #[test]
 fn a_fleet_whose_windows_are_capped_does_not_retry_in_step() {
     for fleet in [1, 36, 100, 300, 790] {
         let calls = calls_in_time(fleet, 400);
-        let mean = f64::from(fleet) / (MAX_BACKOFF.as_secs_f64() * 10.0 * MEAN_PART);
-        // Calls that know nothing of each other stay within four deviations of their mean.
-        let unrelated = (mean + 4.0 * mean.sqrt()) as usize;
+        let mean = f64::from(fleet) / (MAX_BACKOFF.as_secs_f64() * 10.0 * MEAN_PAUSE_FRACTION);
+        // Independent calls stay within four standard deviations of their mean.
+        let independent = (mean + 4.0 * mean.sqrt()) as usize;
         let is_uncapped = fleet <= UNCAPPED_FLEET;
-        let most_at_first = if is_uncapped { 9 } else { unrelated };
-        let most_later = if is_uncapped { 6 } else { unrelated };
+        let most_at_first = if is_uncapped { 9 } else { independent };
+        let most_later = if is_uncapped { 6 } else { independent };
         let first = busiest(&calls[..60]);
         assert!(
             first <= most_at_first,
@@ -132,8 +134,8 @@
     calls.iter().copied().max().unwrap_or(0)
 }
 
-/// Guards the longest pause: whatever the fleet and however often it was rejected, and what is too short to be drawn
-/// from is a short pause.
+/// Guards against a pause beyond the caller's maximum, whatever the fleet size and the number of rejections. A maximum
+/// below the shortest window yields a pause of at most the shortest window.
 #[test]
 fn no_pause_exceeds_the_maximum_of_its_caller() {
     for fleet in [1, 36, 100, 300, 790, u32::MAX] {
--- a/src/net/control/config.rs
+++ b/src/net/control/config.rs
@@ -1,4 +1,5 @@
-//! The configuration of a gateway: the `BALANCER_*` variables and the JSON file that `BALANCER_CONFIG` names.
+//! The configuration of a gateway, from the `BALANCER_*` environment variables and the JSON file that `BALANCER_CONFIG`
+//! names.
 
 mod error;
 mod file;
@@ -15,43 +16,44 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A configuration that has been checked.
+/// The validated configuration of a gateway.
 #[derive(Debug)]
 pub(crate) struct Config {
-    /// The gateway's name, for its log.
+    /// The name of the gateway, which identifies it in its log and in the fleet.
     pub name: String,
-    /// The address on which clients connect.
+    /// The address to listen on for client connections.
     pub listen: SocketAddr,
-    /// The address of discovery.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The seed of the random numbers; new with each start.
+    /// The seed of all random numbers. The deployment sets a new one for each start.
     pub seed: u64,
-    /// Limits of the machine.
+    /// The resource limits of the process.
     pub limits: Limits,
-    /// The endpoint list that an earlier process cached.
+    /// The endpoint list that a previous process cached; `None` if there is none.
     pub cached_endpoints: Option<EndpointList>,
-    /// The hand-over file; without one nothing is handed over.
+    /// The path of the hand-over file; `None` disables the hand-over.
     pub handover: Option<PathBuf>,
-    /// The fleet layer; without this section it is off.
+    /// The `fleet` section; `None` disables the fleet layer.
     pub fleet: Option<FleetSection>,
-    /// How far the clock is off, in a test.
+    /// The clock skew that a test simulates.
     pub clock: Skew,
-    /// The settings of the policy and of connections.
+    /// The settings of the policy engine and of the connection pool.
     pub parsed: ParsedSettings,
 }
 
 impl Config {
-    /// Reads the variables and the file. A variable overrides the file's entry.
+    /// Reads the configuration file and the environment variables. A variable overrides the corresponding key of the
+    /// file.
     ///
     /// # Errors
-    /// The first fault that was found.
+    /// Returns the first error found.
     pub(crate) fn from_env() -> Result<Config, ConfigError> {
         let file = ConfigFile::read()?;
         let checked = file.check()?;
-        let name = variable_or("BALANCER_NAME", &file.name);
+        let name = env_or("BALANCER_NAME", &file.name);
         let fleet = file.fleet_section(&name)?;
-        let listen = variable_or("BALANCER_LISTEN", &file.listen);
-        let discovery = variable_or("BALANCER_DISCOVERY", &file.discovery);
+        let listen = env_or("BALANCER_LISTEN", &file.listen);
+        let discovery = env_or("BALANCER_DISCOVERY", &file.discovery);
         Ok(Config {
             name,
             listen: parse_address("BALANCER_LISTEN", &listen)?,
@@ -66,7 +68,8 @@
         })
     }
 
-    /// Descriptors that clients and backends may use: what the fleet layer leaves of the limit.
+    /// Number of file descriptors for connections of clients and backends: the limit of the process less the
+    /// descriptors of the fleet layer.
     pub(crate) fn descriptor_budget(&self) -> usize {
         let fleet_descriptors = match &self.fleet {
             Some(section) => section.max_descriptors(),
@@ -75,28 +78,28 @@
         self.limits.sockets.saturating_sub(fleet_descriptors)
     }
 
-    /// The address of discovery in a file that was replaced while the program runs.
+    /// Reads the address of discovery from a configuration file that was replaced while the gateway runs.
     ///
-    /// Here the file's entry overrides the variable: a variable cannot change in a running process, so it holds the old
-    /// address.
+    /// Unlike at start-up, the file overrides the environment variable: a variable cannot change in a running process,
+    /// so it still holds the old address.
     ///
     /// # Errors
-    /// The first fault that was found in the file: all of it must be usable.
+    /// Returns the first error found in the file. The whole file must be valid, not only the address.
     pub(crate) fn reread_discovery_address() -> Result<SocketAddr, ConfigError> {
         let file = ConfigFile::read()?;
         file.check()?;
-        let name = variable_or("BALANCER_NAME", &file.name);
+        let name = env_or("BALANCER_NAME", &file.name);
         file.fleet_section(&name)?;
         parse_address("discovery", &file.discovery)
     }
 }
 
-/// The variable's value, or `entry` if it is not set or is no Unicode.
-fn variable_or(variable: &str, entry: &str) -> String {
+/// The value of the environment variable, or `entry` if the variable is not set or not valid Unicode.
+fn env_or(variable: &str, entry: &str) -> String {
     std::env::var(variable).unwrap_or_else(|_| entry.to_owned())
 }
 
-/// Parses an address with a port; `name` is the variable or key that an error names.
+/// Parses an IP address with a port. `name` is the environment variable or configuration key to name in an error.
 fn parse_address(name: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
     value.parse().map_err(|source| ConfigError::InvalidAddress {
         name,
--- a/src/net/control/config/file.rs
+++ b/src/net/control/config/file.rs
@@ -1,4 +1,4 @@
-//! The JSON file of the configuration, and its checks.
+//! The JSON configuration file and its validation.
 
 use super::error::ConfigError;
 use super::flatten::to_lines;
@@ -11,43 +11,43 @@
 use serde_json::Value;
 use std::path::PathBuf;
 
-/// The file as it was parsed. Keys that it does not know are ignored.
+/// The configuration file as parsed from JSON. Unknown keys are ignored.
 #[derive(Debug, Deserialize)]
 pub(super) struct ConfigFile {
-    /// The gateway's name; `BALANCER_NAME` overrides it.
+    /// The name of the gateway; `BALANCER_NAME` overrides it.
     #[serde(default)]
     pub(super) name: String,
-    /// The address for clients; `BALANCER_LISTEN` overrides it.
+    /// The address to listen on for clients; `BALANCER_LISTEN` overrides it.
     #[serde(default)]
     pub(super) listen: String,
-    /// The address of discovery; `BALANCER_DISCOVERY` overrides it at the start.
+    /// The address of the discovery agent; `BALANCER_DISCOVERY` overrides it at start-up, but not on a reload.
     #[serde(default)]
     pub(super) discovery: String,
-    /// Hexadecimal, 64 bits.
+    /// The seed of all random numbers: hexadecimal, 64 bits.
     pub(super) seed: String,
-    /// Limits of the machine.
+    /// The resource limits of the process.
     pub(super) limits: Limits,
-    /// The endpoint list that an earlier process cached.
+    /// The endpoint list that a previous process cached.
     pub(super) known: Option<EndpointList>,
-    /// The hand-over file.
+    /// The path of the hand-over file; `None` disables the hand-over.
     pub(super) handover: Option<PathBuf>,
-    /// Unparsed, so that its errors name the key.
+    /// The `fleet` section. It is parsed separately, so that its errors name the key.
     pub(super) fleet: Option<Value>,
-    /// Whether this is a test, which alone may set the clock.
+    /// Whether the gateway runs in a test. Only a test may set `clock`.
     #[serde(default)]
     pub(super) test: bool,
-    /// How far the clock is off, in a test.
+    /// The clock skew that a test simulates.
     pub(super) clock: Option<Skew>,
-    /// Nested settings.
+    /// The settings of the policy engine and of the connection pool, as nested objects.
     pub(super) settings: Value,
 }
 
-/// The parts of a file that needed more than JSON to parse.
+/// The values of the file that need further parsing after the JSON.
 #[derive(Debug)]
 pub(super) struct CheckedFile {
-    /// The seed.
+    /// The parsed seed.
     pub(super) seed: u64,
-    /// The settings.
+    /// The parsed settings.
     pub(super) parsed: ParsedSettings,
 }
 
@@ -55,9 +55,9 @@
     /// Reads the file that `BALANCER_CONFIG` names.
     ///
     /// # Errors
-    /// The variable is not set, or the file cannot be read or is not of this form.
+    /// The variable is not set, the file cannot be read, or its content is malformed.
     pub(super) fn read() -> Result<ConfigFile, ConfigError> {
-        let path = std::env::var("BALANCER_CONFIG").map_err(|_| ConfigError::NoFile)?;
+        let path = std::env::var("BALANCER_CONFIG").map_err(|_| ConfigError::MissingConfigPath)?;
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
             Err(source) => return Err(ConfigError::Unreadable { path, source }),
@@ -65,23 +65,26 @@
         serde_json::from_str(&text).map_err(|source| ConfigError::Malformed { path, source })
     }
 
-    /// The `fleet` section of the gateway called `own`, if there is one.
+    /// Parses the `fleet` section for the gateway named `local_name`. Returns `None` if the file has no such section.
     ///
     /// # Errors
-    /// It cannot be used, or leaves fewer than [`MIN_SOCKETS`] descriptors.
-    pub(super) fn fleet_section(&self, own: &str) -> Result<Option<FleetSection>, ConfigError> {
+    /// The section is invalid, or leaves fewer than [`MIN_SOCKETS`] file descriptors for clients and backends.
+    pub(super) fn fleet_section(
+        &self,
+        local_name: &str,
+    ) -> Result<Option<FleetSection>, ConfigError> {
         let Some(value) = &self.fleet else {
             return Ok(None);
         };
-        let section = FleetSection::parse(value, own)?;
+        let section = FleetSection::parse(value, local_name)?;
         section.check_descriptors(self.limits.sockets, MIN_SOCKETS)?;
         Ok(Some(section))
     }
 
-    /// Checks all but the addresses and the `fleet` section.
+    /// Validates everything except the addresses and the `fleet` section.
     ///
     /// # Errors
-    /// The first fault, in the order of seed, limits, hand-over, clock and settings.
+    /// Returns the first error found, in the order seed, limits, hand-over, clock, settings.
     pub(super) fn check(&self) -> Result<CheckedFile, ConfigError> {
         let seed =
             u64::from_str_radix(&self.seed, 16).map_err(|source| ConfigError::InvalidSeed {
@@ -103,7 +106,7 @@
             return Ok(());
         };
         if path.file_name().is_none() {
-            return Err(ConfigError::InvalidHandoverPath);
+            return Err(ConfigError::InvalidHandoverPath { path: path.clone() });
         }
         Ok(())
     }
@@ -116,7 +119,7 @@
             return Err(ConfigError::ClockOutsideTest);
         }
         if !clock.is_valid() {
-            return Err(ConfigError::InvalidClock);
+            return Err(ConfigError::InvalidClock { skew: *clock });
         }
         Ok(())
     }
--- a/src/net/control/config/file/tests.rs
+++ b/src/net/control/config/file/tests.rs
@@ -2,24 +2,24 @@
 
 use super::*;
 
-/// A file with the required keys only.
+/// A configuration file with only the required keys.
 fn minimal_file() -> Value {
     serde_json::json!({"seed": "1", "limits": {"sockets": 256}, "settings": {}})
 }
 
-/// The minimal file with one key more, or another value of it.
+/// The minimal file with `key` added or replaced.
 fn file_with(key: &str, value: Value) -> ConfigFile {
     let mut json = minimal_file();
     json[key] = value;
     serde_json::from_value(json).expect("a file")
 }
 
-/// Why a file with `value` at `key` cannot be used.
-fn fault(key: &str, value: Value) -> String {
+/// The error of a file with `value` at `key`.
+fn error_message(key: &str, value: Value) -> String {
     file_with(key, value).check().unwrap_err().to_string()
 }
 
-/// The names in the file are the platform's and the operators': each key reaches its own field.
+/// Guards against a renamed JSON key: the keys are defined by the platform and the operators.
 #[test]
 fn every_json_key_of_the_file_reaches_its_field() {
     let text = r#"{"name": "n0", "listen": "127.0.0.1:8080", "discovery": "127.0.0.1:8500",
@@ -73,24 +73,25 @@
     }
 }
 
-/// Operators read these texts, and tools look for them: each is one line that names the key.
+/// Guards the messages that operators read and tools match: each is one line that names the key, what was expected and
+/// what was found.
 #[test]
-fn an_unusable_value_is_reported_with_its_key() {
+fn an_invalid_value_is_reported_with_its_key() {
     assert_eq!(
-        fault("seed", "xyz".into()),
-        "seed: \"xyz\" is not a hexadecimal number"
+        error_message("seed", "xyz".into()),
+        "seed: expected a hexadecimal number of at most 64 bits, got \"xyz\""
     );
     assert_eq!(
-        fault("limits", serde_json::json!({"sockets": 31})),
-        "limits.sockets: 31 is under 32"
+        error_message("limits", serde_json::json!({"sockets": 31})),
+        "limits.sockets: expected at least 32 file descriptors, got 31"
     );
     assert_eq!(
-        fault("handover", "/".into()),
-        "handover: that is no name of a file"
+        error_message("handover", "/".into()),
+        "handover: expected a path that ends in a file name, got \"/\""
     );
     assert_eq!(
-        fault("clock", serde_json::json!({})),
-        "clock: only a test may set it, and says so with \"test\""
+        error_message("clock", serde_json::json!({})),
+        "clock: only a test may set the clock; expected the key \"test\" to be true"
     );
     let mut json = minimal_file();
     json["test"] = true.into();
@@ -98,23 +99,23 @@
     let file: ConfigFile = serde_json::from_value(json).expect("a file");
     assert_eq!(
         file.check().unwrap_err().to_string(),
-        "clock: a rate from 0.1 to 10 and a time are wanted"
+        "clock: expected a rate from 0.1 to 10 and a finite ahead_ms, got rate 0.05 and ahead_ms 0"
     );
     assert_eq!(
-        fault("settings", serde_json::json!({"tick": "soon"})),
+        error_message("settings", serde_json::json!({"tick": "soon"})),
         "settings: tick=soon cannot be read"
     );
 }
 
 #[test]
-fn only_a_fault_of_the_fleet_section_exits_with_code_2() {
+fn only_an_error_of_the_fleet_section_exits_with_code_2() {
     let section =
         serde_json::json!({"name": "f", "listen": "127.0.0.1:1", "peers": [], "links": 200});
     let error = file_with("fleet", section).fleet_section("n0").unwrap_err();
     assert_eq!(error.exit_code(), 2);
     assert_eq!(
         error.to_string(),
-        "fleet.accepted: 64 and fleet.links: 200 leave too little of 256 sockets"
+        "fleet.accepted: 64 and fleet.links: 200 require limits.sockets of at least 299, got 256"
     );
     assert_eq!(
         file_with("seed", "xyz".into())
@@ -124,8 +125,8 @@
         1
     );
     assert_eq!(
-        ConfigError::NoFile.to_string(),
-        "BALANCER_CONFIG is not set"
+        ConfigError::MissingConfigPath.to_string(),
+        "BALANCER_CONFIG: expected the path of the configuration file, but the variable is not set"
     );
 }
 
--- a/src/net/control/config/flatten.rs
+++ b/src/net/control/config/flatten.rs
@@ -1,12 +1,12 @@
-//! Nested JSON settings as the `path=value` lines that the simulator sends, so that both are parsed by the same code.
+//! Converts nested JSON settings to the `path=value` lines that the simulator sends, so that one parser handles both.
 //!
-//! The keys of nested objects are joined by dots. A list of objects becomes an entry for each index and one for the
-//! `count`; a list of plain values is joined by commas. Null values are left out.
+//! The keys of nested objects are joined by dots. A list of objects becomes one entry for each index and an entry
+//! `count`. A list of scalars is joined by commas. Null values are omitted.
 
 use cometspool::settings;
 use serde_json::Value;
 
-/// The lines of the settings, each with its line feed.
+/// Converts the settings to lines. Each line ends with a line feed.
 pub(super) fn to_lines(settings: &Value) -> String {
     let mut lines = String::new();
     push_value("", settings, &mut lines);
@@ -27,11 +27,11 @@
             }
         }
         Value::Array(items) => {
-            let texts: Vec<String> = items.iter().filter_map(plain_text).collect();
+            let texts: Vec<String> = items.iter().filter_map(scalar_text).collect();
             push_line(path, &texts.join(","), lines);
         }
-        plain => {
-            if let Some(text) = plain_text(plain) {
+        scalar => {
+            if let Some(text) = scalar_text(scalar) {
                 push_line(path, &text, lines);
             }
         }
@@ -57,8 +57,8 @@
     lines.push('\n');
 }
 
-/// The text of a plain value; none for null and what is nested.
-fn plain_text(value: &Value) -> Option<String> {
+/// The text of a scalar value; `None` for null, lists and objects.
+fn scalar_text(value: &Value) -> Option<String> {
     match value {
         Value::String(text) => Some(settings::normalize_name(text)),
         Value::Bool(_) | Value::Number(_) => Some(value.to_string()),
--- a/src/net/control/config/flatten/tests.rs
+++ b/src/net/control/config/flatten/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn nested_settings_become_the_lines_of_the_wire() {
+fn nested_settings_become_path_value_lines() {
     let value = serde_json::json!({
         "tick": 2.0, "zones": ["a b", "c"], "none": null, "report": {"names": []},
         "plans": [{"name": "x,y", "max_out": 2}], "policy_limits": {"cancel": true},
--- a/src/net/control/config/limits.rs
+++ b/src/net/control/config/limits.rs
@@ -1,21 +1,21 @@
-//! The limits of the machine, as the configuration gives them.
+//! The resource limits in the configuration.
 
 use serde::Deserialize;
 
-/// The fewest descriptors with which a gateway can work.
+/// Minimum number of file descriptors with which a gateway can work.
 pub(super) const MIN_SOCKETS: usize = 32;
 
-/// Limits of the machine that bear on how the gateway is built.
+/// The resource limits of the process, from which the gateway derives its connection limits.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub(crate) struct Limits {
-    /// File descriptors that the process may use.
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// Memory that the process may use, in MiB.
+    /// Memory limit of the process, in MiB.
     #[serde(default = "default_memory_mb")]
     pub memory_mb: usize,
 }
 
-/// What every deployment has at least, in MiB.
+/// Memory that every deployment has at least, in MiB.
 fn default_memory_mb() -> usize {
     32
 }
--- a/src/net/control/config/tests.rs
+++ b/src/net/control/config/tests.rs
@@ -7,7 +7,7 @@
     let error = parse_address("BALANCER_LISTEN", "localhost").unwrap_err();
     assert_eq!(
         error.to_string(),
-        "BALANCER_LISTEN: \"localhost\" is not an address with a port"
+        "BALANCER_LISTEN: expected an IP address with a port, got \"localhost\""
     );
     assert_eq!(error.exit_code(), 1);
 }
--- a/src/net/control/discovery.rs
+++ b/src/net/control/discovery.rs
@@ -1,21 +1,21 @@
-//! Service discovery: a watch on the endpoint list that is resumed where it ended.
+//! Service discovery: watches the endpoint list, and resumes an interrupted watch at the version last received.
 //!
-//! The agent of the platform answers `GET /catalog/members` with the full list, and the same path with `watch=1&from=…`
-//! with an unbounded response of one JSON object for each change and a heartbeat in between. A watch that cannot be read
-//! is replaced by the full list.
+//! The discovery agent of the platform answers `GET /catalog/members` with the full list. It answers the same path with
+//! `watch=1&from=…` with an unbounded response: one JSON object for each change, and heartbeats in between. If a watch
+//! delivers invalid data, the full list is requested instead.
 //!
-//! Two clocks bound the loop. A silence timeout runs from the last complete object or heartbeat: the bytes of an object
-//! that never ends do not extend it. [`deadline`] bounds each call and the pause after it, so that a change takes effect in
-//! time.
+//! Two time limits bound the loop. The silence timeout runs from the last complete object or heartbeat; the bytes of an
+//! object that never ends do not extend it. [`deadline`] limits each call and the pause after it, so that every change
+//! takes effect in time.
 //!
-//! | module | what it does |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`watch`] | the loop: calls, full list or resumption, pauses |
-//! | [`response`] | one call: connection, request, body |
-//! | [`object_framer`] | the body's bytes to JSON objects, without I/O |
-//! | [`versions`] | which version to resume from, and which lists are stale |
-//! | [`deadline`] | response timeouts and the longest pause |
-//! | [`error`] | how a call ended |
+//! | [`watch`] | the loop: calls discovery, resumes the watch or requests the full list, pauses between calls |
+//! | [`response`] | one call: connection, request, response body |
+//! | [`object_framer`] | splits the body into JSON objects, sans I/O |
+//! | [`versions`] | the version to resume from, and the detection of stale lists |
+//! | [`deadline`] | the response timeout and the longest pause |
+//! | [`error`] | the errors that end a call |
 
 mod deadline;
 mod error;
@@ -30,20 +30,20 @@
 pub(crate) use deadline::MAX_BACKOFF;
 pub(crate) use watch::watch_endpoints;
 
-/// Where a list comes from and how recent it is.
+/// The origin of an endpoint list, and whether it is up to date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndpointUpdate {
-    /// Cached by an earlier process of this gateway; discovery has not been reached yet.
+    /// Cached by a previous process of this gateway. Discovery has not been reached yet.
     Cached,
-    /// The newest that discovery has sent.
+    /// The newest list that discovery has sent.
     Current,
-    /// Sent by discovery, but of a lower version than one shortly before: an agent lags, or discovery numbers anew. It
-    /// must not undo the removal of an endpoint.
+    /// Sent by discovery, but with a lower version than a list received shortly before. Either the agent lags behind,
+    /// or discovery has restarted its version numbers. A stale list must not undo the removal of an endpoint.
     Stale,
 }
 
-/// Receives the endpoint lists that discovery sends.
+/// Receives the endpoint lists from discovery.
 pub(crate) trait EndpointObserver {
-    /// Applies a full list, or the changes to the one before.
+    /// Applies a full list, or the changes since the previous list.
     fn endpoints_updated(&self, list: &EndpointList, update: EndpointUpdate);
 }
--- a/src/net/control/discovery/object_framer.rs
+++ b/src/net/control/discovery/object_framer.rs
@@ -1,55 +1,55 @@
-//! Splits the bytes of a response body into JSON objects. Sans I/O: bytes in, events out.
+//! Splits the bytes of a response body into JSON objects. Sans I/O: the caller pushes bytes and gets events.
 
-/// The largest object that is accepted, in bytes.
+/// Maximum size of an object, in bytes.
 const MAX_OBJECT_BYTES: usize = 4 << 20;
 
-/// Bytes that are no sequence of objects.
+/// Reasons why the bytes of a body are not a sequence of JSON objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum FramingError {
-    /// Neither white space nor an opening brace stands between two objects.
-    #[error("unreadable line: no object begins with byte {0}")]
+    /// A byte between two objects is neither white space nor an opening brace; holds the byte.
+    #[error("expected an opening brace or white space between objects, got byte {0}")]
     UnexpectedByte(u8),
-    /// An object of over [`MAX_OBJECT_BYTES`].
-    #[error("an object of over {MAX_OBJECT_BYTES} bytes")]
+    /// An object is longer than [`MAX_OBJECT_BYTES`].
+    #[error("expected objects of at most {MAX_OBJECT_BYTES} bytes, got a longer one")]
     ObjectTooLarge,
 }
 
-/// What a byte completes.
+/// The event that a byte completes.
 #[derive(Debug, PartialEq)]
 pub(super) enum FrameEvent {
-    /// Nothing: more bytes are needed.
+    /// None: more bytes are needed.
     Incomplete,
-    /// A line's end between two objects: the agent is alive.
+    /// A line feed between two objects, which shows that the agent is alive.
     Heartbeat,
-    /// The bytes of a complete object.
+    /// A complete object; holds its bytes.
     Object(Vec<u8>),
 }
 
-/// Finds where each object ends, whether it stands on one line or is indented over many.
+/// Finds the end of each object, whether the object is on one line or pretty-printed over several lines.
 ///
-/// It counts braces and brackets outside of strings and does not check the JSON in between: that is for the parser of the
-/// object.
+/// The framer counts braces and brackets outside of strings. It does not validate the JSON in between; the parser of
+/// the object does.
 #[derive(Default)]
 pub(super) struct ObjectFramer {
-    /// The object so far; empty between two objects.
+    /// The bytes of the current object so far; empty between two objects.
     buffer: Vec<u8>,
-    /// Braces and brackets that are open.
+    /// Number of open braces and brackets.
     depth: usize,
     in_string: bool,
-    /// Whether the byte before is a backslash that escapes the next one.
+    /// Whether the previous byte is a backslash that escapes the next byte.
     is_escaped: bool,
 }
 
 impl ObjectFramer {
-    /// Whether no object has begun that is not complete.
+    /// Whether no object is in progress.
     pub(super) fn is_between_objects(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Takes the next byte of the body.
+    /// Processes the next byte of the body.
     ///
     /// # Errors
-    /// The body is not a sequence of objects; nothing can be read from it any more.
+    /// The body is not a sequence of JSON objects. The framer cannot be used after an error.
     pub(super) fn push(&mut self, byte: u8) -> Result<FrameEvent, FramingError> {
         if self.is_between_objects() {
             match byte {
@@ -76,7 +76,7 @@
             (true, b'\\') => self.is_escaped = true,
             (_, b'"') => self.in_string = !self.in_string,
             (false, b'{' | b'[') => self.depth += 1,
-            // Cannot underflow: the first byte of an object opens it, and the object ends at depth 0.
+            // Cannot underflow: the first byte of an object raises the depth to 1, and the object ends at depth 0.
             (false, b'}' | b']') => self.depth -= 1,
             _ => {}
         }
--- a/src/net/control/discovery/object_framer/tests.rs
+++ b/src/net/control/discovery/object_framer/tests.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Guards lists against their layout: whatever an object holds, in one line or indented over many, and with heartbeats
-    /// between, it comes out complete and once.
+    /// Guards against objects that are lost or split because of their layout: every object, on one line or
+    /// pretty-printed, with heartbeats in between, is returned complete and exactly once.
     #[test]
     fn objects_are_framed_completely_whatever_their_layout(
         texts in proptest::collection::vec("[ -~\n\"\\\\{}\\[\\]]{0,12}", 1..5), indented in any::<bool>(),
@@ -37,7 +37,7 @@
     assert_eq!(framer.push(b'['), Err(FramingError::UnexpectedByte(b'[')));
 }
 
-/// Guards the memory of a gateway against an object that never ends.
+/// Guards against unbounded memory use by an object that never ends.
 #[test]
 fn an_object_over_the_limit_is_an_error() {
     let mut framer = ObjectFramer::default();
--- a/src/net/control/discovery/response.rs
+++ b/src/net/control/discovery/response.rs
@@ -1,4 +1,4 @@
-//! One call to discovery: connects, sends the request and reads the objects of the response.
+//! One call to discovery: connects, sends the request and reads the JSON objects of the response.
 
 use super::deadline::SILENCE_TIMEOUT;
 use super::error::WatchError;
@@ -15,23 +15,24 @@
 use tokio::task::JoinSet;
 use tokio::time::{timeout_at, Instant};
 
-/// A response with status 200 whose body is being read. The connection is closed when it is dropped.
+/// A response with status 200 whose body is being read. Dropping it closes the connection.
 pub(super) struct WatchResponse {
     body: Incoming,
     framer: ObjectFramer,
-    /// When the watch counts as silent.
+    /// When the watch counts as silent if no object or heartbeat arrives before.
     silent_at: Instant,
-    /// Drives the connection; a set aborts its tasks when it is dropped.
+    /// The task that drives the connection. A `JoinSet` aborts its tasks when it is dropped.
     _connection: JoinSet<hyper::Result<()>>,
-    /// Held for as long as the body is read: a connection without its sender is shut down.
+    /// Kept while the body is read, since hyper shuts down a connection whose sender is dropped.
     _sender: SendRequest<Empty<Bytes>>,
 }
 
 impl WatchResponse {
-    /// Requests `path` from `agent`. The connection and the response's head have `response_timeout` together.
+    /// Requests `path` from `agent`. The connection and the response head together must arrive within
+    /// `response_timeout`.
     ///
     /// # Errors
-    /// No head with status 200 came in time.
+    /// No response head with status 200 arrived in time.
     pub(super) async fn open(
         agent: SocketAddr,
         path: &str,
@@ -63,10 +64,10 @@
         })
     }
 
-    /// Hands each object to `apply` until the agent ends the body between two objects.
+    /// Passes each object to `apply` until the agent ends the body between two objects.
     ///
     /// # Errors
-    /// That of `apply`, or how the body ended otherwise.
+    /// An error of `apply`, or the reason why the body could not be read further.
     pub(super) async fn read_objects(
         &mut self,
         mut apply: impl FnMut(&[u8]) -> Result<(), WatchError>,
@@ -84,7 +85,7 @@
         Ok(())
     }
 
-    /// The next bytes of the body; none at its end.
+    /// The next bytes of the body; `None` at its end.
     async fn next_chunk(&mut self) -> Result<Option<Bytes>, WatchError> {
         loop {
             let frame = match timeout_at(self.silent_at, self.body.frame()).await {
@@ -93,7 +94,7 @@
                 Err(elapsed) if self.framer.is_between_objects() => return Err(elapsed.into()),
                 Ok(None) | Err(_) => return Err(WatchError::Truncated),
             };
-            // Trailers are of no use here.
+            // Frames other than data are trailers, which are ignored.
             if let Ok(data) = frame.into_data() {
                 return Ok(Some(data));
             }
--- a/src/net/control/discovery/versions.rs
+++ b/src/net/control/discovery/versions.rs
@@ -1,4 +1,4 @@
-//! The versions of the endpoint list that this gateway has seen.
+//! Tracks the versions of the endpoint list that this gateway has received.
 
 use super::error::WatchError;
 use super::EndpointUpdate;
@@ -6,21 +6,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// For how long a lower version counts as an older list, sent by an agent that lags behind another one. After this time
-/// a lower version means that discovery has begun to number anew.
+/// How long a lower version counts as stale after a higher one. Within this time, a lower version comes from an
+/// agent that lags behind another one. Later, a lower version means that discovery has restarted its version numbers.
 const STALE_WINDOW: Duration = Duration::from_secs(60);
 
-/// The highest version of late.
+/// The newest version and when it was received.
 #[derive(Clone, Copy, Debug)]
 struct NewestVersion {
     version: u64,
     received_at: Instant,
 }
 
-/// Owns the version from which a watch is resumed, and distinguishes a stale list from a current one.
+/// Tracks the version from which the watch is resumed, and distinguishes stale lists from current ones.
 ///
-/// The two differ after a watch that could not be resumed: the full list is requested without a version then, and may come
-/// from an agent that lags.
+/// The version to resume from and the newest version differ after a watch could not be resumed: the full list is then
+/// requested without a version, and may come from an agent that lags behind.
 #[derive(Debug, Default)]
 pub(super) struct VersionTracker {
     resume_from: Option<u64>,
@@ -28,7 +28,7 @@
 }
 
 impl VersionTracker {
-    /// Starts at the list that an earlier process cached, if there is one.
+    /// Starts at the version of the list that a previous process cached, if there is one.
     pub(super) fn new(cached: Option<&EndpointList>) -> VersionTracker {
         let Some(list) = cached else {
             return VersionTracker::default();
@@ -42,20 +42,20 @@
         }
     }
 
-    /// The version from which a watch can be resumed; none where the full list is needed.
+    /// The version from which the watch can be resumed; `None` if the full list is required.
     pub(super) fn resume_from(&self) -> Option<u64> {
         self.resume_from
     }
 
-    /// Forgets where to resume, so that the next call requests the full list.
+    /// Discards the version to resume from, so that the next call requests the full list.
     pub(super) fn require_full_list(&mut self) {
         self.resume_from = None;
     }
 
-    /// Whether a list just received is stale.
+    /// Determines whether a list that was just received is current or stale.
     ///
     /// # Errors
-    /// [`WatchError::VersionRegressed`] if it holds changes that follow an earlier version than the one known.
+    /// [`WatchError::VersionRegressed`] if the list holds changes with a lower version than the one to resume from.
     pub(super) fn classify(&self, list: &EndpointList) -> Result<EndpointUpdate, WatchError> {
         let received = list.version;
         if let Some(known) = self.resume_from {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Records a list that has been applied, as [`VersionTracker::classify`] had it.
+    /// Records the version of a list that has been applied. `update` is the result of [`VersionTracker::classify`].
     pub(super) fn record(&mut self, version: u64, update: EndpointUpdate) {
         if update != EndpointUpdate::Stale {
             self.newest = Some(NewestVersion {
--- a/src/net/control/discovery/versions/tests.rs
+++ b/src/net/control/discovery/versions/tests.rs
@@ -10,8 +10,8 @@
     }
 }
 
-/// Guards the removal of an endpoint against the full list of an agent that lags, and a gateway against taking a new
-/// numbering for an old list for good.
+/// Guards against a lagging agent whose full list would undo the removal of an endpoint. Also guards against treating
+/// lists as stale forever after discovery has restarted its version numbers.
 #[tokio::test(start_paused = true)]
 async fn a_lower_version_is_stale_for_a_minute_and_current_after_it() {
     let mut versions = VersionTracker::new(Some(&list(9, true)));
@@ -21,7 +21,7 @@
     assert_eq!(update, EndpointUpdate::Stale);
     versions.record(7, update);
     assert_eq!(versions.resume_from(), Some(7));
-    // A stale list does not make the newest one any younger.
+    // A stale list does not extend the time for which lower versions count as stale.
     tokio::time::advance(Duration::from_millis(1)).await;
     let update = versions.classify(&list(8, false)).expect("a list");
     assert_eq!(update, EndpointUpdate::Current);
@@ -40,7 +40,7 @@
     ));
     let same = versions.classify(&list(9, false)).expect("a list");
     assert_eq!(same, EndpointUpdate::Current);
-    // Without a version to resume from nothing is known that they could contradict.
+    // Without a version to resume from there is no list that the changes could contradict.
     versions.require_full_list();
     let update = versions.classify(&list(8, false)).expect("a list");
     assert_eq!(update, EndpointUpdate::Stale);
--- a/src/net/control/discovery/watch.rs
+++ b/src/net/control/discovery/watch.rs
@@ -1,6 +1,6 @@
-//! The loop that follows discovery for as long as the gateway runs.
+//! The loop that watches the endpoint list for as long as the gateway runs.
 
-use super::deadline::{Deadline, WatchEnd};
+use super::deadline::{UpdateDeadline, WatchEnd};
 use super::error::WatchError;
 use super::response::WatchResponse;
 use super::versions::VersionTracker;
@@ -13,10 +13,11 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::Instant;
 
-/// Follows discovery from the `cached` list of an earlier process, and hands each list to `observer`. It never returns.
+/// Watches the endpoint list, starting from the `cached` list of a previous process, and passes each list to
+/// `observer`. Never returns.
 ///
-/// `agent` is the address of discovery: when it changes, or the same is sent again, the present call is dropped at once and
-/// the watch resumed there.
+/// `agent` is the address of the discovery agent. When an address is sent, even the same one, the current call is
+/// dropped immediately and the watch is resumed at that address.
 pub(crate) async fn watch_endpoints(
     observer: Rc<dyn EndpointObserver>,
     mut agent: Receiver<SocketAddr>,
@@ -24,7 +25,8 @@
     backoff: Backoff,
 ) {
     let mut watch = EndpointWatch::new(observer, cached.as_ref(), backoff);
-    // This function never returns: the list would stay in memory for as long as the gateway runs.
+    // Dropped explicitly: this function never returns, so the list would stay in memory for as long as the gateway
+    // runs.
     drop(cached);
     loop {
         let address = *agent.borrow_and_update();
@@ -46,17 +48,17 @@
     }
 }
 
-/// A call as it began.
+/// The parameters of one call to discovery.
 struct Call {
     started_at: Instant,
-    /// The version from which the watch is resumed; none requests the full list.
+    /// The version from which the watch is resumed; `None` requests the full list.
     resume_from: Option<u64>,
-    /// How long the response's head may take.
+    /// Timeout for the connection and the response head.
     response_timeout: Duration,
 }
 
 impl Call {
-    /// Path and query of the request, as the platform's protocol has them.
+    /// Path and query of the request, as the protocol of the platform defines them.
     fn path(&self) -> String {
         match self.resume_from {
             Some(version) => format!("/catalog/members?watch=1&from={version}"),
@@ -65,14 +67,14 @@
     }
 }
 
-/// The state that outlives a call.
+/// The state of the watch that is kept across calls.
 struct EndpointWatch {
     observer: Rc<dyn EndpointObserver>,
     versions: VersionTracker,
-    deadline: Deadline,
+    deadline: UpdateDeadline,
     backoff: Backoff,
-    /// Whether the last call brought nothing: an outage is logged once, not for each call.
-    is_down: bool,
+    /// Whether the last call delivered no new version. An outage is logged once, not for each failed call.
+    in_outage: bool,
 }
 
 impl EndpointWatch {
@@ -88,9 +90,9 @@
         EndpointWatch {
             observer,
             versions,
-            deadline: Deadline::default(),
+            deadline: UpdateDeadline::default(),
             backoff,
-            is_down: false,
+            in_outage: false,
         }
     }
 
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Makes the call and applies each object of the response until it ends.
+    /// Makes the call and applies each object of the response until the response ends.
     async fn run_call(&mut self, agent: SocketAddr, call: &Call) -> Result<(), WatchError> {
         let mut response = WatchResponse::open(agent, &call.path(), call.response_timeout).await?;
         response.read_objects(|object| self.apply(object)).await
@@ -116,8 +118,8 @@
         Ok(())
     }
 
-    /// Settles what follows from the end of a call: how long to pause before the next one, or none where the full list has
-    /// come and the watch can be opened at once.
+    /// Handles the end of a call. Returns the pause before the next call, or `None` if the full list has been received
+    /// and the watch can be opened immediately.
     fn end_call(&mut self, call: &Call, result: Result<(), WatchError>) -> Option<Duration> {
         if result.as_ref().is_err_and(WatchError::requires_full_list) {
             self.versions.require_full_list();
@@ -128,18 +130,18 @@
         };
         let max_pause = self.deadline.call_ended(call.started_at, watch_end);
         let resume_from = self.versions.resume_from();
-        let has_moved = resume_from != call.resume_from;
-        if has_moved && resume_from.is_some() {
+        let version_changed = resume_from != call.resume_from;
+        if version_changed && resume_from.is_some() {
             self.backoff.reset();
         }
         let requested_full_list = call.resume_from.is_none();
         if requested_full_list && result.is_ok() && resume_from.is_some() {
             return None;
         }
-        if !self.is_down || has_moved {
+        if !self.in_outage || version_changed {
             log_watch_end(&result);
         }
-        self.is_down = !has_moved;
+        self.in_outage = !version_changed;
         if watch_end == WatchEnd::Rejected {
             Some(self.backoff.after_rejection(max_pause))
         } else {
@@ -150,7 +152,7 @@
 
 fn log_watch_end(result: &Result<(), WatchError>) {
     match result {
-        Ok(()) => tracing::warn!("endpoint list watch closed"),
-        Err(error) => tracing::warn!(%error, "endpoint list watch ended"),
+        Ok(()) => tracing::warn!("endpoint list watch closed by discovery"),
+        Err(error) => tracing::warn!(%error, "endpoint list watch failed"),
     }
 }
--- a/src/net/control/endpoint_list.rs
+++ b/src/net/control/endpoint_list.rs
@@ -1,57 +1,57 @@
-//! The endpoint list as discovery sends it and the configuration caches it. The keys of the JSON are those of the platform's
-//! protocol; unknown ones are ignored.
+//! The JSON format of the endpoint list, as sent by discovery and cached in the configuration. The keys are defined by
+//! the protocol of the platform; unknown keys are ignored.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The endpoints of the service, or those that changed since the version before.
+/// All endpoints of the service, or those that changed since the previous version.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct EndpointList {
-    /// The version of the list after these changes; a watch is resumed from it.
+    /// The version of the list with these endpoints applied. A watch is resumed from this version.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether it names every endpoint, rather than only those that changed.
+    /// Whether `endpoints` holds every endpoint rather than only those that changed.
     #[serde(rename = "whole")]
     pub is_full: bool,
-    /// The endpoints.
+    /// The listed endpoints.
     #[serde(rename = "hosts")]
     pub endpoints: Vec<Endpoint>,
 }
 
-/// One backend of the list.
+/// One backend in the list.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Endpoint {
-    /// Its name, the same at every gateway.
+    /// The name of the backend, which is the same at every gateway.
     #[serde(rename = "host")]
     pub name: String,
-    /// The address that it listens on.
+    /// The address on which the backend listens.
     #[serde(rename = "dial")]
     pub address: SocketAddr,
-    /// Its zone, by name.
+    /// The name of the backend's zone; empty if the list has none.
     #[serde(rename = "site", default)]
     pub zone: String,
-    /// Its cell, by number.
+    /// The number of the backend's cell; 0 if the list has none.
     #[serde(rename = "block", default)]
     pub cell: u32,
-    /// Whether it accepts requests.
+    /// Whether the backend accepts requests.
     pub health: Health,
-    /// Its capacity relative to other backends; 1 where the list has none.
+    /// The capacity of the backend relative to other backends; 1 if the list has none.
     #[serde(rename = "share", default = "default_weight")]
     pub weight: f64,
-    /// When it last started, in Unix milliseconds; 0 if that is long ago.
+    /// When the backend last started, in Unix milliseconds; 0 if that was long ago.
     #[serde(rename = "born_ms", default)]
     pub started_at_ms: f64,
 }
 
-/// The state of a backend in the list.
+/// The health of a backend as reported by discovery.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Health {
-    /// Accepts requests.
+    /// The backend accepts requests.
     Up,
-    /// Finishes its requests and is sent no new ones.
+    /// The backend completes its requests and must not be sent new ones.
     Draining,
-    /// No longer part of the service.
+    /// The backend is no longer part of the service.
     Removed,
 }
 
--- a/src/net/control/endpoint_list/tests.rs
+++ b/src/net/control/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `endpoint_list.rs`: the JSON of the platform's protocol, key by key.
+//! Unit tests of `endpoint_list.rs`: the JSON keys of the platform's protocol.
 
 use super::*;
 
@@ -6,7 +6,7 @@
     serde_json::from_str(json).expect("an endpoint list")
 }
 
-/// The protocol's names stay while the fields of the program are renamed: each key reaches its own field.
+/// Guards against a renamed JSON key: the keys are defined by the protocol, whatever the names of the Rust fields.
 #[test]
 fn every_json_key_of_an_endpoint_reaches_its_field() {
     let list = parse(
--- a/src/net/control/fleet_section.rs
+++ b/src/net/control/fleet_section.rs
@@ -1,5 +1,5 @@
-//! The `fleet` section of the configuration: as it is written, and as it is once checked. Without
-//! it the fleet layer is off.
+//! The `fleet` section of the configuration, in its JSON form and in its validated form. Without this section the fleet
+//! layer is disabled.
 
 use cometspool_membership::{MAX_NAME_BYTES, MAX_ZONE_BYTES};
 use serde::Deserialize;
@@ -9,56 +9,64 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Descriptors that the fleet layer holds besides its connections: both listeners, and one dial in
-/// passing.
-const OTHER_DESCRIPTORS: usize = 3;
+/// Number of file descriptors that the fleet layer uses besides its established connections: the TCP listener, the UDP
+/// socket, and one connection that is being established.
+const BASE_DESCRIPTORS: usize = 3;
 
+/// Accepted values of `links` and `accepted`, in connections.
 const CONNECTION_RANGE: RangeInclusive<u64> = 1..=4096;
+/// Accepted values of `frame_bytes`, in bytes.
 const BODY_BYTES_RANGE: RangeInclusive<u64> = 4096..=16 << 20;
+/// Accepted values of `queue_bytes`, in bytes.
 const QUEUE_BYTES_RANGE: RangeInclusive<u64> = 4096..=64 << 20;
+/// Accepted values of `hello_ms` and `beat_ms`, in milliseconds.
 const TIMEOUT_MS_RANGE: RangeInclusive<u64> = 10..=60_000;
+/// Accepted values of `keep_ms`, in milliseconds.
 const IDLE_MS_RANGE: RangeInclusive<u64> = 100..=3_600_000;
+/// Accepted values of `tell_ms`, in milliseconds.
 const REPORT_MS_RANGE: RangeInclusive<u64> = 50..=3_600_000;
 
-/// Why a `fleet` section cannot be used; each is one plain line that names the key.
+/// Reasons why a `fleet` section is invalid. Each message is one line that names the key.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SectionError {
-    /// It does not have the keys and types that it should.
+    /// A key is missing, unknown or of the wrong type.
     #[error("fleet: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// A value is out of bounds.
-    #[error("fleet.{key}: {fault}")]
+    /// A value is invalid.
+    #[error("fleet.{key}: {reason}")]
     Value {
-        /// The key, below `fleet`.
+        /// The key, relative to `fleet`.
         key: String,
-        /// What is wrong with its value.
-        fault: String,
+        /// What was expected and what was found.
+        reason: String,
     },
-    /// It leaves too few descriptors for clients and backends.
+    /// The fleet layer would leave too few file descriptors for clients and backends.
     #[error(
-        "fleet.accepted: {max_inbound} and fleet.links: {max_outbound} leave too little of {sockets} sockets"
+        "fleet.accepted: {max_inbound} and fleet.links: {max_outbound} require limits.sockets of at least {required}, got {sockets}"
     )]
     Descriptors {
-        /// Connections that are accepted at most.
+        /// The configured maximum of accepted connections.
         max_inbound: usize,
-        /// Connections that are dialed at most.
+        /// The configured maximum of dialed connections.
         max_outbound: usize,
-        /// Descriptors of the process.
+        /// File descriptors that the fleet layer, clients and backends need together.
+        required: usize,
+        /// The limit on file descriptors of the process.
         sockets: usize,
     },
 }
 
 impl SectionError {
-    fn value(key: &str, fault: String) -> SectionError {
+    fn value(key: &str, reason: String) -> SectionError {
         SectionError::Value {
             key: key.to_owned(),
-            fault,
+            reason,
         }
     }
 }
 
-/// Another gateway, as it is written. Operators read the type's name where the parser finds
-/// something else, so it stays.
+/// Another gateway, in the JSON form. The name of this type appears in the parser's error messages to operators, so it
+/// must not change.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Peer {
@@ -67,20 +75,20 @@
     address: String,
 }
 
-/// What is paced by the number of gateways that seem present.
+/// Which rates are scaled by the number of gateways that membership reports as present.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Pace {
-    /// Calls for the endpoint list that were rejected.
+    /// Retries of calls to discovery that were rejected.
     pub discovery: bool,
-    /// Dials to backends; never for fewer gateways than are configured.
+    /// Dials to backends. They are never scaled for fewer gateways than are configured.
     pub dials: bool,
-    /// Trial requests to ejected backends; never for fewer gateways than are configured either.
+    /// Trial requests to ejected backends. They are never scaled for fewer gateways than are configured either.
     pub trials: bool,
 }
 
-/// The section as it is written. Operators read the type's name where the parser finds something
-/// else, so it stays.
+/// The section in its JSON form. The name of this type appears in the parser's error messages to operators, so it must
+/// not change.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Raw {
@@ -151,60 +159,61 @@
     10_000
 }
 
-/// The checked section: a gateway's fleet, and the limits of its transport.
+/// The validated section: the fleet of a gateway, and the limits of its transport.
 #[derive(Clone, Debug)]
 pub(crate) struct FleetSection {
-    /// The name of this gateway among the others.
+    /// The name of this gateway, which is unique in the fleet.
     pub local_name: String,
-    /// The fleet's name: frames of another fleet are rejected.
+    /// The name of the fleet. Frames of another fleet are rejected.
     pub fleet_name: String,
-    /// Distinguishes fleets of the same name: frames of another epoch are rejected.
+    /// Distinguishes successive fleets with the same name. Frames of another epoch are rejected.
     pub epoch: u32,
-    /// Where this gateway listens for others, on TCP and UDP.
+    /// The address on which this gateway listens for other gateways, on TCP and UDP.
     pub listen: SocketAddr,
-    /// The address that others are given for this gateway.
+    /// The address of this gateway that is announced to the other gateways.
     pub advertise: SocketAddr,
-    /// The configured addresses of others, by name.
+    /// The configured addresses of the other gateways, by name.
     pub peers: BTreeMap<String, SocketAddr>,
-    /// The zone of this gateway, empty if it has none.
+    /// The zone of this gateway; empty if it has none.
     pub zone: String,
-    /// Whether membership runs.
+    /// Whether the membership protocol runs.
     pub membership_enabled: bool,
-    /// What is paced by membership.
+    /// Which rates are scaled by the fleet size that membership reports.
     pub pace: Pace,
-    /// Connections that are dialed and kept at most.
+    /// Maximum number of dialed connections.
     pub max_outbound: usize,
-    /// Connections that are accepted at most.
+    /// Maximum number of accepted connections.
     pub max_inbound: usize,
-    /// Longest body of a frame, bytes.
+    /// Maximum length of a frame body, in bytes.
     pub max_body_bytes: usize,
-    /// Bytes that wait for one peer in one lane at most.
+    /// Maximum number of bytes queued for one peer in one lane.
     pub max_queue_bytes: usize,
-    /// For a dial and its handshake.
+    /// Timeout for a dial and its handshake together.
     pub handshake_timeout: Duration,
-    /// Between two heartbeats on a connection without other frames; after four without a complete
-    /// frame it ends.
+    /// Interval between heartbeats on a connection without other frames. A connection that receives no complete frame
+    /// for four intervals is closed.
     pub heartbeat_interval: Duration,
-    /// How long a dialed connection without traffic is kept.
+    /// How long a dialed connection is kept without traffic.
     pub idle_timeout: Duration,
-    /// Between two status lines in the log.
+    /// Interval between status lines in the log.
     pub report_interval: Duration,
 }
 
 impl FleetSection {
-    /// Reads and checks the section of the gateway called `local_name`.
+    /// Parses and validates the section for the gateway named `local_name`.
     pub(crate) fn parse(value: &Value, local_name: &str) -> Result<FleetSection, SectionError> {
         let raw: Raw = serde_json::from_value(value.clone())?;
         raw.check(local_name)
     }
 
-    /// Descriptors that the fleet layer holds at most: its connections, both listeners, and one
-    /// dial in passing.
+    /// Maximum number of file descriptors that the fleet layer uses: its established connections, the TCP listener, the
+    /// UDP socket, and one connection that is being established.
     pub(crate) fn max_descriptors(&self) -> usize {
-        self.max_outbound + self.max_inbound + OTHER_DESCRIPTORS
+        self.max_outbound + self.max_inbound + BASE_DESCRIPTORS
     }
 
-    /// Checks that of `sockets` descriptors at least `reserved` are left for clients and backends.
+    /// Checks that the fleet layer leaves at least `reserved` of the `sockets` file descriptors for clients and
+    /// backends.
     pub(crate) fn check_descriptors(
         &self,
         sockets: usize,
@@ -214,6 +223,7 @@
             return Err(SectionError::Descriptors {
                 max_inbound: self.max_inbound,
                 max_outbound: self.max_outbound,
+                required: self.max_descriptors() + reserved,
                 sockets,
             });
         }
@@ -260,16 +270,18 @@
         check_length("zone", &self.zone, MAX_ZONE_BYTES)?;
         let local_length = local_name.len();
         if self.fleet_name.is_empty() || !(1..=MAX_NAME_BYTES).contains(&local_length) {
-            let fault =
-                format!("the fleet and its front doors need names of 1 to {MAX_NAME_BYTES} bytes");
-            return Err(SectionError::value("name", fault));
+            let reason = format!(
+                "expected names of 1 to {MAX_NAME_BYTES} bytes for the fleet and the gateway, got {} and {local_length} bytes",
+                self.fleet_name.len()
+            );
+            return Err(SectionError::value("name", reason));
         }
         Ok(())
     }
 }
 
-/// The addresses of the other gateways by name. One list may serve all of them, so the entry of
-/// this one is skipped; a repeated entry adds nothing.
+/// The addresses of the other gateways by name. All gateways may share one list, so the entry of this gateway is
+/// skipped. Repeated entries with the same address are accepted.
 fn check_peers(
     peers: Vec<Peer>,
     local_name: &str,
@@ -278,7 +290,9 @@
     for (index, peer) in peers.into_iter().enumerate() {
         let name_key = format!("peers[{index}].name");
         if peer.name.is_empty() {
-            return Err(SectionError::value(&name_key, "it is empty".to_owned()));
+            let reason =
+                format!("expected a name of 1 to {MAX_NAME_BYTES} bytes, got an empty one");
+            return Err(SectionError::value(&name_key, reason));
         }
         check_length(&name_key, &peer.name, MAX_NAME_BYTES)?;
         let address = parse_address(&format!("peers[{index}].dial"), &peer.address)?;
@@ -286,9 +300,12 @@
             continue;
         }
         let previous = addresses.insert(peer.name.clone(), address);
-        if previous.is_some_and(|previous| previous != address) {
-            let fault = format!("{:?} stands here with two addresses", peer.name);
-            return Err(SectionError::value(&name_key, fault));
+        if let Some(previous) = previous.filter(|previous| *previous != address) {
+            let reason = format!(
+                "expected one address for {:?}, got {previous} and {address}",
+                peer.name
+            );
+            return Err(SectionError::value(&name_key, reason));
         }
     }
     Ok(addresses)
@@ -297,8 +314,8 @@
 fn check_length(key: &str, text: &str, max: usize) -> Result<(), SectionError> {
     let length = text.len();
     if length > max {
-        let fault = format!("{length} bytes where {max} are the most");
-        return Err(SectionError::value(key, fault));
+        let reason = format!("expected at most {max} bytes, got {length}");
+        return Err(SectionError::value(key, reason));
     }
     Ok(())
 }
@@ -308,8 +325,12 @@
         .parse::<SocketAddr>()
         .ok()
         .filter(|address| address.port() != 0);
-    address
-        .ok_or_else(|| SectionError::value(key, format!("{text:?} is not an address with a port")))
+    address.ok_or_else(|| {
+        SectionError::value(
+            key,
+            format!("expected an IP address with a nonzero port, got {text:?}"),
+        )
+    })
 }
 
 fn check_count(key: &str, value: usize, range: RangeInclusive<u64>) -> Result<usize, SectionError> {
@@ -330,12 +351,8 @@
     if range.contains(&value) {
         return Ok(());
     }
-    let fault = format!(
-        "{value} is not between {} and {}",
-        range.start(),
-        range.end()
-    );
-    Err(SectionError::value(key, fault))
+    let reason = format!("expected {} to {}, got {value}", range.start(), range.end());
+    Err(SectionError::value(key, reason))
 }
 
 #[cfg(test)]
--- a/src/net/control/fleet_section/tests.rs
+++ b/src/net/control/fleet_section/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use serde_json::json;
 
-/// Guards what an operator reads: one line that names the key and the fault.
+/// Guards the messages that operators read: each is one line that names the key, what was expected and what was found.
 #[test]
 fn an_invalid_section_is_reported_with_its_key() {
     let long = "n".repeat(65);
@@ -40,70 +40,70 @@
         ),
         (
             section("name", json!("")),
-            "fleet.name: the fleet and its front doors need names of 1 to 64 bytes",
+            "fleet.name: expected names of 1 to 64 bytes for the fleet and the gateway, got 0 and 2 bytes",
         ),
         (
             section("name", json!(long)),
-            "fleet.name: 65 bytes where 64 are the most",
+            "fleet.name: expected at most 64 bytes, got 65",
         ),
         (
             section("zone", json!(long)),
-            "fleet.zone: 65 bytes where 32 are the most",
+            "fleet.zone: expected at most 32 bytes, got 65",
         ),
         (
             section("listen", json!("127.0.0.1:0")),
-            "fleet.listen: \"127.0.0.1:0\" is not an address with a port",
+            "fleet.listen: expected an IP address with a nonzero port, got \"127.0.0.1:0\"",
         ),
         (
             section("advertise", json!("x")),
-            "fleet.advertise: \"x\" is not an address with a port",
+            "fleet.advertise: expected an IP address with a nonzero port, got \"x\"",
         ),
         (
             section("peers", json!([{"name": "", "dial": "127.0.0.1:1"}])),
-            "fleet.peers[0].name: it is empty",
+            "fleet.peers[0].name: expected a name of 1 to 64 bytes, got an empty one",
         ),
         (
             section("peers", json!([{"name": "a", "dial": "x"}])),
-            "fleet.peers[0].dial: \"x\" is not an address with a port",
+            "fleet.peers[0].dial: expected an IP address with a nonzero port, got \"x\"",
         ),
         (
             section(
                 "peers",
                 json!([{"name": "a", "dial": "127.0.0.1:1"}, {"name": "a", "dial": "127.0.0.1:2"}]),
             ),
-            "fleet.peers[1].name: \"a\" stands here with two addresses",
+            "fleet.peers[1].name: expected one address for \"a\", got 127.0.0.1:1 and 127.0.0.1:2",
         ),
         (
             section("links", json!(0)),
-            "fleet.links: 0 is not between 1 and 4096",
+            "fleet.links: expected 1 to 4096, got 0",
         ),
         (
             section("accepted", json!(4097)),
-            "fleet.accepted: 4097 is not between 1 and 4096",
+            "fleet.accepted: expected 1 to 4096, got 4097",
         ),
         (
             section("frame_bytes", json!(4095)),
-            "fleet.frame_bytes: 4095 is not between 4096 and 16777216",
+            "fleet.frame_bytes: expected 4096 to 16777216, got 4095",
         ),
         (
             section("queue_bytes", json!(67_108_865)),
-            "fleet.queue_bytes: 67108865 is not between 4096 and 67108864",
+            "fleet.queue_bytes: expected 4096 to 67108864, got 67108865",
         ),
         (
             section("hello_ms", json!(9)),
-            "fleet.hello_ms: 9 is not between 10 and 60000",
+            "fleet.hello_ms: expected 10 to 60000, got 9",
         ),
         (
             section("beat_ms", json!(60_001)),
-            "fleet.beat_ms: 60001 is not between 10 and 60000",
+            "fleet.beat_ms: expected 10 to 60000, got 60001",
         ),
         (
             section("keep_ms", json!(99)),
-            "fleet.keep_ms: 99 is not between 100 and 3600000",
+            "fleet.keep_ms: expected 100 to 3600000, got 99",
         ),
         (
             section("tell_ms", json!(49)),
-            "fleet.tell_ms: 49 is not between 50 and 3600000",
+            "fleet.tell_ms: expected 50 to 3600000, got 49",
         ),
     ];
     for (value, expected) in cases {
@@ -113,7 +113,7 @@
     let error = FleetSection::parse(&section("zone", json!("z")), "").expect_err("no name");
     assert_eq!(
         error.to_string(),
-        "fleet.name: the fleet and its front doors need names of 1 to 64 bytes"
+        "fleet.name: expected names of 1 to 64 bytes for the fleet and the gateway, got 1 and 0 bytes"
     );
 }
 
@@ -124,7 +124,7 @@
     section
 }
 
-/// Guards the defaults, and what each key sets.
+/// Guards against a wrong default, and against a key that sets the wrong field.
 #[test]
 fn every_key_sets_its_value_and_has_its_default() {
     let defaults = FleetSection::parse(&section("zone", json!("")), "n0").expect("it is valid");
--- a/src/net/control/handover.rs
+++ b/src/net/control/handover.rs
@@ -1,11 +1,12 @@
-//! The hand-over file: what a process that starts has to know of the one before it under the same name. It holds how much
-//! time the requests of that process had left, and which of them may have run. Off unless the configuration names a file
+//! The hand-over file: the request records that a process leaves for its successor under the same gateway name. A
+//! record holds the deadline of a request and whether the request may have run. The successor grants a retried request
+//! no more than the remaining time, and does not run it a second time. Disabled unless the configuration names a file
 //! under `handover`.
 //!
-//! Records are appended as requests arrive and are sent, so that they outlast a process that is killed. They are not
-//! synced to disk, so they do not outlast the machine. The file is compacted when it grows: what still matters is written
-//! to a new file that replaces it. A process that starts replays the file; each line is checked like any input, and one
-//! that is torn or implausible is skipped.
+//! Records are appended when requests arrive and before they are sent, so that they survive a killed process. They are
+//! not synced to disk, so they do not survive a crash of the machine. When the file has grown, it is compacted: the
+//! records that are still relevant are written to a new file that replaces the old one. A process replays the file when
+//! it starts. Each line is validated like any input, and a torn or implausible line is skipped.
 
 mod record;
 
@@ -19,57 +20,58 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// For how long after its deadline a request still matters: a client that resends does so at once.
+/// How long after the deadline of a request its record is kept, in milliseconds. Clients that retry do so immediately.
 const RETENTION: Millis = 5000.0;
-/// Bytes after which the file is compacted.
+/// File size from which the file is compacted, in bytes.
 const COMPACTION_BYTES: u64 = 1 << 20;
-/// The most records of this process in memory; twice as many are replayed.
+/// Maximum number of records of this process in memory. Twice as many are replayed.
 const MAX_RECORDS: usize = 16_384;
-/// After a write that failed, how long until the next one is tried.
+/// How long after a failed write the next one is attempted, in milliseconds.
 const WRITE_RETRY_DELAY: Millis = 1000.0;
 
-/// Why the hand-over file cannot be used at the start; one line that begins with the key of the configuration.
+/// Reasons why the hand-over file cannot be used at start-up. Each message is one line that begins with the
+/// configuration key.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HandoverError {
-    /// It exists and cannot be read.
-    #[error("handover: {}: {source}", path.display())]
+    /// The file exists, but cannot be read.
+    #[error("handover: cannot read {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the hand-over file.
         path: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// It cannot be written.
-    #[error("handover: {}: {source}", path.display())]
+    /// The file cannot be written.
+    #[error("handover: cannot write {}: {source}", path.display())]
     Unwritable {
-        /// The file.
+        /// The path of the hand-over file.
         path: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// Records by the id of their request.
+/// Records by request id.
 type Records = HashMap<Rc<str>, RequestRecord>;
 
-/// The file, and the records that it holds.
+/// The hand-over file and its records, which are also held in memory.
 pub(crate) struct Handover {
     path: PathBuf,
-    /// None while the file cannot be written; then a new one is tried at `retry_at`.
+    /// `None` while writing is suspended after a failure. A new file is then attempted from `retry_at` on.
     file: Option<File>,
     retry_at: Millis,
-    /// Bytes in the file.
+    /// Size of the file, in bytes.
     file_bytes: u64,
     clock: Clock,
-    /// Of the process before this one.
+    /// Records of the previous process.
     previous: Records,
-    /// Of this process.
+    /// Records of this process.
     current: Records,
 }
 
 impl Handover {
-    /// Replays the file that the process before left, if there is one, and compacts it. A record whose deadline lies more
-    /// than `max_ahead` ahead, in ms, is skipped.
+    /// Replays the file that the previous process left, if there is one, and compacts it. A record whose deadline is
+    /// more than `max_ahead` milliseconds in the future is skipped.
     ///
     /// # Errors
     /// The file cannot be read or written.
@@ -102,7 +104,7 @@
         }
     }
 
-    /// What the process before this one left of the request `id`.
+    /// The record that the previous process left of the request `id`.
     pub(crate) fn previous_record(&self, id: &str) -> Option<RequestRecord> {
         self.previous.get(id).copied()
     }
@@ -116,8 +118,8 @@
         self.record(id, record);
     }
 
-    /// Records that an attempt of a request that must not be repeated is about to be sent: it may have run from here on.
-    /// Written once for each request; `deadline` is in Unix milliseconds.
+    /// Records that an attempt of a non-repeatable request is about to be sent, so that the request may have run from
+    /// now on. Written once for each request; `deadline` is in Unix milliseconds.
     pub(crate) fn record_sent(&mut self, id: &Rc<str>, deadline: Millis) {
         if self.current.get(id).is_some_and(|known| known.may_have_run) {
             return;
@@ -129,7 +131,7 @@
         self.record(id, record);
     }
 
-    /// Keeps a record in memory and writes it, or tries to resume writing.
+    /// Stores a record in memory and writes it to the file. If writing is suspended, tries to resume it.
     fn record(&mut self, id: &Rc<str>, record: RequestRecord) {
         let now = self.clock.now();
         self.current.insert(id.clone(), record);
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Appends a record, or compacts the file with it where that is due.
+    /// Appends a record to the file, or compacts the file if it is due, which writes the record as well.
     fn write(&mut self, id: &str, record: RequestRecord, now: Millis) {
         let must_compact = self.file_bytes >= COMPACTION_BYTES || self.current.len() > MAX_RECORDS;
         let result = if must_compact {
@@ -149,13 +151,13 @@
             self.append(id, record)
         };
         if let Err(error) = result {
-            // Logged once for an outage.
+            // Logged once for each outage.
             tracing::warn!(path = %self.path.display(), %error, "hand-over suspended");
             self.suspend_writing(now);
         }
     }
 
-    /// Writes all records to a new file, at most once in [`WRITE_RETRY_DELAY`].
+    /// Tries to write all records to a new file, at most once per [`WRITE_RETRY_DELAY`].
     fn resume_writing(&mut self, now: Millis) {
         if self.current.len() > MAX_RECORDS {
             self.evict_expired(now);
@@ -169,22 +171,22 @@
         }
     }
 
-    /// Stops writing for [`WRITE_RETRY_DELAY`].
+    /// Suspends writing for [`WRITE_RETRY_DELAY`].
     ///
-    /// The gateway continues to serve, and the records in memory stay valid. A process that starts meanwhile may miss the
-    /// last ones; they are written once the file can be.
+    /// The gateway continues to serve, and the records in memory stay valid. A successor that starts in the meantime
+    /// may miss the latest records. They are written once the file is writable again.
     fn suspend_writing(&mut self, now: Millis) {
         self.file = None;
         self.retry_at = now + WRITE_RETRY_DELAY;
     }
 
-    /// Drops the records of requests that ended over [`RETENTION`] ago. If this process still has too many, it drops those
-    /// of requests that have not run: without its record such a request may be granted its full time again, and nothing
-    /// worse.
+    /// Evicts the records of requests whose deadline was more than [`RETENTION`] ago. If this process still has more
+    /// than [`MAX_RECORDS`], evicts those of requests that have not run. Without its record, such a request may be
+    /// granted its full time again, but cannot run twice.
     fn evict_expired(&mut self, now: Millis) {
-        let matters = |record: &RequestRecord| record.deadline > now - RETENTION;
-        self.previous.retain(|_, record| matters(record));
-        self.current.retain(|_, record| matters(record));
+        let is_relevant = |record: &RequestRecord| record.deadline > now - RETENTION;
+        self.previous.retain(|_, record| is_relevant(record));
+        self.current.retain(|_, record| is_relevant(record));
         if self.current.len() > MAX_RECORDS {
             self.current.retain(|_, record| record.may_have_run);
         }
@@ -199,7 +201,7 @@
         file.write_all(line.as_bytes())
     }
 
-    /// Writes what still matters to a new file that replaces the old one.
+    /// Writes the records that are still relevant to a new file, which replaces the old one.
     fn compact(&mut self) -> io::Result<()> {
         self.evict_expired(self.clock.now());
         let replacement = self.path.with_extension("new");
@@ -215,8 +217,9 @@
     }
 }
 
-/// The records of a file's text. Of several for one request the earliest deadline and the worst state count. The last lines
-/// are read first, so that of more than fit the oldest are left out.
+/// Parses the records of a file. If a request has several records, the earliest deadline applies, and the request may
+/// have run if any record says so. The lines are read from the end, so that the oldest records are dropped if there are
+/// too many.
 fn replay(text: &str, now: Millis, max_ahead: Millis) -> Records {
     let is_plausible = |line: &RecordLine<'_>| {
         let deadline = line.record.deadline;
--- a/src/net/control/mod.rs
+++ b/src/net/control/mod.rs
@@ -1,13 +1,13 @@
-//! The control plane of a gateway: what it learns other than from its clients and backends.
+//! The control plane of a gateway: its configuration, service discovery, and the state left by the previous process.
 //!
-//! | module | what it does |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`config`] | the configuration, from variables and a JSON file |
-//! | [`fleet_section`] | the `fleet` section of that file |
+//! | [`config`] | the configuration, from environment variables and a JSON file |
+//! | [`fleet_section`] | the `fleet` section of the configuration file |
 //! | [`discovery`] | the watch on the endpoint list |
-//! | [`endpoint_list`] | the list's JSON |
-//! | [`backoff`] | pauses between calls to a service that the fleet shares |
-//! | [`handover`] | the file by which a process learns of the one before it |
+//! | [`endpoint_list`] | the JSON format of the endpoint list |
+//! | [`backoff`] | pauses between calls to a service that all gateways of a fleet call |
+//! | [`handover`] | the file in which a process leaves request records for its successor |
 
 pub(super) mod backoff;
 pub(super) mod config;
--- a/src/net/downstream/connections.rs
+++ b/src/net/downstream/connections.rs
@@ -37,7 +37,7 @@
 
 /// Answers the requests that are read from client connections.
 pub(crate) trait RequestHandler {
-    /// Whether an endpoint list has been received, so that requests can be served.
+    /// Whether any endpoint is listed, so that requests can be served.
     fn is_ready(&self) -> bool;
     /// Submits a request. Returns its id and the receiver of its one final answer, or `None` if a request with the same
     /// id was submitted before.
--- a/src/net/runtime/budget/tests.rs
+++ b/src/net/runtime/budget/tests.rs
@@ -3,9 +3,10 @@
 use super::*;
 use proptest::prelude::*;
 
-/// Guards the timeout header: an unusable value yields no budget, and no class waits longer than it allows.
+/// Guards the parsing of the timeout header: an invalid value yields no budget, and a budget never exceeds the limit of
+/// the class.
 #[test]
-fn an_unusable_timeout_yields_no_budget_and_a_long_one_is_clamped_to_the_class() {
+fn an_invalid_timeout_yields_no_budget_and_a_long_one_is_clamped_to_the_class() {
     for bad in [
         "", "NaN", "nan", "inf", "-inf", "-0.5", "0", "-0", "1e300", "80.001", "1,5", "0x1",
     ] {
@@ -22,9 +23,10 @@
     assert_eq!(Budget::from_header("1.5", f64::NAN, 8000.0), None);
 }
 
-/// Guards a backend against a timeout beyond the time left, and against a zero that it could misread.
+/// Guards against sending a backend a timeout beyond the remaining time, or a zero that it could interpret as no
+/// timeout.
 #[test]
-fn the_timeout_sent_to_a_backend_is_the_time_left_less_the_way_back() {
+fn the_timeout_sent_to_a_backend_is_the_remaining_time_less_the_response_delay() {
     let budget = Budget::from_header("1.5", 0.0, 8000.0).unwrap();
     let all = budget.attempt_deadline(100.0, None).unwrap();
     assert_eq!(all.header_value(100.0, 0.0), "1.400");
@@ -39,7 +41,7 @@
 }
 
 proptest! {
-    /// Guards the one rule of budgets: whatever is derived from one, and in whatever order, ends within it.
+    /// Guards the invariant of budgets: everything that is derived from a budget, in any order, ends within the budget.
     #[test]
     fn nothing_derived_from_a_budget_outlives_it(
         requested in 0.001f64..80.0, started_at in 0.0f64..1e12, class_limit in 1.0f64..10_000.0,
--- a/src/net/runtime/capacity/tests.rs
+++ b/src/net/runtime/capacity/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Guards the process's limits: the scarcer of descriptors and memory decides.
+/// Guards the limits of the process: the scarcer of file descriptors and memory determines the connection limit.
 #[test]
 fn connection_limits_follow_the_scarcer_of_descriptors_and_memory() {
     assert_eq!(upstream_connection_limit(256, 32 << 20), 92);
--- a/src/net/runtime/clock.rs
+++ b/src/net/runtime/clock.rs
@@ -1,29 +1,30 @@
-//! The gateway's one clock.
+//! The clock of the gateway.
 
 use cometspool::Millis;
 use serde::Deserialize;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// A monotonic clock that reads as Unix milliseconds, so that the start times that backends report compare with it. The
-/// wall clock is read once, at the start: a later step of it moves no deadline.
+/// A monotonic clock that shows Unix milliseconds, so that the start times that backends report can be compared with
+/// it. The wall clock is read only once, at start-up. Later steps of the wall clock therefore do not move any deadline.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     started_at: Instant,
-    /// Unix time at `started_at`, ms.
+    /// The Unix time at `started_at`, in milliseconds.
     unix_at_start: Millis,
-    /// Milliseconds that the clock shows for each second of the runtime: 1000, unless a test has it run fast or slow.
+    /// Milliseconds that this clock advances per second of the runtime's clock: 1000, unless a test simulates a clock
+    /// that is fast or slow.
     millis_per_second: f64,
 }
 
-/// By how much a clock is wrong. Only tests set it, to stand for machines whose clocks are wrong.
+/// The skew of a clock. Only tests set it, to simulate machines with wrong clocks.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Skew {
-    /// How fast the clock runs, as a factor; 1 is right.
-    rate: f64,
-    /// How far the clock is ahead at the start, ms.
-    ahead_ms: Millis,
+    /// The speed of the clock as a factor; 1 for a correct clock.
+    pub(crate) rate: f64,
+    /// How far the clock is ahead at start-up, in milliseconds.
+    pub(crate) ahead_ms: Millis,
 }
 
 impl Default for Skew {
@@ -36,20 +37,20 @@
 }
 
 impl Skew {
-    /// Whether a clock can run with this skew: a rate between a tenth and ten, and a finite offset.
+    /// Whether the skew is within the supported range: a rate from 0.1 to 10 and a finite offset.
     pub(crate) fn is_valid(&self) -> bool {
         (0.1..=10.0).contains(&self.rate) && self.ahead_ms.is_finite()
     }
 }
 
 impl Clock {
-    /// A clock without skew that starts now.
+    /// Creates a clock without skew that starts now.
     #[cfg(test)]
     pub(crate) fn new() -> Clock {
         Clock::skewed(Skew::default())
     }
 
-    /// A clock that starts now, wrong by `skew`.
+    /// Creates a clock with the given `skew` that starts now.
     pub(crate) fn skewed(skew: Skew) -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -61,13 +62,13 @@
         }
     }
 
-    /// The time now, in Unix milliseconds.
+    /// The current time, in Unix milliseconds.
     pub(crate) fn now(&self) -> Millis {
         self.unix_at_start + self.started_at.elapsed().as_secs_f64() * self.millis_per_second
     }
 
-    /// What this clock would have shown at `instant`, which is not after the clock's start; a later one counts as the
-    /// start.
+    /// The time that this clock would have shown at `instant`, which must not be after the start of the clock. A later
+    /// `instant` yields the time of the start.
     pub(crate) fn millis_at(&self, instant: std::time::Instant) -> Millis {
         let before_start = self
             .started_at
@@ -76,8 +77,8 @@
         self.unix_at_start - before_start.as_secs_f64() * self.millis_per_second
     }
 
-    /// The runtime's instant at which this clock shows `at`; the clock's start if that is earlier, or beyond what a
-    /// [`Duration`] holds.
+    /// The instant of the runtime at which this clock shows `at`. If that is before the start of the clock, or exceeds
+    /// the range of a [`Duration`], returns the start of the clock.
     pub(crate) fn instant_at(&self, at: Millis) -> Instant {
         let seconds = (at - self.unix_at_start) / self.millis_per_second;
         let after_start = Duration::try_from_secs_f64(seconds).unwrap_or_default();
--- a/src/net/runtime/context.rs
+++ b/src/net/runtime/context.rs
@@ -1,15 +1,15 @@
-//! What all parts of the gateway share: the clock, the stall monitor and the settings.
+//! The context shared by all parts of the gateway: the clock, the stall monitor and the settings.
 
 use crate::net::runtime::clock::Clock;
 use crate::net::runtime::stall::{StallMonitor, WakeRecorder};
 use cometspool::settings::{Names, ParsedSettings};
 use cometspool::{Millis, Settings};
 
-/// What every part of the gateway reads, made once at the start.
+/// The shared context of the gateway, created once at start-up.
 pub(crate) struct RuntimeContext {
-    /// The gateway's one clock.
+    /// The clock on which all times of the gateway are measured.
     pub clock: Clock,
-    /// Detects that the process did not run.
+    /// Detects stalls of the event loop.
     pub stall_monitor: StallMonitor,
     /// The settings of the policy engine.
     pub settings: Settings,
@@ -18,7 +18,7 @@
 }
 
 impl RuntimeContext {
-    /// The context of a gateway with the settings `parsed`, whose process started together with `wakes`.
+    /// Creates the context of a gateway with the settings `parsed`. `wakes` records the wake-ups of its event loop.
     pub(crate) fn new(
         parsed: &ParsedSettings,
         wakes: WakeRecorder,
--- a/src/net/runtime/log.rs
+++ b/src/net/runtime/log.rs
@@ -1,17 +1,18 @@
-//! The log: events on standard error, one a line.
+//! The log of the process: one event per line on standard error.
 
 use std::io;
 
-/// How the events are written.
+/// The output format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LogFormat {
     /// Time, level, message and fields as plain text.
     Text,
-    /// A JSON object with the same content, as tools of a fleet read it.
+    /// A JSON object with the same content, for the tools of a fleet.
     Json,
 }
 
-/// Starts the log of this process. A subscriber that is set already stays: a program that embeds this one gets the events.
+/// Initializes the log of this process. An existing subscriber is kept, so that a program that embeds the gateway
+/// receives its events.
 pub(crate) fn init(format: LogFormat) {
     let subscriber = tracing_subscriber::fmt()
         .with_target(false)
@@ -20,6 +21,6 @@
         LogFormat::Text => subscriber.try_init(),
         LogFormat::Json => subscriber.json().flatten_event(true).try_init(),
     };
-    // The only error is that another subscriber is set.
+    // The only possible error is that a subscriber is already set, which is intended.
     drop(result);
 }
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -1,5 +1,5 @@
-//! What every part of the gateway builds on: its clock, time budgets, stall detection, the shared context, the log, and
-//! the division of descriptors and memory.
+//! The foundation of all parts of the gateway: clock, time budgets, stall detection, shared context, logging, and the
+//! division of file descriptors and memory among connections.
 
 pub(crate) mod budget;
 pub(crate) mod capacity;
--- a/src/net/runtime/stall.rs
+++ b/src/net/runtime/stall.rs
@@ -1,5 +1,5 @@
-//! Detection of stalls of the event loop, so that the time that bytes spent unread in the system is charged to the
-//! request that they belong to.
+//! Detection of event loop stalls. Bytes that arrive during a stall wait unread in the operating system; that time is
+//! charged to the budget of the request that they belong to.
 //!
 //! All times are [`Millis`] on the gateway's [`Clock`](super::clock::Clock) unless a name or comment says otherwise.
 
@@ -9,24 +9,24 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Delay, in milliseconds, up to which a late timer is no sign of a stall: timers have a grain of 1 ms, and a turn of a
-/// loop that is merely busy takes this long.
+/// Delay of a timer up to which it does not indicate a stall, in milliseconds. Timers have a resolution of 1 ms, and
+/// one iteration of a loop that is merely busy can take this long.
 const TIMER_TOLERANCE: Millis = 20.0;
-/// Time, in milliseconds, for which a loop that is too busy to sleep may go on reading what arrived during a stall.
-const CATCH_UP: Millis = 50.0;
+/// How long a loop that is too busy to sleep may take to read the bytes that arrived during a stall, in milliseconds.
+const MAX_CATCH_UP_TIME: Millis = 50.0;
 
-/// Records when the event loop wakes from its sleeps.
+/// Records when the event loop wakes up from its sleeps.
 ///
-/// Each sleep polls for input before it ends, so what is read after one sleep arrived after the wake-up that preceded it.
-/// The runtime's own unpark hook writes this. A time recorded before a sleep would not do: the process may be paused
-/// between that record and the poll.
+/// The loop polls for input at the end of each sleep. Bytes read after a sleep therefore arrived after the wake-up that
+/// preceded that sleep. The wake-ups are recorded by the unpark hook of the runtime. A time recorded before a sleep
+/// would not be reliable, since the process may be paused between the recording and the poll.
 #[derive(Clone, Debug)]
 pub(crate) struct WakeRecorder {
     started_at: Instant,
     wakes: Arc<WakeTimes>,
 }
 
-/// The last two wake-ups, in microseconds since the recorder started, and the number of all.
+/// The times of the last two wake-ups, in microseconds since the recorder started, and the number of all wake-ups.
 #[derive(Debug, Default)]
 struct WakeTimes {
     previous_micros: AtomicU64,
@@ -35,7 +35,7 @@
 }
 
 impl WakeRecorder {
-    /// A recorder for a loop that has not slept yet.
+    /// Creates a recorder for a loop that has not slept yet.
     pub(crate) fn new() -> WakeRecorder {
         WakeRecorder {
             started_at: Instant::now(),
@@ -43,12 +43,12 @@
         }
     }
 
-    /// The instant from which wake-ups are counted.
+    /// The instant from which the times of wake-ups are measured.
     pub(crate) fn started_at(&self) -> Instant {
         self.started_at
     }
 
-    /// Records that the loop wakes now.
+    /// Records that the loop wakes up now.
     pub(crate) fn record_wake(&self) {
         let elapsed = self.started_at.elapsed().as_micros();
         self.record_wake_at(u64::try_from(elapsed).unwrap_or(u64::MAX));
@@ -72,40 +72,43 @@
     }
 }
 
-/// A time for which the loop did not run.
+/// A period in which the loop did not run.
 #[derive(Clone, Copy, Debug)]
 struct Stall {
-    /// When the loop last had nothing left to read.
+    /// When the loop last had no unread input.
     since: Millis,
     /// When the stall was detected.
     detected_at: Millis,
-    /// How often the loop had woken by then.
+    /// The number of wake-ups when the stall was detected.
     wakes_at_detection: u64,
 }
 
-/// Detects that the process did not run: paused, starved of its core, or blocked by a task.
+/// Detects that the event loop did not run because the process was paused, got no CPU time, or was blocked by a task.
 ///
-/// Bytes that arrived meanwhile waited unread while their client's time ran. What is read next is therefore taken to have
-/// arrived when the loop last had nothing left to read. It may have arrived later; then the request is answered sooner
-/// than necessary.
+/// Bytes that arrived during a stall waited unread while the timeout of their client ran. The bytes read next are
+/// therefore assumed to have arrived when the loop last had no unread input. If they arrived later, the request is
+/// merely answered sooner than necessary.
 ///
-/// A stall shows in a timer that fires late. It is charged until the loop has slept once more: the signal that ends a
-/// pause may end the current sleep too, and then only the next sleep polls the bytes.
+/// A stall is detected by a timer that fires late. It is charged until the loop has slept once more: the signal that
+/// resumes a paused process may also end the current sleep, and then only the next sleep polls for the bytes.
 #[derive(Debug)]
 pub(crate) struct StallMonitor {
     wakes: WakeRecorder,
-    /// The start of `wakes` on the gateway's clock.
+    /// When `wakes` started, on the gateway's clock.
     recorder_started_at: Millis,
-    /// When a timer last fired.
+    /// When the most recent timer fired.
     last_timer: Cell<Millis>,
-    /// When the next timer is due at the latest.
+    /// When the next expected timer is due; infinite if none is expected.
     next_timer: Cell<Millis>,
+    /// The most recent stall; `None` once it is no longer charged.
     stall: Cell<Option<Stall>>,
+    /// The longest stall since the last call of [`StallMonitor::take_longest_stall`], in milliseconds; 0 if none.
     longest_stall: Cell<Millis>,
 }
 
 impl StallMonitor {
-    /// A monitor of the loop whose wake-ups `wakes` records, which started at `recorder_started_at`.
+    /// Creates a monitor for the loop whose wake-ups `wakes` records. `wakes` started at `recorder_started_at` on the
+    /// gateway's clock.
     pub(crate) fn new(wakes: WakeRecorder, recorder_started_at: Millis) -> StallMonitor {
         StallMonitor {
             wakes,
@@ -117,27 +120,28 @@
         }
     }
 
-    /// Notes that a timer is due at `at`. If it has not fired well after that, the loop has stalled.
+    /// Announces a timer that is due at `at`. If the timer has not fired [`TIMER_TOLERANCE`] after that, the loop has
+    /// stalled.
     pub(crate) fn expect_timer(&self, at: Millis) {
         self.next_timer.set(at);
     }
 
-    /// Notes that a timer that was due at `at` fires at `now`.
+    /// Records that a timer that was due at `at` fires at `now`.
     pub(crate) fn timer_fired(&self, at: Millis, now: Millis) {
         self.check_next_timer(now);
         if now - at > TIMER_TOLERANCE {
             self.record_stall(now);
         } else if self
             .active_stall(now)
-            .is_none_or(|stall| now - stall.detected_at > CATCH_UP)
+            .is_none_or(|stall| now - stall.detected_at > MAX_CATCH_UP_TIME)
         {
             self.stall.set(None);
         }
         self.last_timer.set(self.last_timer.get().max(now));
     }
 
-    /// The earliest time at which bytes that are read at `now` can have arrived: `now`, unless a stall is being made up
-    /// for.
+    /// The time at which bytes that are read at `now` are assumed to have arrived: `now`, or the start of a stall if
+    /// the bytes may have arrived during that stall.
     pub(crate) fn arrival_time(&self, now: Millis) -> Millis {
         self.check_next_timer(now);
         match self.active_stall(now) {
@@ -146,7 +150,7 @@
         }
     }
 
-    /// Detects a stall before the expected timer fires: readers, and timers set later, may be woken before it.
+    /// Detects a stall even before the expected timer fires, since readers and later timers may run before that timer.
     fn check_next_timer(&self, now: Millis) {
         if now - self.next_timer.get() > TIMER_TOLERANCE {
             self.next_timer.set(f64::INFINITY);
@@ -169,14 +173,14 @@
             .set(self.longest_stall.get().max(now - since));
     }
 
-    /// The stall, as long as bytes that arrived during it may still be unread.
+    /// The most recent stall, as long as bytes that arrived during it may still be unread.
     fn active_stall(&self, now: Millis) -> Option<Stall> {
         let stall = self.stall.get()?;
         let has_slept_once_at_most = self.wakes.wake_count() <= stall.wakes_at_detection + 1;
         (has_slept_once_at_most && now >= stall.detected_at).then_some(stall)
     }
 
-    /// The longest stall since the last call, in milliseconds, if there was any.
+    /// The longest stall since the last call of this method, in milliseconds; `None` if there was none.
     pub(crate) fn take_longest_stall(&self) -> Option<Millis> {
         let longest = self.longest_stall.replace(0.0);
         (longest > 0.0).then_some(longest)
--- a/src/net/runtime/stall/tests.rs
+++ b/src/net/runtime/stall/tests.rs
@@ -13,9 +13,9 @@
         .record_wake_at(((now - 1000.0) * 1000.0) as u64);
 }
 
-/// Guards a client's time against a pause during a sleep, which ends that sleep and shows input only after the next one:
-/// what is read then is taken to have arrived since the wake-up before the pause, and what is read after that is charged
-/// nothing.
+/// Guards against a pause during a sleep that is not charged to the client. The pause ends that sleep, and the input is
+/// visible only after the next one. Bytes read then count as arrived at the wake-up before the pause; bytes read later
+/// are not charged.
 #[test]
 fn a_pause_during_a_sleep_is_charged_to_the_input_that_waited_through_it() {
     let monitor = monitor();
@@ -39,8 +39,9 @@
     );
 }
 
-/// Guards the same where the pause lies between a timer and the sleep: the next wake-up shows timer and bytes at once, and
-/// whichever runs first, also a timer that was set later and is on time, the bytes are charged.
+/// Guards against a pause between a timer and the next sleep that is not charged to the client. The next wake-up
+/// delivers the timer and the bytes together. The bytes are charged whichever task runs first, even a later timer that
+/// is on time.
 #[test]
 fn a_pause_between_two_sleeps_is_charged_whichever_task_runs_first() {
     for on_time_first in [false, true] {
@@ -56,8 +57,8 @@
     }
 }
 
-/// Guards a loop that is too busy to sleep: timers that are on time again end the charge, and the charge reaches back to
-/// the last timer that fired, not to a sleep long ago.
+/// Guards against excessive charges in a loop that is too busy to sleep. The charge starts at the last timer that
+/// fired, not at an old wake-up, and ends when timers are on time again.
 #[test]
 fn a_loop_that_never_sleeps_charges_only_its_stalls() {
     let monitor = monitor();
@@ -68,7 +69,7 @@
     assert_eq!(monitor.arrival_time(5282.0), 5282.0);
 }
 
-/// Guards against charges for coarse timers.
+/// Guards against charging the resolution of timers as a stall.
 #[test]
 fn a_timer_delay_within_the_tolerance_is_not_a_stall() {
     let monitor = monitor();
@@ -76,7 +77,7 @@
     assert_eq!(monitor.arrival_time(1125.0), 1125.0);
 }
 
-/// Guards the recorder's own clock: it reports the wake-up before the latest one, and the count of all.
+/// Guards the times of the recorder: it reports the wake-up before the latest one, and the number of all wake-ups.
 #[test]
 fn the_recorder_reports_the_previous_wake_up_and_the_count() {
     let recorder = WakeRecorder::new();
