--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,12 +1,13 @@
-//! The configuration of a gateway at its start and on SIGHUP, over loopback sockets.
+//! Tests of the configuration of a gateway at start-up and on SIGHUP, over loopback sockets.
 
 use cometspool_fault_injection::scripted_peers::*;
 use serde_json::{json, Value};
 use std::io::Read;
 
-/// A configuration that cannot be used is reported on one line, and the program exits with an error.
+/// Guards against a gateway that starts with an invalid configuration: the error is reported on one line, and the
+/// program exits with an error code.
 #[test]
-fn an_invalid_configuration_is_one_line_and_an_exit_code() {
+fn an_invalid_configuration_is_reported_on_one_line_and_fails_the_start() {
     let valid = json!({
         "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "limits": {"sockets": 256}, "settings": {},
     });
@@ -39,7 +40,8 @@
     }
 }
 
-/// A hand-over file that cannot be opened is reported with its key, and the program exits with an error.
+/// Guards against a gateway that starts although it cannot open its hand-over file: the error names the configuration
+/// key, and the program exits with an error code.
 #[test]
 fn an_unusable_hand_over_file_prevents_the_start() {
     let discovery = TestListener::new();
@@ -59,8 +61,9 @@
     }
 }
 
-/// SIGHUP ends nothing, and a file that cannot be used changes nothing. A new address of the discovery service is used at
-/// once, from the version last received, although the environment variable still has the former one.
+/// Guards the reload on SIGHUP. An invalid file changes nothing. A new address of discovery is used immediately, and
+/// the watch is resumed there from the version last received, although the environment variable still holds the old
+/// address. Requests in flight are completed.
 #[test]
 fn a_new_configuration_moves_the_watch_and_an_invalid_one_does_not() {
     let mut fixture = TestFixture::new(1);
@@ -80,7 +83,7 @@
             "{line}"
         );
     }
-    // The former watch is still in use.
+    // The watch at the old address is still in use.
     let moved_backend = TestListener::new();
     let hosts = [endpoint("s-0", moved_backend.address(), "up")];
     fixture
@@ -93,7 +96,7 @@
         let start_line = moved_discovery.accept().read().start_line;
         (start_line == watch_request(8)).then(|| fixture.watch.connection.expect_close())
     });
-    // The request in flight is answered.
+    // The request in flight is still answered.
     backend.respond(200, "", "kept");
     assert_eq!(client.read().body, b"kept");
 }
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -1,10 +1,11 @@
-//! Changes of the endpoint list, over loopback sockets: layout, draining, versions that go back, old addresses.
+//! Tests of changes of the endpoint list, over loopback sockets: JSON layout, draining backends, decreasing versions,
+//! and old addresses of backends and of discovery.
 
 use cometspool_fault_injection::scripted_peers::*;
 use serde_json::{json, Value};
 use std::io::Write;
 
-/// A list may come indented over many lines, in a watch and as the complete list, with heartbeats between.
+/// Guards against rejecting a pretty-printed list, both in a watch and as the full list, with heartbeats in between.
 #[test]
 fn an_indented_list_is_accepted() {
     let mut fixture = TestFixture::new(1);
@@ -32,8 +33,8 @@
     fixture.program.wait_until_served_by(&listed, "listed");
 }
 
-/// A draining backend gets no new requests and its idle connection is closed; with no backend left, a request is rejected
-/// at once. A backend that is up again gets requests again.
+/// Guards against new requests to a draining backend. Its idle connection is closed, and while no other backend is
+/// left, requests are rejected immediately. Once the backend is up again, it gets requests again.
 #[test]
 fn a_draining_backend_gets_no_new_requests() {
     let mut fixture = TestFixture::new(1);
@@ -51,7 +52,7 @@
     client.write(request_with("id-2", "read", "wide", LONG_TIMEOUT));
     assert_eq!(client.read().status(), 429);
     assert!(fixture.no_backend_contacted());
-    // Until the watch event has arrived, the gateway rejects.
+    // The gateway rejects requests until the watch event has arrived.
     let up = endpoint("s-0", fixture.backends[0].address(), "up");
     fixture
         .watch
@@ -76,8 +77,9 @@
     assert_eq!(client.read().body, b"back");
 }
 
-/// The list may change while a connection to a backend is being established: it is read again before the first byte is
-/// written. Nothing was sent to a backend that drains meanwhile, so the request is rejected.
+/// Guards against a request that is sent to a backend which began to drain while the connection was being established.
+/// The gateway checks the list again before it writes the first byte. Nothing has been sent by then, so the request is
+/// rejected.
 #[test]
 fn a_backend_that_drains_while_a_connection_is_established_gets_nothing() {
     let discovery = TestListener::new();
@@ -110,45 +112,46 @@
     assert_eq!(client.read().status(), 429);
 }
 
-/// How a backend leaves the list.
+/// A way in which a backend leaves the list.
 struct Departure {
     name: &'static str,
-    /// Whether the list without it is a complete one.
-    complete: bool,
+    /// Whether the list that reports the departure is a full one.
+    is_full: bool,
     hosts: fn(&TestListener) -> Vec<Value>,
 }
 
 const DEPARTURES: [Departure; 3] = [
     Departure {
         name: "draining",
-        complete: false,
+        is_full: false,
         hosts: |backend| vec![endpoint("s-0", backend.address(), "draining")],
     },
     Departure {
         name: "removed",
-        complete: false,
+        is_full: false,
         hosts: |backend| vec![endpoint("s-0", backend.address(), "removed")],
     },
     Departure {
         name: "not listed",
-        complete: true,
+        is_full: true,
         hosts: |_| Vec::new(),
     },
 ];
 
-/// A list that lags restores no process that was reported as draining or removed, and neither do the changes that follow
-/// it. A new process of that name is another backend, and so is a newer version.
+/// Guards against a stale list that restores a backend after discovery has reported it as draining or removed. Neither
+/// a stale full list nor the changes that follow it may restore the backend. A new process under the same name, which
+/// has another start time, is a different backend and gets requests.
 #[test]
 fn an_older_list_restores_no_departed_backend() {
     for Departure {
         name,
-        complete,
+        is_full,
         hosts,
     } in DEPARTURES
     {
         let mut fixture = TestFixture::new(1);
         let up = || endpoint("s-0", fixture.backends[0].address(), "up");
-        let departed = endpoint_list(12, complete, &hosts(&fixture.backends[0]));
+        let departed = endpoint_list(12, is_full, &hosts(&fixture.backends[0]));
         fixture.watch.send_line(&departed.to_string());
         fixture.watch.finish();
         fixture
@@ -185,8 +188,8 @@
     }
 }
 
-/// Changes state what came after a version, so changes to an earlier version cannot be applied: the complete list is
-/// requested.
+/// Guards against applying changes to the wrong version: changes of an earlier version than the known one are not
+/// applied, and the full list is requested.
 #[test]
 fn changes_to_an_earlier_version_request_the_complete_list() {
     let mut fixture = TestFixture::new(1);
@@ -198,8 +201,8 @@
     fixture.discovery.accept_request(&watch_request(6));
 }
 
-/// After the discovery service has moved, what its old address still sends is ignored, whether it arrives before the new
-/// address has responded or after.
+/// Guards against a list from the old address of discovery after a reload has changed the address. The old response is
+/// ignored whether it arrives before or after the one from the new address.
 #[test]
 fn the_old_discovery_address_is_ignored_after_a_new_configuration() {
     for late in [false, true] {
@@ -220,7 +223,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
                 list.len()
             );
-            // The gateway has closed its end.
+            // The write may fail, since the gateway has closed the connection.
             let _ = connection.reader.get_mut().write_all(head.as_bytes());
         };
         if !late {
@@ -238,36 +241,36 @@
     }
 }
 
-/// A name returns at another address or as another process: a request that waits for a connection to the former one is not
-/// sent there, and the next request goes to the present address.
+/// Guards against requests to the old address of a backend that is listed again at another address. A request that
+/// waits for a connection to the old address is not sent there, and the next request goes to the current address.
 #[test]
 fn a_backend_listed_at_another_address_gets_nothing_at_the_former_one() {
     let discovery = TestListener::new();
     let FullBacklog {
-        listener: former,
+        listener: old_backend,
         fillers,
     } = listener_with_full_backlog();
-    let present = TestListener::new();
+    let current_backend = TestListener::new();
     let up = |listener: &TestListener| endpoint("s-0", listener.address(), "up");
     let program = GatewayProcess::start(
         default_settings(),
         discovery.address(),
-        endpoint_list(7, true, &[up(&former)]),
+        endpoint_list(7, true, &[up(&old_backend)]),
     );
     let connection = discovery.accept_request(&watch_request(7));
     let mut watch = WatchStream::begin_response(connection);
     let mut client = program.connect_client();
     client.write(request_with("id-1", "charge", "wide", LONG_TIMEOUT));
     wait_for("a connection attempt that hangs", || {
-        is_connecting(former.address()).then_some(())
+        is_connecting(old_backend.address()).then_some(())
     });
-    let removed = endpoint("s-0", former.address(), "removed");
+    let removed = endpoint("s-0", old_backend.address(), "removed");
     watch.send_line(&endpoint_list(8, false, &[removed]).to_string());
-    watch.send_line(&endpoint_list(9, false, &[up(&present)]).to_string());
-    // The waiting request is sent to the present address or rejected.
-    let accepted = present.accept_unless_answered(&client);
+    watch.send_line(&endpoint_list(9, false, &[up(&current_backend)]).to_string());
+    // The waiting request is either sent to the current address or rejected.
+    let accepted = current_backend.accept_unless_answered(&client);
     for _ in &fillers {
-        former.accept();
+        old_backend.accept();
     }
     match accepted {
         Some(mut backend) => {
@@ -277,11 +280,11 @@
         }
         None => {
             assert_eq!(client.read().status(), 429);
-            program.wait_until_served_by(&present, "next");
+            program.wait_until_served_by(&current_backend, "next");
         }
     }
-    // The connection to the former address may be established, but nothing is sent on it.
-    if let Some(mut stale) = former.try_accept() {
+    // The connection to the old address may be established, but nothing must be sent on it.
+    if let Some(mut stale) = old_backend.try_accept() {
         stale.expect_close();
     }
 }
--- a/tests/endpoint_watch.rs
+++ b/tests/endpoint_watch.rs
@@ -1,24 +1,25 @@
-//! The watch of the endpoint list, over loopback sockets: how it is resumed, and how soon a list is in force after a fault
-//! of the discovery service.
+//! Tests of the endpoint list watch, over loopback sockets: how the watch is resumed, and how soon a new list takes
+//! effect after a failure of discovery.
 
 use cometspool_fault_injection::scripted_peers::*;
 use serde_json::Value;
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// The time within which a list is in force after the discovery service has it and can be reached.
-const IN_FORCE: Duration = Duration::from_secs(6);
-/// The same after a configuration that moves the discovery service.
-const IN_FORCE_AFTER_MOVE: Duration = Duration::from_secs(4);
-/// How long a call waits for its response here, less than the least timeout of a call.
-const LONG_WAIT: Duration = Duration::from_millis(1200);
-/// The time of a slow response after a call that hung: the timeout of such a call is longer.
+/// Time within which a list must take effect once discovery has the list and can be reached.
+const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
+/// Time within which a list must take effect after a reload that changes the address of discovery.
+const UPDATE_DEADLINE_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
+/// How long discovery takes for a late rejection. This is below the shortest response timeout of a call.
+const REJECTION_DELAY: Duration = Duration::from_millis(1200);
+/// How long discovery takes for a slow response to a call after one that timed out. The response timeout of such a call
+/// is longer.
 const SLOW_RESPONSE: Duration = Duration::from_secs(2);
-/// The time of the slowest response within the timeout of any call.
-const SLOWEST_RESPONSE: Duration = Duration::from_millis(2800);
+/// The longest response timeout of any call.
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2800);
 
-/// A watch that ends is resumed from the version last received, and an unreadable line makes the gateway request the
-/// complete list.
+/// Guards against a watch that loses or repeats changes. A watch that ends is resumed from the version last received.
+/// After an incomplete object, the full list is requested.
 #[test]
 fn a_watch_resumes_and_an_unreadable_line_requests_the_complete_list() {
     let mut fixture = TestFixture::new(1);
@@ -36,8 +37,9 @@
     fixture.discovery.accept_request(&watch_request(20));
 }
 
-/// An overloaded discovery service is not asked for more than before: one that rejects a watch knows the version, so the
-/// changes are requested again, and the complete list only where it says that there is no such watch.
+/// Guards against adding load to an overloaded discovery agent. An agent that rejects a watch still knows the version,
+/// so the watch is requested again from that version. The full list is requested only after a status that says that the
+/// watch does not exist.
 #[test]
 fn a_rejected_watch_is_requested_from_the_same_version() {
     let fixture = TestFixture::new(1);
@@ -49,32 +51,34 @@
     fixture.discovery.accept_request(LIST_REQUEST);
 }
 
-/// A watch whose other end has vanished sends nothing and does not end: it is requested again.
+/// Guards against waiting forever on a watch whose peer has vanished: such a watch sends nothing and does not end, so
+/// it is requested again.
 #[test]
 fn a_silent_watch_is_requested_again() {
     let fixture = TestFixture::new(1);
     fixture.discovery.accept_request(&watch_request(7));
 }
 
-/// Where a watch falls silent, and which request has to follow.
+/// A watch that falls silent, and the request that must follow.
 struct SilentWatch {
     name: &'static str,
-    /// What the service sends before.
+    /// The bytes that discovery sends before the silence.
     sent: String,
-    /// Whether it goes on to send single spaces, each a chunk of its own.
-    drips: bool,
+    /// Whether discovery then sends single spaces forever, each in a chunk of its own.
+    trickles: bool,
+    /// The start line of the request that must follow.
     next_request: String,
 }
 
 fn silent_watches() -> Vec<SilentWatch> {
-    let complete = LIST_REQUEST.to_owned();
+    let full_list = LIST_REQUEST.to_owned();
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     let indented = format!("{:#}", endpoint_list(9, false, &[]));
-    let case = |name, sent, drips, next_request| SilentWatch {
+    let case = |name, sent, trickles, next_request| SilentWatch {
         name,
         sent,
-        drips,
+        trickles,
         next_request,
     };
     vec![
@@ -107,26 +111,26 @@
             "within a line",
             head.to_owned() + &chunk("{\"seq\":9,\"whole\":"),
             false,
-            complete.clone(),
+            full_list.clone(),
         ),
         case(
             "within an indented list",
             head.to_owned() + &chunk(&indented[..indented.len() - 3]),
             false,
-            complete.clone(),
+            full_list.clone(),
         ),
         case(
-            "dripping",
+            "within a trickling object",
             head.to_owned() + &chunk("{\"seq\":9,\"whole\":"),
             true,
-            complete,
+            full_list,
         ),
     ]
 }
 
-/// A watch that falls silent is closed, whatever it sent last: from its first byte, after its header, between two lines,
-/// within a line, within an indented list. It is requested again from the known version, and the complete list where part
-/// of an object arrived. Bytes of an object that never ends are no heartbeat.
+/// Guards against waiting forever on a silent watch, wherever in the response the silence begins. The watch is closed
+/// and requested again from the known version, or the full list is requested if a part of an object has arrived. The
+/// bytes of an object that never ends must not count as heartbeats.
 #[test]
 fn silence_ends_a_watch_wherever_it_starts() {
     let runs: Vec<_> = silent_watches()
@@ -142,8 +146,8 @@
                 let mut connection = discovery.accept_request(&watch_request(7));
                 connection.write(&case.sent);
                 let mut next = wait_for(case.name, || {
-                    if case.drips {
-                        // The gateway may have closed its end by now.
+                    if case.trickles {
+                        // The write may fail, since the gateway may have closed the connection.
                         let _ = connection.reader.get_mut().write_all(b"1\r\n \r\n");
                         std::thread::sleep(Duration::from_millis(50));
                     }
@@ -158,16 +162,16 @@
     }
 }
 
-/// Settings of a fleet so large that frequent calls would overload the discovery service.
+/// Settings of a fleet so large that frequent calls of all gateways would overload discovery.
 fn large_fleet() -> Value {
     let mut settings = default_settings();
     settings["fleet_size"] = 300.into();
     settings
 }
 
-/// Responds to a watch request that has been read with a new list that holds `backend` alone, and waits until a request
-/// reaches it.
-fn bring_list_in_force(
+/// Responds to a watch request that has been read with a new list that contains only `backend`, and waits until a
+/// request reaches that backend.
+fn send_list_and_wait_until_served(
     program: &GatewayProcess,
     connection: ScriptedConnection,
     backend: &TestListener,
@@ -178,8 +182,8 @@
     program.wait_until_served_by(backend, "in-force");
 }
 
-/// A large fleet pauses for long between calls, but after each call that the discovery service rejects, at once or late,
-/// its list is in force in time.
+/// Guards against backoff that delays a list beyond the update deadline. A large fleet pauses for a long time after a
+/// rejected call, but a list must take effect in time, whether the call was rejected immediately or late.
 #[test]
 fn after_a_rejected_call_the_list_is_in_force_in_time() {
     for status in [503, 429] {
@@ -190,25 +194,26 @@
             discovery.address(),
             endpoint_list(7, true, &[]),
         );
-        for wait in [Duration::ZERO, LONG_WAIT] {
-            // Each of these calls may be the last one before the service can be reached again.
+        for wait in [Duration::ZERO, REJECTION_DELAY] {
+            // Each of these calls may be the last one before discovery is available again.
             let mut rejected = discovery.accept_request(&watch_request(7));
             let available = Instant::now();
-            // The service takes this long to reject it.
+            // Discovery takes this long to reject the call.
             std::thread::sleep(wait);
             rejected.respond(status, "", "");
-            // The request has to be read first: a response that overtakes it would end the connection.
+            // The request must be read first, since a response that arrives before the request would end the
+            // connection.
             let call = discovery.accept_request(&watch_request(7));
             assert!(
-                available.elapsed() < IN_FORCE,
+                available.elapsed() < UPDATE_DEADLINE,
                 "{status} after {wait:?}: called again after {:?}",
                 available.elapsed()
             );
-            if wait == LONG_WAIT {
-                bring_list_in_force(&program, call, &backend);
+            if wait == REJECTION_DELAY {
+                send_list_and_wait_until_served(&program, call, &backend);
                 assert!(
-                    available.elapsed() < IN_FORCE,
-                    "{status}: in force after {:?}",
+                    available.elapsed() < UPDATE_DEADLINE,
+                    "{status}: took effect after {:?}",
                     available.elapsed()
                 );
             } else {
@@ -218,8 +223,8 @@
     }
 }
 
-/// A watch falls silent and the first call after it is rejected: the list is in force in time, although the silence has
-/// taken most of it.
+/// Guards against exceeding the update deadline when a watch falls silent and the first call after it is rejected. The
+/// silence timeout uses up most of the deadline.
 #[test]
 fn after_a_silent_watch_and_a_rejected_call_the_list_is_in_force_in_time() {
     let backend = TestListener::new();
@@ -231,16 +236,16 @@
         .accept_request(&watch_request(7))
         .respond(503, "", "");
     let call = fixture.discovery.accept_request(&watch_request(7));
-    bring_list_in_force(&fixture.program, call, &backend);
+    send_list_and_wait_until_served(&fixture.program, call, &backend);
     assert!(
-        silent.elapsed() < IN_FORCE,
-        "in force after {:?}",
+        silent.elapsed() < UPDATE_DEADLINE,
+        "took effect after {:?}",
         silent.elapsed()
     );
 }
 
-/// Calls hang while the discovery service recovers: each times out early enough that a further one, also with a slow
-/// response, is in time.
+/// Guards against calls that hang for too long while discovery recovers. Each call must time out early enough for a
+/// further call with a slow response to deliver the list in time.
 #[test]
 fn after_a_hung_call_the_list_is_in_force_in_time() {
     let discovery = TestListener::new();
@@ -254,18 +259,18 @@
     let _second = discovery.accept_request(&watch_request(7));
     let available = Instant::now();
     let call = discovery.accept_request(&watch_request(7));
-    // The response is slow, but within the timeout of the calls before.
+    // The response is slow, but within the response timeout after a call that timed out.
     std::thread::sleep(SLOW_RESPONSE);
-    bring_list_in_force(&program, call, &backend);
+    send_list_and_wait_until_served(&program, call, &backend);
     assert!(
-        available.elapsed() < IN_FORCE,
-        "in force after {:?}",
+        available.elapsed() < UPDATE_DEADLINE,
+        "took effect after {:?}",
         available.elapsed()
     );
 }
 
-/// Connection attempts to the discovery service hang: each times out early enough for the slowest response to a further
-/// call.
+/// Guards against connection attempts to discovery that hang for too long. Each attempt must time out early enough for
+/// the slowest response to a further call.
 #[test]
 fn after_a_hung_connection_attempt_the_list_is_in_force_in_time() {
     let FullBacklog {
@@ -286,7 +291,7 @@
         (!is_connecting(discovery.address())).then_some(())
     });
     assert!(
-        available.elapsed() + SLOWEST_RESPONSE < IN_FORCE,
+        available.elapsed() + MAX_RESPONSE_TIMEOUT < UPDATE_DEADLINE,
         "timed out after {:?}",
         available.elapsed()
     );
@@ -294,15 +299,15 @@
         discovery.accept();
     }
     let call = discovery.accept_request(&watch_request(7));
-    bring_list_in_force(&program, call, &backend);
+    send_list_and_wait_until_served(&program, call, &backend);
     assert!(
-        available.elapsed() < IN_FORCE,
-        "in force after {:?}",
+        available.elapsed() < UPDATE_DEADLINE,
+        "took effect after {:?}",
         available.elapsed()
     );
 }
 
-/// The discovery service moves, and rejects the first call at its new address: the list is in force in time.
+/// Guards against exceeding the update deadline when discovery rejects the first call at its new address.
 #[test]
 fn after_a_move_and_a_rejected_call_the_list_is_in_force_in_time() {
     let moved = TestListener::new();
@@ -314,10 +319,10 @@
     fixture.program.reload(&config.to_string());
     moved.accept_request(&watch_request(7)).respond(503, "", "");
     let call = moved.accept_request(&watch_request(7));
-    bring_list_in_force(&fixture.program, call, &backend);
+    send_list_and_wait_until_served(&fixture.program, call, &backend);
     assert!(
-        reloaded.elapsed() < IN_FORCE_AFTER_MOVE,
-        "in force after {:?}",
+        reloaded.elapsed() < UPDATE_DEADLINE_AFTER_ADDRESS_CHANGE,
+        "took effect after {:?}",
         reloaded.elapsed()
     );
 }
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown, over loopback sockets: what is in flight, deadlines beyond its end, repeated signals, no endpoint
-//! list yet, and clients that go on sending on each connection that stays open.
+//! Tests of the graceful shutdown, over loopback sockets: requests in flight, deadlines beyond the end of the shutdown,
+//! repeated signals, a shutdown before the first endpoint list, and clients that continue to send requests.
 
 use cometspool_fault_injection::scripted_peers::*;
 use serde_json::Value;
@@ -7,10 +7,10 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A timeout far beyond the end of a shutdown, s.
+/// A request timeout far beyond the end of a shutdown, in seconds.
 const MINUTE_TIMEOUT: &str = "60";
 
-/// Settings of a deployment whose clients wait for a minute.
+/// Settings of a deployment whose request classes allow a deadline of one minute.
 fn minute_settings() -> Value {
     let mut settings = default_settings();
     for class in settings["grades"].as_array_mut().expect("classes") {
@@ -21,8 +21,8 @@
     settings
 }
 
-/// Requests in flight are answered, connections are accepted for a while, responses close theirs, and the program exits
-/// with 0.
+/// Guards against losing requests during a shutdown: requests in flight are answered, connections are still accepted
+/// for a while, each response closes its connection, and the program exits with code 0.
 #[test]
 fn sigterm_completes_requests_in_flight_and_exits_with_0() {
     let mut fixture = TestFixture::new(1);
@@ -50,11 +50,11 @@
         assert_eq!(response.header("connection"), Some("close"));
         client.expect_close();
     };
-    // One response comes at once and one after idle connections have been closed: neither is lost.
+    // One response arrives immediately and one after idle connections have been closed. Neither must be lost.
     complete(&mut second, &mut late);
     idle.expect_close();
     complete(&mut backend, &mut client);
-    // A connection that never carried a request does not delay the exit.
+    // A connection that never carried a request must not delay the exit.
     let start = Instant::now();
     assert_eq!(fixture.program.wait_for_exit().code(), Some(0));
     assert!(
@@ -64,8 +64,9 @@
     unused.expect_close();
 }
 
-/// A request whose connection to a backend is being established, one that is half answered and one whose body is arriving
-/// all get a final response, a late request is rejected with Retry-After, and the program exits with 0.
+/// Guards against requests without a final response after a shutdown: one whose connection to a backend is being
+/// established, one that is half answered, and one whose body is arriving. A late request is rejected with Retry-After,
+/// and the program exits with code 0.
 #[test]
 fn requests_in_every_phase_get_a_final_response() {
     let discovery = TestListener::new();
@@ -101,7 +102,7 @@
     });
     half_answered.terminate();
     connecting.terminate();
-    // Idle connections are closed once no new clients are sent here; from then on new requests are rejected.
+    // Idle connections are closed once the load balancer sends no more clients. From then on new requests are rejected.
     idle.expect_close();
     let mut late = half_answered.connect_client();
     late.write(request_with("id-4", "read", "wide", LONG_TIMEOUT));
@@ -117,7 +118,8 @@
     assert!(status >= 400, "{status}");
     for (client, may_be_rejected) in [(&mut client, false), (&mut waiting, true)] {
         let status = client.read().status();
-        // A request without a connection never ran, so it may be rejected; one that is half answered must not be.
+        // A request without a connection never ran, so it may be rejected. One that is half answered must not be
+        // rejected.
         assert!(
             status >= 400 && (may_be_rejected || !matches!(status, 429 | 503)),
             "{status}"
@@ -127,9 +129,10 @@
     assert_eq!(connecting.wait_for_exit().code(), Some(0));
 }
 
-/// Requests whose deadlines lie beyond the end of the shutdown, one that hangs, one whose response never ends and one that
-/// waits for a connection, are answered before the process is killed, 3.7 s after SIGTERM where deadlines are longer than
-/// 3 s, and the program exits by itself. Repeated signals and a new configuration between do not move that end.
+/// Guards against a shutdown that is extended by long deadlines, repeated signals or a reload. Requests with deadlines
+/// beyond the end of the shutdown (one that hangs, one whose response never ends, one that waits for a connection) are
+/// answered before the end, and the program exits by itself. If deadlines are longer than 3 s, the process is killed
+/// 3.7 s after SIGTERM.
 #[test]
 fn no_deadline_extends_the_shutdown() {
     let discovery = TestListener::new();
@@ -182,7 +185,7 @@
     assert!(waiting.read().status() >= 400);
     assert_eq!(sending.wait_for_exit().code(), Some(0));
     assert_eq!(connecting.wait_for_exit().code(), Some(0));
-    // Far from 60 s; the shutdown itself ends after 3.55 s.
+    // Well below the timeout of 60 s. The shutdown itself ends after 3.55 s.
     assert!(
         terminated.elapsed() < Duration::from_secs(30),
         "{:?}",
@@ -190,7 +193,8 @@
     );
 }
 
-/// A shutdown before there is an endpoint list ends by itself, and requests meanwhile are rejected.
+/// Guards against a shutdown that hangs if no endpoint list has been received. Requests during the shutdown are
+/// rejected.
 #[test]
 fn a_shutdown_without_an_endpoint_list_ends_by_itself() {
     let discovery = TestListener::new();
@@ -210,7 +214,7 @@
     assert_eq!(program.wait_for_exit().code(), Some(0));
 }
 
-/// Serves one request per connection until a gateway accepts no more connections; returns the ids of the requests.
+/// Serves one request per connection until `gateway` accepts no more connections. Returns the ids of the requests.
 fn serve_until_exit(listener: &TestListener, gateway: std::net::SocketAddr) -> Vec<String> {
     let mut ids = Vec::new();
     loop {
@@ -223,12 +227,12 @@
         };
         let request = connection.read();
         ids.push(request.header("request-id").expect("an id").to_owned());
-        // With one request per connection, each request is counted here.
+        // One request per connection, so that every forwarded request is recorded.
         connection.respond(200, "Connection: close\r\n", "ok");
     }
 }
 
-/// What became of the requests of a client.
+/// The outcomes of a client's requests.
 #[derive(Debug, Default)]
 struct ClientCounts {
     served: usize,
@@ -236,10 +240,10 @@
     resent: usize,
 }
 
-/// A client sends one request after another on each connection that stays open, from before the shutdown until the program
-/// has exited: each request gets a response, or its connection closes before a byte of a response and the client sends it
-/// again on a new one. If the new one is refused, or closes as well, the program has exited. No request is forwarded twice
-/// by that.
+/// Guards against lost and duplicate requests of a client that sends requests throughout a shutdown. Each request gets
+/// a response, or its connection closes before the first byte of a response and the client resends it on a new
+/// connection. If the new connection is refused or closes as well, the program has exited. No request may be forwarded
+/// twice.
 #[test]
 fn a_client_that_goes_on_sending_gets_a_response_or_a_close() {
     let fixture = TestFixture::with_settings(minute_settings(), 1);
@@ -278,8 +282,8 @@
     );
 }
 
-/// Sends a request and returns the status of its response; `None` if the connection closed before a byte of it. A close
-/// within a response fails the test.
+/// Sends a request and returns the status of the response. `None` if the connection closed before the first byte of a
+/// response; a close within a response fails the test.
 fn send(client: &mut ScriptedConnection, request: &str) -> Option<u16> {
     client.reader.get_mut().write_all(request.as_bytes()).ok()?;
     let received = client.reader.fill_buf().ok()?;
--- a/tests/hand_over.rs
+++ b/tests/hand_over.rs
@@ -1,17 +1,18 @@
-//! A restart under the same name with a hand-over file, over loopback sockets.
+//! Test of a gateway that is killed and restarted under the same name with a hand-over file, over loopback sockets.
 
 use cometspool_fault_injection::scripted_peers::*;
 use serde_json::json;
 use std::time::Instant;
 
-/// What the former process may have run is not run again by its successor, and a request that it had only accepted has
-/// what is left of its timeout.
+/// Guards against a successor that runs a request of the killed process a second time, or that grants a retried request
+/// more time than it had left. A non-idempotent request that was forwarded is rejected; an idempotent one is forwarded
+/// with the remaining timeout.
 #[test]
 fn a_successor_runs_nothing_twice_and_extends_no_timeout() {
     let discovery = TestListener::new();
     let listener = TestListener::new();
     let path = temporary_path("handover");
-    // No latency objective is shorter than the client's timeout, so that this is what a backend is granted.
+    // The latency objectives exceed the client's timeout, so that the timeout granted to a backend is the client's.
     let mut settings = default_settings();
     for class in settings["grades"].as_array_mut().expect("classes") {
         class["aim"] = 20_000.0.into();
@@ -39,7 +40,7 @@
     let mut client = second.connect_client();
     client.write(request_with("id-1", "charge", "wide", "10"));
     assert_eq!(client.read().status(), 409);
-    let passed = received.elapsed().as_secs_f64();
+    let elapsed = received.elapsed().as_secs_f64();
     let mut client = second.connect_client();
     client.write(request_with("id-2", "read", "wide", "10"));
     let mut backend = listener.accept();
@@ -51,12 +52,12 @@
     );
     let remaining = repeated.granted_timeout();
     assert!(
-        remaining <= granted - passed + 0.003,
-        "{remaining} after {granted} less {passed}"
+        remaining <= granted - elapsed + 0.003,
+        "{remaining} after {granted} less {elapsed}"
     );
     backend.respond(200, "", "ok");
     assert_eq!(client.read().status(), 200);
-    // A request with a new id is accepted as usual.
+    // A request with a new id is forwarded as usual.
     client.write(request_with("id-3", "charge", "wide", LONG_TIMEOUT));
     assert_eq!(backend.read().header("request-id"), Some("id-3"));
 }
--- a/tests/request_forwarding.rs
+++ b/tests/request_forwarding.rs
@@ -1,9 +1,10 @@
-//! What a gateway forwards, over loopback sockets: requests and responses unchanged, each request id once, and no more
-//! than a customer's quota.
+//! Tests of request forwarding, over loopback sockets: requests and responses are unchanged, each request id is
+//! forwarded once, and a customer's quota is not exceeded.
 
 use cometspool_fault_injection::scripted_peers::*;
 
-/// A request is forwarded with its path, headers and body, and its response with its body.
+/// Guards against altering a request or response: the request is forwarded with its path, headers and body, and the
+/// response with its body.
 #[test]
 fn a_request_and_its_response_are_forwarded_unchanged() {
     let fixture = TestFixture::new(1);
@@ -29,7 +30,7 @@
     );
 }
 
-/// There are never two attempts for one request id: a duplicate that arrives while the first is in flight is rejected.
+/// Guards against two attempts for one request id: a duplicate of a request in flight is rejected.
 #[test]
 fn a_request_id_in_flight_is_rejected() {
     let fixture = TestFixture::new(1);
@@ -45,8 +46,8 @@
     assert_eq!(client.read().body, b"once");
 }
 
-/// A request id is valid for one request: a duplicate after its response is rejected. The timeout that a backend is granted
-/// is no longer than the class allows.
+/// Guards against reuse of a request id: a duplicate that arrives after the response is rejected. Also guards against
+/// granting a backend a longer timeout than the class allows.
 #[test]
 fn a_request_id_is_valid_once_and_its_timeout_is_capped_by_its_class() {
     let fixture = TestFixture::new(1);
@@ -68,7 +69,7 @@
     assert!(fixture.no_backend_contacted());
 }
 
-/// Beyond its quota a customer is rejected at once, with Retry-After.
+/// Guards against serving a customer beyond its quota: the request is rejected immediately, with Retry-After.
 #[test]
 fn a_customer_beyond_its_quota_is_rejected_with_retry_after() {
     let fixture = TestFixture::new(1);
--- a/tests/request_validation.rs
+++ b/tests/request_validation.rs
@@ -1,9 +1,8 @@
-//! Requests that a gateway must not forward, over loopback sockets: each gets one response, and nothing of it reaches a
-//! backend.
+//! Tests of invalid requests, over loopback sockets: each gets one error response, and no part of it reaches a backend.
 
 use cometspool_fault_injection::scripted_peers::*;
 
-/// Headers without which a request is rejected.
+/// Names of the headers without which a request is rejected.
 const REQUIRED_HEADERS: [&str; 6] = [
     "Request-Id",
     "Request-Class",
@@ -13,14 +12,15 @@
     "Api-Terms",
 ];
 
-/// A replacement in a valid request that makes it invalid, and the status of the response.
+/// A text replacement that makes a valid request invalid, and the status of the response.
 struct Mutation {
     from: &'static str,
     to: &'static str,
     status: u16,
 }
 
-const fn bad(from: &'static str, to: &'static str) -> Mutation {
+/// A mutation that is answered with status 400.
+const fn bad_request(from: &'static str, to: &'static str) -> Mutation {
     Mutation {
         from,
         to,
@@ -29,60 +29,60 @@
 }
 
 const MUTATIONS: [Mutation; 40] = [
-    bad("Request-Class: charge", "Request-Class: refund"),
-    bad("POST /charge/", "POST /read/"),
-    bad("POST /charge/", "PUT /charge/"),
-    bad("POST /charge/", "GET /charge/"),
-    bad(
+    bad_request("Request-Class: charge", "Request-Class: refund"),
+    bad_request("POST /charge/", "POST /read/"),
+    bad_request("POST /charge/", "PUT /charge/"),
+    bad_request("POST /charge/", "GET /charge/"),
+    bad_request(
         "Content-Length: 5",
         "Idempotency-Key: 1\r\nContent-Length: 5",
     ),
-    bad("Api-Plan: wide", "Api-Plan: broad"),
-    bad("client=00000000b4d65521", "client=b4d65521"),
-    bad("client=00000000b4d65521", "client=0000000200000000"),
-    bad("client=00000000b4d65521", "client=+0000000b4d65521"),
-    bad("client=00000000b4d65521", "other=1"),
-    bad("Request-Timeout: 8", "Request-Timeout: soon"),
-    bad("Request-Timeout: 8", "Request-Timeout: -1"),
-    bad("Request-Timeout: 8", "Request-Timeout: inf"),
-    bad("Request-Timeout: 8", "Request-Timeout: NaN"),
-    bad("units=1", "units=0"),
-    bad("units=1", "units=many"),
-    bad("units=1", "units=8.5"),
-    bad("units=1", "units=1,units=1"),
-    bad("spread=1", "spread=1e999"),
-    bad("spread=1", "spread=3"),
-    bad("spread=1", "spread=0"),
-    bad("spread=1", "spread=1.5"),
-    bad(",first=0", ""),
-    bad("first=0", "first=2"),
-    bad("first=0", "first=-1"),
-    bad("first=0", "first=0.5"),
-    bad("Host: ser", "Host: other\r\nHost: ser"),
-    bad("Host: ser", "Host: s\u{e9}r"),
-    bad("Host: ser", "Request-Id: id-2\r\nHost: ser"),
-    bad("Host: ser", "Cookie: client=00000000b4d65521\r\nHost: ser"),
-    bad(
+    bad_request("Api-Plan: wide", "Api-Plan: broad"),
+    bad_request("client=00000000b4d65521", "client=b4d65521"),
+    bad_request("client=00000000b4d65521", "client=0000000200000000"),
+    bad_request("client=00000000b4d65521", "client=+0000000b4d65521"),
+    bad_request("client=00000000b4d65521", "other=1"),
+    bad_request("Request-Timeout: 8", "Request-Timeout: soon"),
+    bad_request("Request-Timeout: 8", "Request-Timeout: -1"),
+    bad_request("Request-Timeout: 8", "Request-Timeout: inf"),
+    bad_request("Request-Timeout: 8", "Request-Timeout: NaN"),
+    bad_request("units=1", "units=0"),
+    bad_request("units=1", "units=many"),
+    bad_request("units=1", "units=8.5"),
+    bad_request("units=1", "units=1,units=1"),
+    bad_request("spread=1", "spread=1e999"),
+    bad_request("spread=1", "spread=3"),
+    bad_request("spread=1", "spread=0"),
+    bad_request("spread=1", "spread=1.5"),
+    bad_request(",first=0", ""),
+    bad_request("first=0", "first=2"),
+    bad_request("first=0", "first=-1"),
+    bad_request("first=0", "first=0.5"),
+    bad_request("Host: ser", "Host: other\r\nHost: ser"),
+    bad_request("Host: ser", "Host: s\u{e9}r"),
+    bad_request("Host: ser", "Request-Id: id-2\r\nHost: ser"),
+    bad_request("Host: ser", "Cookie: client=00000000b4d65521\r\nHost: ser"),
+    bad_request(
         "Host: ser",
         "Api-Terms: units=1,spread=1,first=0\r\nHost: ser",
     ),
-    bad("Request-Id: id-1", "Request-Id: id 1"),
-    bad("/charge/a", "/charge/\u{e9}"),
-    bad("/charge/a", "/charger/a"),
-    bad("/charge/a", "//charge/a"),
-    bad("Content-Length: 5", "Content-Length: -5"),
+    bad_request("Request-Id: id-1", "Request-Id: id 1"),
+    bad_request("/charge/a", "/charge/\u{e9}"),
+    bad_request("/charge/a", "/charger/a"),
+    bad_request("/charge/a", "//charge/a"),
+    bad_request("Content-Length: 5", "Content-Length: -5"),
     Mutation {
         from: "Content-Length: 5",
         to: "Content-Length: 65537",
         status: 413,
     },
-    bad("Content-Length: 5", "Content-Length: five"),
-    bad("HTTP/1.1", "HTTX/1.1"),
-    bad("Host: ser", "Host\0: ser"),
+    bad_request("Content-Length: 5", "Content-Length: five"),
+    bad_request("HTTP/1.1", "HTTX/1.1"),
+    bad_request("Host: ser", "Host\0: ser"),
 ];
 
-/// An invalid request is rejected, its connection is closed, and nothing reaches a backend; a client that disconnects
-/// within a request leaves nothing behind.
+/// Guards against forwarding an invalid request: the request is rejected, its connection is closed, and nothing reaches
+/// a backend. Afterwards, a client that disconnects within a request must not affect a valid request with the same id.
 #[test]
 fn invalid_requests_are_rejected() {
     let fixture = TestFixture::new(1);
@@ -118,7 +118,7 @@
     assert_eq!(client.read().status(), 200);
 }
 
-/// A head without end is rejected and not buffered.
+/// Guards against buffering an endless request head: it is rejected with 431.
 #[test]
 fn a_head_without_end_is_rejected() {
     let fixture = TestFixture::new(1);
@@ -130,8 +130,8 @@
     assert!(fixture.no_backend_contacted());
 }
 
-/// A chunked body, beside a length or not, could hide another request: it is rejected, and its connection is closed before
-/// anything behind it is read.
+/// Guards against request smuggling by a chunked body, with or without a Content-Length. The request is rejected, and
+/// its connection is closed before the bytes after it are read as a request.
 #[test]
 fn a_chunked_request_is_rejected_and_smuggles_nothing() {
     let fixture = TestFixture::new(1);
@@ -154,7 +154,7 @@
     assert!(fixture.no_backend_contacted());
 }
 
-/// A request without a valid timeout is rejected with a 4xx at once, and not forwarded.
+/// Guards against forwarding a request without a valid timeout: it is rejected immediately with status 400.
 #[test]
 fn a_request_without_a_valid_timeout_is_rejected_at_once() {
     let fixture = TestFixture::new(1);
--- a/tests/startup.rs
+++ b/tests/startup.rs
@@ -1,16 +1,17 @@
-//! The start of a gateway, over loopback sockets: when it reports that it is healthy, and many that start at once.
+//! Tests of the start-up of gateways, over loopback sockets: when a gateway reports that it is healthy, and many
+//! gateways that start at the same time.
 
 use cometspool_fault_injection::scripted_peers::*;
 use cometspool_fault_injection::{Cluster, ClusterConfig};
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
 
-/// Gateways that are restarted together.
+/// Number of gateways that are restarted together.
 const GATEWAYS: usize = 40;
-/// Backends in their endpoint list.
+/// Number of backends in their endpoint list.
 const BACKENDS: usize = 200;
 
-/// A gateway is healthy only when it has an endpoint list.
+/// Guards against a gateway that reports itself healthy before it has an endpoint list.
 #[test]
 fn the_health_check_fails_until_there_is_an_endpoint_list() {
     let discovery = TestListener::new();
@@ -28,7 +29,7 @@
     assert_eq!(client.read().status(), 200);
 }
 
-/// Waits until the health check of a gateway succeeds; it may not listen yet.
+/// Waits until the health check of a gateway succeeds. The gateway may not be listening yet.
 fn wait_until_healthy(name: &str, address: SocketAddr) {
     wait_for(&format!("a healthy {name}"), || {
         let mut client = ScriptedConnection::new(TcpStream::connect(address).ok()?);
@@ -37,8 +38,9 @@
     });
 }
 
-/// All gateways are restarted at once, as after a power cut: each becomes healthy, also where none has stored an
-/// endpoint list and all have to request it from the discovery service in the same moment.
+/// Guards against gateways that do not become healthy when all are restarted at the same time, as after a power
+/// failure. In the second round no gateway has a cached endpoint list, so all request the list from discovery at the
+/// same time.
 #[test]
 fn forty_gateways_that_start_at_once_all_become_healthy() {
     let config = ClusterConfig {
@@ -49,10 +51,10 @@
         ..ClusterConfig::default()
     };
     let mut cluster = Cluster::start(&config).expect("a cluster");
-    for has_stored_list in [true, false] {
+    for has_cached_list in [true, false] {
         for process in &mut cluster.processes {
             process.kill();
-            if !has_stored_list {
+            if !has_cached_list {
                 process.config["known"] = Value::Null;
             }
         }
