--- a/src/net/control/config/error.rs
+++ b/src/net/control/config/error.rs
@@ -20,15 +20,15 @@
     /// The configuration file cannot be read.
     #[error("BALANCER_CONFIG: cannot read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the configuration file, as the variable gives it.
         path: String,
         /// The error of the operating system.
         source: std::io::Error,
     },
     /// The configuration file is not valid JSON, or a key is missing or has the wrong type.
-    #[error("BALANCER_CONFIG: invalid JSON in {path}: {source}")]
+    #[error("BALANCER_CONFIG: invalid configuration in {path}: {source}")]
     Malformed {
-        /// The file.
+        /// The path of the configuration file, as the variable gives it.
         path: String,
         /// The error of the JSON parser, with line and column.
         source: serde_json::Error,
@@ -64,7 +64,7 @@
         path: PathBuf,
     },
     /// The `clock` section is set although the file does not say that this is a test.
-    #[error("clock: only a test may set the clock; expected the key \"test\" to be true")]
+    #[error("clock: only a test may set the clock: expected \"test\" to be true, got false")]
     ClockOutsideTest,
     /// The rate or the offset of the clock is out of range.
     #[error(
--- a/src/net/control/config/file/tests.rs
+++ b/src/net/control/config/file/tests.rs
@@ -91,7 +91,7 @@
     );
     assert_eq!(
         error_message("clock", serde_json::json!({})),
-        "clock: only a test may set the clock; expected the key \"test\" to be true"
+        "clock: only a test may set the clock: expected \"test\" to be true, got false"
     );
     let mut json = minimal_file();
     json["test"] = true.into();
--- a/src/net/control/fleet_section.rs
+++ b/src/net/control/fleet_section.rs
@@ -166,7 +166,7 @@
     pub local_name: String,
     /// The name of the fleet. Frames of another fleet are rejected.
     pub fleet_name: String,
-    /// Distinguishes successive fleets with the same name. Frames of another epoch are rejected.
+    /// Distinguishes fleets with the same name. Frames of another epoch are rejected.
     pub epoch: u32,
     /// The address on which this gateway listens for other gateways, on TCP and UDP.
     pub listen: SocketAddr,
