--- a/crates/membership/src/bin/cometspool-membership.rs
+++ b/crates/membership/src/bin/cometspool-membership.rs
@@ -1,22 +1,22 @@
-//! Measures simulated fleets for the figures of `docs/MEMBERSHIP.md`: `cometspool-membership
-//! [seeds] [sizes…]`.
+//! Measures simulated fleets, for the figures of `docs/MEMBERSHIP.md`. Usage:
+//! `cometspool-membership [seeds] [sizes…]`.
 
 use cometspool_membership::simulation::{NetworkConditions, Simulation};
 use cometspool_membership::{Change, Millis, Timing};
 use std::collections::BTreeSet;
 use std::process::ExitCode;
 
-/// Time in which datagrams and false failures are counted.
+/// Simulated time in which datagrams and false failures are counted, in milliseconds.
 const MEASURED_TIME: Millis = 60_000.0;
-/// Time after a start in which the fleet is let come to rest.
+/// Simulated time in which the fleet settles after its start, in milliseconds.
 const SETTLING_TIME: Millis = 30_000.0;
-/// Longest time that a fleet may take to converge.
+/// Longest simulated time that a fleet may take to converge, in milliseconds.
 const MAX_CONVERGENCE_TIME: Millis = 300_000.0;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 const MILLIS_PER_HOUR: f64 = 3_600_000.0;
 const DEFAULT_SEEDS: u64 = 5;
 const DEFAULT_SIZES: [usize; 4] = [10, 100, 300, 1000];
-/// Peers that each member is configured with.
+/// Number of peers that each member is configured with.
 const CONFIGURED_PEERS: usize = 5;
 const COLUMN_COUNT: usize = 8;
 const COLUMNS: [&str; COLUMN_COUNT] = [
@@ -30,16 +30,18 @@
     "false/h 30%",
 ];
 
-/// What the command line asks for.
+/// The arguments of the command line.
 struct Arguments {
     seeds: u64,
     sizes: Vec<usize>,
 }
 
 impl Arguments {
-    /// Reads the words of the command line; `None` if one is not a number.
-    fn parse(words: impl Iterator<Item = String>) -> Option<Arguments> {
-        let numbers: Vec<u64> = words.map(|word| word.parse().ok()).collect::<Option<_>>()?;
+    /// Parses the arguments; returns `None` if one is not a number.
+    fn parse(arguments: impl Iterator<Item = String>) -> Option<Arguments> {
+        let numbers: Vec<u64> = arguments
+            .map(|argument| argument.parse().ok())
+            .collect::<Option<_>>()?;
         let mut numbers = numbers.into_iter();
         let seeds = numbers.next().unwrap_or(DEFAULT_SEEDS);
         let mut sizes: Vec<usize> = numbers.map(|size| size as usize).collect();
@@ -56,7 +58,7 @@
         return ExitCode::from(2);
     };
     let seeds = arguments.seeds;
-    println!("per member; false failures per member and hour, none counted twice; of {seeds} seeds: mean (least to most)");
+    println!("per member; false failures per member and hour, each member counted once; over {seeds} seeds: mean (minimum to maximum)");
     println!("| members | {} |", COLUMNS.join(" | "));
     println!("| --- |{}", " --- |".repeat(COLUMNS.len()));
     for size in arguments.sizes {
@@ -69,7 +71,7 @@
     ExitCode::SUCCESS
 }
 
-/// A row for each seed, measured in a thread of its own.
+/// Measures a fleet for each seed, in a thread of its own, and returns a row for each.
 fn measure_seeds(size: usize, seeds: u64) -> Vec<[f64; COLUMN_COUNT]> {
     std::thread::scope(|scope| {
         let runs: Vec<_> = (1..=seeds)
@@ -81,16 +83,16 @@
     })
 }
 
-/// The mean, the least and the most of a column.
+/// Formats a column as its mean, minimum and maximum.
 fn format_cell(rows: &[[f64; COLUMN_COUNT]], column: usize) -> String {
     let values = || rows.iter().map(|row| row[column]);
-    let least = values().fold(f64::INFINITY, f64::min);
-    let most = values().fold(0.0, f64::max);
+    let minimum = values().fold(f64::INFINITY, f64::min);
+    let maximum = values().fold(0.0, f64::max);
     let mean = values().sum::<f64>() / rows.len() as f64;
-    format!("{mean:.2} ({least:.2} to {most:.2})")
+    format!("{mean:.2} ({minimum:.2} to {maximum:.2})")
 }
 
-/// Measures one fleet, in the order of [`COLUMNS`].
+/// Measures one fleet. The values are in the order of [`COLUMNS`].
 fn measure(size: usize, seed: u64) -> [f64; COLUMN_COUNT] {
     let timing = Timing::for_size(size as u32);
     let network = NetworkConditions::default();
@@ -106,7 +108,7 @@
         start,
         cost.datagrams,
         cost.bytes,
-        cost.comparison_bytes,
+        cost.anti_entropy_bytes,
         detection.first,
         detection.all,
         false_failures(&mut simulation, 0.05),
@@ -114,41 +116,41 @@
     ]
 }
 
-/// What a fleet at rest sends, per member and second.
+/// What a settled fleet sends, per member and second.
 struct Cost {
     datagrams: f64,
     bytes: f64,
-    comparison_bytes: f64,
+    anti_entropy_bytes: f64,
 }
 
 fn measure_cost(simulation: &mut Simulation, size: usize) -> Cost {
     let before = simulation.traffic();
-    let comparisons_before = simulation.comparison_bytes;
+    let anti_entropy_bytes_before = simulation.anti_entropy_bytes;
     simulation.run_until(simulation.now + MEASURED_TIME);
     let after = simulation.traffic();
     let per_member = |count: u64| count as f64 / size as f64 / (MEASURED_TIME / MILLIS_PER_SECOND);
     Cost {
         datagrams: per_member(after.datagrams - before.datagrams),
         bytes: per_member(after.bytes - before.bytes),
-        comparison_bytes: per_member(simulation.comparison_bytes - comparisons_before),
+        anti_entropy_bytes: per_member(simulation.anti_entropy_bytes - anti_entropy_bytes_before),
     }
 }
 
-/// When a death was known, in seconds after it.
+/// The time from the failure of a member to its detection, in seconds.
 struct Detection {
-    /// To the first member.
+    /// Until the first member detects it.
     first: f64,
-    /// To all.
+    /// Until all surviving members know it.
     all: f64,
 }
 
-fn measure_detection(simulation: &mut Simulation, nodes: &[usize], victim: usize) -> Detection {
+fn measure_detection(simulation: &mut Simulation, nodes: &[usize], killed: usize) -> Detection {
     let killed_at = simulation.now;
-    simulation.kill(victim);
+    simulation.kill(killed);
     let survivors: Vec<usize> = nodes
         .iter()
         .copied()
-        .filter(|node| *node != victim)
+        .filter(|node| *node != killed)
         .collect();
     simulation.run_while(killed_at + MAX_CONVERGENCE_TIME, |fleet| {
         !fleet.has_converged(&survivors)
@@ -165,8 +167,8 @@
     }
 }
 
-/// Members that ran and were declared failed by anybody, per member and hour at this loss. A member
-/// counts once.
+/// Returns the rate of false failures at this loss: members that run and that any member declared
+/// failed, per member and hour. A member counts once.
 fn false_failures(simulation: &mut Simulation, loss: f64) -> f64 {
     simulation.network.loss = loss;
     let start = simulation.now;
--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -1,9 +1,8 @@
-//! Counters of what a [`Membership`](crate::Membership) has sent, received and seen.
+//! Counters of a [`Membership`](crate::Membership).
 
 use serde::Serialize;
 
-/// The counters of one process since its start. Their serialized names stand in logs that tools
-/// read.
+/// The counters of one process since its start. Tools read their serialized names in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Counters {
     /// Datagrams sent.
@@ -16,20 +15,21 @@
     /// Bytes of the datagrams received.
     #[serde(rename = "heard_bytes")]
     pub received_bytes: u64,
-    /// Datagrams and comparison messages that were malformed or named too many members, and were
-    /// dropped.
+    /// Datagrams and anti-entropy messages that were dropped because they were malformed or named
+    /// too many members.
     pub malformed: u64,
-    /// Comparisons whose digests differed.
+    /// Digests received in anti-entropy exchanges that differed from this process's digest.
     #[serde(rename = "differed")]
     pub digest_mismatches: u64,
-    /// Times that this process was kept from running for longer than it tolerates.
+    /// Times that this process was stalled for longer than
+    /// [`Timing::timer_tolerance`](crate::Timing::timer_tolerance).
     #[serde(rename = "held_up")]
     pub stalls: u64,
     /// Times that this process was declared failed and rejoined.
     #[serde(rename = "returned")]
     pub rejoins: u64,
-    /// Members that failed.
+    /// Members that were declared failed.
     pub failed: u64,
-    /// Members that left.
+    /// Members that left voluntarily.
     pub left: u64,
 }
--- a/crates/membership/src/effect.rs
+++ b/crates/membership/src/effect.rs
@@ -3,34 +3,35 @@
 use crate::member::Member;
 use bytes::Bytes;
 
-/// A change of the view, or of this process's place in the fleet.
+/// A change of the view, or of this process's own membership.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A member joined, or came back.
+    /// A member joined, rejoined, or was restarted.
     Joined(Member),
-    /// A member left by its own choice.
+    /// A member left voluntarily.
     Left(Member),
-    /// A member does not answer and did not refute the suspicion in time.
+    /// A member was declared failed: it did not answer a probe, and did not refute the suspicion in
+    /// time.
     Failed(Member),
     /// Another process runs under the name of this one.
     NameConflict(Member),
-    /// The other process started later and has the name now: this one takes part no more.
+    /// The other process started later and holds the name now. This process no longer participates.
     NameLost(Member),
 }
 
-/// Something for the caller to do.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a datagram to a member. It may be lost.
+    /// Send a datagram to a member. The datagram may be lost.
     SendDatagram {
         /// The receiver.
         to: Member,
         /// The datagram, at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES) long.
         bytes: Bytes,
     },
-    /// Send a message of a comparison to a member, on a connection: it may be longer than a
-    /// datagram.
-    SendComparison {
+    /// Send an anti-entropy message to a member. It goes over a connection, because it may be
+    /// longer than a datagram.
+    SendAntiEntropy {
         /// The receiver.
         to: Member,
         /// The message.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,11 @@
-//! Membership of a fleet: which members seem present.
+//! Group membership for a fleet: which members appear to be alive.
 //!
-//! [`Membership`] is SWIM with suspicion (the `foca` crate), Lifeguard's local health and
-//! anti-entropy, without sockets, clocks or threads: datagrams and the time go in; what is to be
-//! sent, and what has changed, come out. What it knows is a hint: nothing that must not happen
-//! twice, or that has to add up across members, may depend on it. `docs/MEMBERSHIP.md` states what
-//! it guarantees. [`simulation`] runs any number of members in one process.
+//! [`Membership`] implements SWIM with suspicion (by the `foca` crate), the local health score of
+//! Lifeguard, and anti-entropy. It has no sockets, clocks or threads: the caller passes in
+//! datagrams and the time, and gets back what has to be sent and what has changed. The view is only
+//! a hint: nothing that must not happen twice, or that has to add up across members, may depend on
+//! it. `docs/MEMBERSHIP.md` states the guarantees. [`simulation`] runs any number of members in one
+//! process.
 
 #![forbid(unsafe_code)]
 
@@ -27,7 +28,7 @@
 pub use counters::Counters;
 pub use effect::{Change, Effect};
 pub use member::{Member, MemberState, MemberUpdate, MAX_NAME_BYTES, MAX_ZONE_BYTES};
-pub use membership::{ComparisonOutcome, Membership};
+pub use membership::{AntiEntropyOutcome, Membership};
 pub use name::Name;
 pub use timing::{Millis, Timing, MAX_DATAGRAM_BYTES};
 pub use view::{FailedMember, View};
--- a/crates/membership/src/load.rs
+++ b/crates/membership/src/load.rs
@@ -1,5 +1,5 @@
-//! Members' reports of how busy they are. A load changes too often to be part of a member's
-//! identity, so reports travel on their own, behind the updates of a datagram.
+//! Load reports: how busy each member is. A load changes too often to be part of a member's
+//! identity, so load reports are spread separately, behind the updates of a datagram.
 
 use crate::member::{Member, MAX_MEMBERS, MAX_NAME_BYTES};
 use crate::name::Name;
@@ -10,23 +10,24 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Load reports that all members together send in a second: each costs every member some ten times
-/// its 25 bytes, as it is sent on.
+/// Maximum number of load reports that all members together send, per second. Gossip passes each
+/// report on, so a report costs every member about ten times its 25 bytes.
 const LOAD_REPORTS_PER_SECOND: f64 = 5.0;
-/// A load is reported at once if it has changed by this, in thousandths of the member's capacity.
+/// Smallest change of a load that is reported after one report interval, in thousandths of the
+/// member's capacity.
 const LOAD_CHANGE: u16 = 100;
-/// Intervals between reports after which a load that has not changed is repeated, for members that
+/// Number of report intervals after which an unchanged load is reported again, for members that
 /// joined since.
 const REPEAT_INTERVALS: f64 = 20.0;
 
-/// A member's report of its load. The order of the fields is the order on the wire.
+/// A member's report of its load. The fields are encoded in this order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LoadReport {
     /// The member's name.
     pub name: Name,
     /// The member's generation.
     pub generation: u64,
-    /// Grows with each report of one generation.
+    /// Increases with each report of the same generation.
     pub sequence: u32,
     /// The load in thousandths of the member's capacity.
     pub load: u16,
@@ -38,7 +39,8 @@
     }
 }
 
-/// Makes a later report replace an earlier one of the same member that is still being spread.
+/// Key of a report in the broadcast queue. A later report of a member replaces an earlier one that
+/// is still being spread.
 pub(crate) struct LoadReportKey(LoadReport);
 
 impl Invalidates for LoadReportKey {
@@ -47,13 +49,14 @@
     }
 }
 
-/// The last report of each member. The protocol library owns one handle, and
-/// [`Membership`](crate::Membership) reads another.
+/// The latest report of each member. The protocol library writes it through one handle, and
+/// [`Membership`](crate::Membership) reads it through another.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadTable(Rc<RefCell<BTreeMap<Name, LoadReport>>>);
 
 impl LoadTable {
-    /// The load that a member reported last, in thousandths of its capacity.
+    /// The load that a member reported last, in thousandths of its capacity; `None` if no report
+    /// has arrived.
     pub(crate) fn load_of(&self, name: &str) -> Option<u16> {
         self.0.borrow().get(name).map(|report| report.load)
     }
@@ -83,7 +86,7 @@
     }
 }
 
-/// When this process last reported its load, and what it reported.
+/// When this process last reported its load, and the load that it reported.
 #[derive(Clone, Copy, Debug)]
 struct LastReport {
     at: Millis,
@@ -98,8 +101,9 @@
 }
 
 impl LoadReporter {
-    /// The report to send now, if one is due. Every report goes to all members, so the time between
-    /// two grows with their number: all together send no more than [`LOAD_REPORTS_PER_SECOND`].
+    /// Returns the report to send now, if one is due. Every report reaches all members, so the
+    /// interval between two reports of a member grows with the number of members: together they
+    /// send at most [`LOAD_REPORTS_PER_SECOND`].
     pub(crate) fn report(
         &mut self,
         now: Millis,
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,27 +1,28 @@
-//! Lifeguard's local health: how far this process trusts its own judgement of others.
+//! Lifeguard's local health: how far this process trusts its own detection of failures.
 
-/// Highest score: timeouts are stretched to this many and one times their length (Lifeguard's
-/// bound).
+/// Maximum of the local health score, as in Lifeguard. Timeouts are multiplied by the score plus
+/// one.
 const MAX_SCORE: u32 = 8;
 
-/// The score of this process. A process that is slow, or receives nothing, is more likely at fault
-/// itself than all the others are, so it probes less often and gives suspected members more time.
+/// The local health score of this process. If a process is slow or receives nothing, the cause is
+/// more likely its own fault than a failure of all other members. So it probes less often and gives
+/// suspected members more time.
 #[derive(Debug, Default)]
 pub(crate) struct LocalHealth {
     score: u32,
-    /// A probe was sent and not acknowledged.
+    /// Whether a probe was sent that is not acknowledged yet.
     probe_pending: bool,
-    /// Any datagram was received since the last probe was sent.
+    /// Whether any datagram was received since the last probe was sent.
     any_received: bool,
 }
 
 impl LocalHealth {
-    /// The score: 0 is healthy, [`MAX_SCORE`] the worst.
+    /// The score, from 0 (healthy) to [`MAX_SCORE`].
     pub(crate) fn score(&self) -> u32 {
         self.score
     }
 
-    /// What probe intervals and suspicion timeouts are multiplied by.
+    /// The factor that probe intervals and suspicion timeouts are multiplied by.
     pub(crate) fn multiplier(&self) -> f64 {
         f64::from(1 + self.score)
     }
@@ -31,8 +32,8 @@
         self.score = (self.score + by).min(MAX_SCORE);
     }
 
-    /// Records that the next probe goes out. If nothing at all was received since the last one,
-    /// that one counts against this process.
+    /// Records that a probe is sent. If the previous probe was not acknowledged and nothing at all
+    /// was received since, the score rises by one.
     pub(crate) fn record_probe(&mut self) {
         if self.probe_pending && !self.any_received {
             self.penalize(1);
@@ -46,7 +47,7 @@
         self.any_received = true;
     }
 
-    /// Records that a probe was acknowledged: the first acknowledgement of each lowers the score.
+    /// Records an acknowledgement. Only the first one after each probe lowers the score.
     pub(crate) fn record_ack(&mut self) {
         if self.probe_pending {
             self.probe_pending = false;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,39 +1,40 @@
-//! A member's identity, and what is known of its state.
+//! A member's identity, and its state as other members know it.
 
 use crate::name::Name;
 use foca::{Identity, State};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Members that are known at most, failed and departed ones included. Messages that name more are
-/// dropped.
+/// Maximum number of known members, failed and departed ones included. Messages that would exceed
+/// it are dropped.
 pub(crate) const MAX_MEMBERS: usize = 4096;
-/// Longest name of a member, bytes.
+/// Maximum length of a member's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Longest name of a zone, bytes.
+/// Maximum length of a zone's name, in bytes.
 pub const MAX_ZONE_BYTES: usize = 32;
 
-/// A member as it describes itself. Two are equal if their names and generations are. The order of
-/// the fields is the order on the wire.
+/// A member's identity, as the member itself announces it. Two are equal if their names and
+/// generations are. The fields are encoded in this order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name, the same after a restart.
+    /// The name of the member, which stays the same after a restart.
     pub name: Name,
-    /// Orders the processes that had this name: it grows with each start, and each time that a
-    /// process rejoins after it was declared failed. The highest one holds the name.
+    /// Orders the processes that had this name. It grows with each start, and each time that a
+    /// process rejoins after it was declared failed. The process with the highest generation holds
+    /// the name.
     pub generation: u64,
-    /// Drawn at random at each start: distinguishes a process that rejoined from another one under
-    /// the same name.
+    /// A random number, new at each start. It distinguishes a process that rejoined from another
+    /// process under the same name.
     pub instance_id: u64,
-    /// The address that it advertises.
+    /// The address that the member advertises.
     pub address: SocketAddr,
-    /// Its zone, empty if it has none.
+    /// The zone of the member; empty if it has none.
     pub zone: String,
-    /// The version of the messages that it speaks.
+    /// The protocol version that the member speaks.
     pub version: u16,
-    /// Whether it may hold replicas for others.
+    /// Whether the member may hold replicas for other members.
     pub may_hold_replicas: bool,
-    /// It is leaving by its own choice.
+    /// Whether the member is leaving voluntarily.
     pub leaving: bool,
 }
 
@@ -46,7 +47,7 @@
 impl Eq for Member {}
 
 impl Member {
-    /// A member of which only the name and an address are known: enough to contact it.
+    /// A member of which only the name and the address are known, which is enough to contact it.
     pub fn at_address(name: &str, address: SocketAddr) -> Member {
         Member {
             name: name.into(),
@@ -60,15 +61,16 @@
         }
     }
 
-    /// Whether the lengths of its name and zone are within their limits.
+    /// Whether the lengths of the name and the zone are within their limits.
     pub(crate) fn has_valid_names(&self) -> bool {
         (1..=MAX_NAME_BYTES).contains(&self.name.len()) && self.zone.len() <= MAX_ZONE_BYTES
     }
 }
 
 impl Identity for Member {
-    // Two names with the same hash would count as one member. Among 4,096 names the chance of that
-    // is one in 10^12, which a hint can bear.
+    // The hash of the name. Two names with the same hash would count as one member. Among 4,096
+    // names the chance of that is one in 10^12, which is acceptable because membership is only a
+    // hint.
     type Addr = u64;
 
     fn renew(&self) -> Option<Self> {
@@ -87,15 +89,15 @@
     }
 }
 
-/// The state of a member as the protocol spreads it. The order of the variants is their number on
-/// the wire.
+/// The state of a member that the protocol disseminates. The order of the variants is their number
+/// on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It is present.
+    /// The member is alive.
     Alive,
-    /// It did not answer a probe, and may still refute the suspicion.
+    /// The member did not answer a probe, and may still refute the suspicion.
     Suspect,
-    /// It failed or left.
+    /// The member failed or left.
     Down,
 }
 
@@ -119,15 +121,15 @@
     }
 }
 
-/// A member with its state, as members exchange it. The order of the fields is the order on the
-/// wire.
+/// A member with its state, as members send it to each other. The fields are encoded in this order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member.
+    /// The member that the update is about.
     pub member: Member,
-    /// The incarnation that the state belongs to: a member refutes a suspicion by a higher one.
+    /// The incarnation that the state belongs to. A member refutes a suspicion by announcing a
+    /// higher incarnation.
     pub incarnation: u16,
-    /// Its state.
+    /// The state of the member in this incarnation.
     pub state: MemberState,
 }
 
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: now and then two members compare all that they know, which mends what gossip has
-//! missed, and members that are missing from the view are contacted anew.
+//! Anti-entropy: at intervals, two members exchange all that they know of the fleet, which repairs
+//! what gossip has missed. Members that are missing from the view are contacted again.
 
 use super::{Membership, TimerEvent};
 use crate::effect::Effect;
@@ -9,53 +9,55 @@
 use serde::{Deserialize, Serialize};
 use std::hash::{Hash, Hasher};
 
-/// Members that a process which knows nobody contacts at a time.
+/// Number of members that a process contacts at a time while no other member is present in its
+/// view.
 const CONTACTS_WHEN_ALONE: usize = 2;
-/// By how much the time between two comparisons grows until it reaches its limit.
+/// Factor by which the interval between two exchanges grows until it reaches its limit.
 const INTERVAL_GROWTH: f64 = 2.0;
 
-/// A message of a comparison. The order of the variants is their number on the wire.
+/// An anti-entropy message. The order of the variants is their number on the wire.
 #[derive(Serialize, Deserialize)]
-pub(super) enum ComparisonMessage {
-    /// The digest of what the sender knows. A receiver with the same one does not reply.
+pub(super) enum AntiEntropyMessage {
+    /// The digest of the members that the sender knows to be present. A receiver with the same
+    /// digest does not reply.
     Digest(u64),
-    /// What the sender knows of members. The order of the fields is the order on the wire.
+    /// The states of members as the sender knows them. The fields are encoded in this order.
     Updates {
-        /// The updates.
+        /// One update for each member.
         updates: Vec<MemberUpdate>,
-        /// Whether the receiver is to send its own updates back.
+        /// Whether the receiver has to send its own updates back.
         reply_wanted: bool,
     },
 }
 
-impl ComparisonMessage {
-    /// The message as it is written.
+impl AntiEntropyMessage {
+    /// Encodes the message.
     pub(super) fn encode(&self) -> Vec<u8> {
-        // Plain values in memory can always be written.
+        // Encoding plain values into a vector cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 }
 
-/// What handling a message of a comparison came to.
+/// The result of handling an anti-entropy message.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ComparisonOutcome {
-    /// What is to be done.
+pub struct AntiEntropyOutcome {
+    /// The actions that the caller has to carry out.
     pub effects: Vec<Effect>,
-    /// What is to be sent back to the sender, if anything.
+    /// The message to send back to the sender, if any.
     pub reply: Option<Vec<u8>>,
 }
 
 impl Membership {
-    /// Handles a message of a comparison that came at `now`. A malformed one, and one that names
-    /// more members than can be known, is counted and dropped.
-    pub fn handle_comparison(&mut self, now: Millis, bytes: &[u8]) -> ComparisonOutcome {
+    /// Handles an anti-entropy message that arrived at `now`. A message that is malformed, or would
+    /// exceed the limit on known members, is counted and dropped.
+    pub fn handle_anti_entropy(&mut self, now: Millis, bytes: &[u8]) -> AntiEntropyOutcome {
         self.advance(now);
         if self.defunct {
-            return ComparisonOutcome::default();
+            return AntiEntropyOutcome::default();
         }
         match postcard::from_bytes(bytes) {
-            Ok(ComparisonMessage::Digest(digest)) => self.handle_digest(digest),
-            Ok(ComparisonMessage::Updates {
+            Ok(AntiEntropyMessage::Digest(digest)) => self.handle_digest(digest),
+            Ok(AntiEntropyMessage::Updates {
                 updates,
                 reply_wanted,
             }) if updates.len() <= MAX_MEMBERS && self.has_capacity(&updates) => {
@@ -63,17 +65,17 @@
             }
             _ => {
                 self.counters.malformed += 1;
-                ComparisonOutcome::default()
+                AntiEntropyOutcome::default()
             }
         }
     }
 
-    fn handle_digest(&mut self, digest: u64) -> ComparisonOutcome {
+    fn handle_digest(&mut self, digest: u64) -> AntiEntropyOutcome {
         if digest == self.digest() {
-            return ComparisonOutcome::default();
+            return AntiEntropyOutcome::default();
         }
         self.counters.digest_mismatches += 1;
-        ComparisonOutcome {
+        AntiEntropyOutcome {
             effects: Vec::new(),
             reply: Some(self.encode_updates(true)),
         }
@@ -83,11 +85,11 @@
         &mut self,
         updates: Vec<MemberUpdate>,
         reply_wanted: bool,
-    ) -> ComparisonOutcome {
+    ) -> AntiEntropyOutcome {
         let mut effects = Vec::new();
         self.defend_name(updates.iter(), &mut effects);
         if self.defunct {
-            return ComparisonOutcome {
+            return AntiEntropyOutcome {
                 effects,
                 reply: None,
             };
@@ -97,10 +99,10 @@
             foca.apply_many(members, true, output)
         });
         let reply = reply_wanted.then(|| self.encode_updates(false));
-        ComparisonOutcome { effects, reply }
+        AntiEntropyOutcome { effects, reply }
     }
 
-    /// Schedules the next comparison; one that is scheduled already is void.
+    /// Schedules the next exchange, in place of the one that is scheduled already.
     pub(super) fn schedule_anti_entropy(&mut self) {
         self.anti_entropy_round += 1;
         let after = self.jitter(self.anti_entropy_interval);
@@ -109,9 +111,9 @@
             .schedule(after, TimerEvent::AntiEntropy { round });
     }
 
-    /// Schedules a comparison for when the update of a change has had time to reach all members:
-    /// this process may have missed others of the same cause.
-    pub(super) fn hasten_comparison(&mut self) {
+    /// Brings the next exchange forward to the time by which the update of a change has most likely
+    /// reached all members: this process may have missed other updates with the same cause.
+    pub(super) fn hasten_anti_entropy(&mut self) {
         let soon = self.timing.dissemination_time();
         if self.anti_entropy_interval > soon {
             self.anti_entropy_interval = soon;
@@ -119,13 +121,13 @@
         }
     }
 
-    /// Compares with a member that is present, drawn at random.
-    pub(super) fn start_comparison(&mut self, round: u64, effects: &mut Vec<Effect>) {
+    /// Starts an exchange with a present member that is chosen at random, unless `round` is stale.
+    pub(super) fn start_anti_entropy(&mut self, round: u64, effects: &mut Vec<Effect>) {
         if round != self.anti_entropy_round {
             return;
         }
-        let longer = self.anti_entropy_interval * INTERVAL_GROWTH;
-        self.anti_entropy_interval = longer.min(self.timing.anti_entropy_interval);
+        let next_interval = self.anti_entropy_interval * INTERVAL_GROWTH;
+        self.anti_entropy_interval = next_interval.min(self.timing.anti_entropy_interval);
         self.schedule_anti_entropy();
         let local = self.local_member().name.clone();
         let others = self
@@ -138,8 +140,9 @@
         }
     }
 
-    /// Contacts a member that should be present and is not: one that is configured, or failed of
-    /// late. A process that is alone contacts more of them, and more often.
+    /// Contacts a member that should be present and is not: one that is configured or failed
+    /// recently. A process that knows no other present member contacts more members, and more
+    /// often.
     pub(super) fn reconnect(&mut self, effects: &mut Vec<Effect>) {
         let now = self.timers.now();
         let retention = self.timing.failed_retention;
@@ -155,14 +158,15 @@
         let next = self.jitter(interval);
         self.timers.schedule(next, TimerEvent::Reconnect);
         let contacts = if alone { CONTACTS_WHEN_ALONE } else { 1 };
-        for member in self.draw_missing(contacts) {
+        for member in self.sample_missing_members(contacts) {
             effects.push(self.send_digest(member.clone()));
             self.run_protocol(effects, |foca, output| foca.announce(member, output));
         }
     }
 
-    /// Draws members that are configured or failed of late, and are not present.
-    fn draw_missing(&mut self, count: usize) -> Vec<Member> {
+    /// Chooses up to `count` members at random that are configured or failed recently, and are not
+    /// present.
+    fn sample_missing_members(&mut self, count: usize) -> Vec<Member> {
         let failed = self
             .view
             .failed
@@ -174,22 +178,22 @@
     }
 
     fn send_digest(&self, to: Member) -> Effect {
-        Effect::SendComparison {
+        Effect::SendAntiEntropy {
             to,
-            bytes: ComparisonMessage::Digest(self.digest()).encode(),
+            bytes: AntiEntropyMessage::Digest(self.digest()).encode(),
         }
     }
 
-    /// The message with all that is known.
+    /// Encodes a message with the states of all known members.
     fn encode_updates(&self, reply_wanted: bool) -> Vec<u8> {
-        let message = ComparisonMessage::Updates {
+        let message = AntiEntropyMessage::Updates {
             updates: self.updates(),
             reply_wanted,
         };
         message.encode()
     }
 
-    /// All that is known: every member with its state, and this process.
+    /// The states of all known members, and of this process while it participates.
     fn updates(&self) -> Vec<MemberUpdate> {
         let local = MemberUpdate::alive(self.local_member().clone());
         let others = self
@@ -199,8 +203,8 @@
         others.chain((!self.defunct).then_some(local)).collect()
     }
 
-    /// A hash of the members that are present. Suspicions come and go, and members that are down
-    /// are forgotten at different times: neither counts.
+    /// Hashes the members that are present. Suspicions are left out because they come and go, and
+    /// members that are down because each process forgets them at a different time.
     fn digest(&self) -> u64 {
         let mut known: Vec<(&str, u64)> = self
             .foca
--- a/crates/membership/src/membership/datagram.rs
+++ b/crates/membership/src/membership/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams that come in.
+//! The handling of received datagrams.
 
 use super::Membership;
 use crate::effect::{Change, Effect};
@@ -9,8 +9,8 @@
 use std::collections::HashSet;
 
 impl Membership {
-    /// Handles a datagram that came at `now`. A malformed one, and one that names more members than
-    /// can be known, is counted and dropped.
+    /// Handles a datagram that arrived at `now`. A datagram that is malformed, or would exceed the
+    /// limit on known members, is counted and dropped.
     pub fn handle_datagram(&mut self, now: Millis, bytes: &[u8]) -> Vec<Effect> {
         self.advance(now);
         let mut effects = Vec::new();
@@ -42,18 +42,19 @@
         effects
     }
 
-    /// Records what a datagram says of its sender's health and of this process's own.
+    /// Records what a datagram shows of its sender's health and of this process's own.
     fn record_sender(&mut self, datagram: &Datagram) {
         self.health.record_datagram();
         match datagram.header.message {
             Message::Ack(_) | Message::ForwardedAck { .. } => self.health.record_ack(),
-            // The reply to an announcement, by which suspected members are probed.
+            // The reply to an announcement. Suspected members are probed by announcements.
             Message::Feed => self.record_answer(&datagram.header.src.name),
             _ => {}
         }
     }
 
-    /// Whether all the members that are named can be known beside those that are.
+    /// Whether the members that are named can all be known, together with those that are known
+    /// already.
     pub(super) fn has_capacity(&self, updates: &[MemberUpdate]) -> bool {
         let known = self.foca.iter_membership_state().len();
         if known + updates.len() <= MAX_MEMBERS {
--- a/crates/membership/src/membership/local_name.rs
+++ b/crates/membership/src/membership/local_name.rs
@@ -1,16 +1,16 @@
-//! The name of this process against others that claim it.
+//! Conflicts between processes that claim the name of this one.
 
 use super::Membership;
 use crate::effect::{Change, Effect};
 use crate::member::{Member, MemberState, MemberUpdate};
 
-/// By how much being suspected raises the local health score.
+/// Increase of the local health score when this process is suspected by another.
 const SUSPECTED_PENALTY: u32 = 1;
 
 impl Membership {
-    /// Defends the name of this process. A process that starts takes the name over from whichever
-    /// had it, once; of two that run, the one that started later keeps it. All others settle it in
-    /// the same way, by the higher generation.
+    /// Defends the name of this process. A process that starts takes the name over, once, from the
+    /// process that had it. Of two processes that both run, the one that started later keeps the
+    /// name. All other members settle the conflict in the same way, by the higher generation.
     pub(super) fn defend_name<'a>(
         &mut self,
         updates: impl Iterator<Item = &'a MemberUpdate>,
@@ -53,8 +53,8 @@
         });
     }
 
-    /// Whether another process that runs under this name keeps it. Two that take it from each other
-    /// at the same time would go on for ever: the drawn instance ids decide between them.
+    /// Whether another process that runs under this name keeps it. Two processes that take the name
+    /// from each other at the same time would go on forever, so their random instance ids decide.
     fn must_yield_name(&self, local: &Member, other: &Member) -> bool {
         let active_time = self.timers.active_time();
         let settled = active_time > self.timing.name_takeover_window || self.name_taken_over;
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! The core: datagrams, comparison messages and the time go in; what is to be sent, and what
-//! changed, come out.
+//! The membership protocol: datagrams, anti-entropy messages and the time go in; what has to be
+//! sent, and what has changed, come out.
 
 mod anti_entropy;
 mod datagram;
@@ -22,24 +22,24 @@
 use std::collections::BTreeMap;
 use suspicion::{Suspicion, SuspicionKey};
 
-pub use anti_entropy::ComparisonOutcome;
+pub use anti_entropy::AntiEntropyOutcome;
 
-/// By how much a stall raises the local health score.
+/// Increase of the local health score at each stall.
 const STALL_PENALTY: u32 = 2;
 
 #[derive(Debug)]
 enum TimerEvent {
     /// A timer of the protocol library.
     Protocol(Timer<Member>),
-    /// Try to reach members that are missing from the view.
+    /// Contact members that are missing from the view.
     Reconnect,
-    /// Compare with a random member, unless a comparison was scheduled since this one.
+    /// Start an anti-entropy exchange with a random member, unless another one was scheduled since.
     AntiEntropy { round: u64 },
-    /// Probe a member that is suspected in this incarnation once more.
+    /// Probe a member again that is suspected in this incarnation.
     ProbeSuspect { member: Member, incarnation: u16 },
 }
 
-/// Membership as one process of the fleet sees it.
+/// The membership of a fleet, as one of its processes knows it.
 ///
 /// It reads no clock and owns no socket: the caller passes the time into each call, carries out the
 /// [`Effect`]s that a call returns, and calls [`Membership::tick`] when
@@ -50,25 +50,27 @@
     load_reporter: LoadReporter,
     timing: Timing,
     rng: StdRng,
-    /// Where members may be by the configuration, whether they are known or not.
+    /// Members that are configured with their addresses, whether they are known or not.
     configured_peers: Vec<Member>,
     view: View,
     counters: Counters,
     timers: Timers<TimerEvent>,
     health: LocalHealth,
-    /// Suspicions of this process's own that have not run out.
+    /// Suspicions whose timeout is running in this process.
     suspicions: BTreeMap<SuspicionKey, Suspicion>,
-    /// Whether it has taken its name from a process that seemed alive.
+    /// Whether this process has taken its name over from a process that appeared to be alive.
     name_taken_over: bool,
     defunct: bool,
     anti_entropy_interval: Millis,
-    /// The round of the comparison that is scheduled; timers of earlier ones are stale.
+    /// The round of the anti-entropy exchange that is scheduled. Timers of earlier rounds are
+    /// stale.
     anti_entropy_round: u64,
 }
 
 impl Membership {
-    /// A process that starts at `now` in a fleet of about `size` members, as `local`, and is
-    /// configured with where others may be. `seed` is its only source of randomness.
+    /// Creates the membership of a process that starts at `now` as `local`, in a fleet of about
+    /// `size` members. `configured_peers` are members that it can contact first. `seed` is the only
+    /// source of randomness.
     pub fn new(
         now: Millis,
         local: Member,
@@ -105,19 +107,19 @@
             defunct: false,
             anti_entropy_round: 0,
         };
-        // The first attempt is made at once; of many processes that start together each draws whom
-        // it contacts.
+        // Missing members are contacted at once. Of many processes that start together, each
+        // chooses at random whom it contacts.
         membership.timers.schedule(0.0, TimerEvent::Reconnect);
         membership.schedule_anti_entropy();
         membership
     }
 
-    /// This process as others know it.
+    /// This process, as other members know it.
     pub fn local_member(&self) -> &Member {
         self.foca.identity()
     }
 
-    /// Which members seem present.
+    /// Which members appear to be alive.
     pub fn view(&self) -> &View {
         &self.view
     }
@@ -127,23 +129,25 @@
         self.counters
     }
 
-    /// Lifeguard's local health score, from 0 (healthy) to 8: probe intervals and suspicion
-    /// timeouts are this many and one times their length.
+    /// Lifeguard's local health score, from 0 (healthy) to 8. Probe intervals and suspicion
+    /// timeouts are multiplied by the score plus one.
     pub fn health_score(&self) -> u32 {
         self.health.score()
     }
 
-    /// Whether it takes part no more: it left, or another process has its name.
+    /// Whether this process no longer participates: it left, or another process holds its name.
     pub fn is_defunct(&self) -> bool {
         self.defunct
     }
 
-    /// The load that a member reported last, in thousandths of its capacity.
+    /// The load that a member reported last, in thousandths of its capacity; `None` if no report
+    /// has arrived.
     pub fn load_of(&self, name: &str) -> Option<u16> {
         self.loads.load_of(name)
     }
 
-    /// When [`Membership::tick`] is to be called next, on the caller's clock.
+    /// When [`Membership::tick`] has to be called next, on the caller's clock; `None` if no timer
+    /// is set.
     pub fn next_deadline(&self) -> Option<Millis> {
         self.timers.next_deadline()
     }
@@ -159,7 +163,7 @@
             match event {
                 TimerEvent::Protocol(timer) => self.handle_protocol_timer(timer, &mut effects),
                 TimerEvent::Reconnect => self.reconnect(&mut effects),
-                TimerEvent::AntiEntropy { round } => self.start_comparison(round, &mut effects),
+                TimerEvent::AntiEntropy { round } => self.start_anti_entropy(round, &mut effects),
                 TimerEvent::ProbeSuspect {
                     member,
                     incarnation,
@@ -169,8 +173,8 @@
         effects
     }
 
-    /// Reports how busy this process is, in thousandths of its capacity, if a report is due. It
-    /// goes out with the datagrams that follow. A load that does not change is repeated seldom.
+    /// Reports how busy this process is, in thousandths of its capacity, if a report is due. The
+    /// report is sent with the datagrams that follow. An unchanged load is repeated rarely.
     pub fn report_load(&mut self, now: Millis, load: u16) {
         let members = self.view.present.len();
         let local = self.foca.identity();
@@ -178,12 +182,12 @@
             return;
         };
         if let Ok(bytes) = postcard::to_stdvec(&report) {
-            // It is short and newer than the one before, so it is always accepted.
+            // The report is short and newer than the previous one, so it is always accepted.
             let _ = self.foca.add_broadcast(&bytes);
         }
     }
 
-    /// Leaves by its own choice: it notifies some members, which notify the others.
+    /// Leaves the fleet voluntarily: notifies some members, which notify the others.
     pub fn leave(&mut self, now: Millis) -> Vec<Effect> {
         self.advance(now);
         let mut effects = Vec::new();
@@ -204,8 +208,8 @@
         effects
     }
 
-    /// Moves the time on. A stall counts against this process, not against those that it could not
-    /// hear.
+    /// Advances the time. A stall raises the local health score of this process: it counts against
+    /// this process, not against the members whose messages were not handled meanwhile.
     fn advance(&mut self, now: Millis) {
         let progress = self.timers.advance(now, self.timing.timer_tolerance);
         if progress == Progress::Stalled {
@@ -214,8 +218,8 @@
         }
     }
 
-    /// Draws a span between a half and one and a half of `span`, so that processes which start
-    /// together do not stay in step.
+    /// Returns a random span between 0.5 and 1.5 times `span`, so that processes that start
+    /// together do not stay synchronized.
     fn jitter(&mut self, span: Millis) -> Millis {
         span * self.rng.random_range(0.5..1.5)
     }
--- a/crates/membership/src/membership/protocol.rs
+++ b/crates/membership/src/membership/protocol.rs
@@ -1,5 +1,5 @@
-//! The protocol library's side: its calls, and what it asks for turned into effects, timers and
-//! changes of the view.
+//! The interface to the protocol library `foca`: calls the library, and turns its output into
+//! effects, timers and changes of the view.
 
 use super::{Membership, TimerEvent};
 use crate::effect::{Change, Effect};
@@ -12,43 +12,43 @@
 use rand::rngs::StdRng;
 use std::time::Duration;
 
-/// A datagram that the protocol wants sent.
+/// A datagram that the library asks to send.
 struct OutgoingDatagram {
     to: Member,
     bytes: Bytes,
 }
 
-/// A timer that the protocol wants set.
+/// A timer that the library asks to set.
 struct RequestedTimer {
     timer: Timer<Member>,
     after: Duration,
 }
 
-/// A change that the protocol reports.
-enum Notice {
+/// A change that the library reports.
+enum ProtocolEvent {
     Up(Member),
     Down(Member),
-    /// A member that is active changed its identity.
+    /// An active member changed its identity.
     Renamed(Member),
     /// This process was declared failed and rejoined.
     Rejoined,
 }
 
-/// Collects what one call of the protocol asks for.
+/// Collects the output of one call of the library.
 #[derive(Default)]
 pub(super) struct ProtocolOutput {
     datagrams: Vec<OutgoingDatagram>,
     timers: Vec<RequestedTimer>,
-    notices: Vec<Notice>,
+    events: Vec<ProtocolEvent>,
 }
 
 impl Runtime<Member> for ProtocolOutput {
     fn notify(&mut self, notification: Notification<'_, Member>) {
-        self.notices.push(match notification {
-            Notification::MemberUp(member) => Notice::Up(member.clone()),
-            Notification::MemberDown(member) => Notice::Down(member.clone()),
-            Notification::Rename(_, member) => Notice::Renamed(member.clone()),
-            Notification::Rejoin(_) => Notice::Rejoined,
+        self.events.push(match notification {
+            Notification::MemberUp(member) => ProtocolEvent::Up(member.clone()),
+            Notification::MemberDown(member) => ProtocolEvent::Down(member.clone()),
+            Notification::Rename(_, member) => ProtocolEvent::Renamed(member.clone()),
+            Notification::Rejoin(_) => ProtocolEvent::Rejoined,
             Notification::Active | Notification::Idle | Notification::Defunct => return,
         });
     }
@@ -63,7 +63,7 @@
     }
 }
 
-/// Whether an error of the protocol means that the bytes which it was given are malformed.
+/// Whether an error of the library means that the bytes it was given are malformed.
 fn is_malformed(error: &foca::Error) -> bool {
     use foca::Error::{CustomBroadcast, DataTooBig, Decode, IndirectForOurselves, MalformedPacket};
     matches!(
@@ -73,18 +73,18 @@
 }
 
 impl Membership {
-    /// Lets the protocol act, and turns what it asks for into effects, timers and changes.
+    /// Calls the library, and turns its output into effects, timers and changes of the view.
     pub(super) fn run_protocol(
         &mut self,
         effects: &mut Vec<Effect>,
-        act: impl FnOnce(
+        call: impl FnOnce(
             &mut Foca<Member, PostcardCodec, StdRng, LoadTable>,
             &mut ProtocolOutput,
         ) -> Result<(), foca::Error>,
     ) {
         let generation = self.local_member().generation;
         let mut output = ProtocolOutput::default();
-        let result = act(&mut self.foca, &mut output);
+        let result = call(&mut self.foca, &mut output);
         if result.is_err_and(|error| is_malformed(&error)) {
             self.counters.malformed += 1;
         }
@@ -99,8 +99,8 @@
         for requested in output.timers {
             self.schedule_protocol_timer(requested);
         }
-        for notice in output.notices {
-            self.apply_notice(notice, effects);
+        for event in output.events {
+            self.apply_protocol_event(event, effects);
         }
         if self.local_member().generation != generation {
             let local = self.local_member().clone();
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Handles a timer of the protocol that is due.
+    /// Handles a timer of the library that is due.
     pub(super) fn handle_protocol_timer(
         &mut self,
         timer: Timer<Member>,
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Sets a timer of the protocol. The worse the local health, the later probes and the ends of
-    /// suspicions are.
+    /// Sets a timer of the library. The worse the local health, the later probes are sent and
+    /// suspicions time out.
     fn schedule_protocol_timer(&mut self, requested: RequestedTimer) {
         let multiplier = match requested.timer {
             Timer::ProbeRandomMember(_)
@@ -138,12 +138,12 @@
         }
     }
 
-    fn apply_notice(&mut self, notice: Notice, effects: &mut Vec<Effect>) {
-        let change = match notice {
-            Notice::Up(member) => Some(self.add_member(member)),
-            Notice::Renamed(member) => self.replace_member(member),
-            Notice::Down(member) => self.remove_member(member),
-            Notice::Rejoined => {
+    fn apply_protocol_event(&mut self, event: ProtocolEvent, effects: &mut Vec<Effect>) {
+        let change = match event {
+            ProtocolEvent::Up(member) => Some(self.add_member(member)),
+            ProtocolEvent::Renamed(member) => self.replace_member(member),
+            ProtocolEvent::Down(member) => self.remove_member(member),
+            ProtocolEvent::Rejoined => {
                 self.counters.rejoins += 1;
                 None
             }
@@ -153,7 +153,7 @@
         };
         self.view.revision += 1;
         effects.push(Effect::Changed(change));
-        self.hasten_comparison();
+        self.hasten_anti_entropy();
     }
 
     fn add_member(&mut self, member: Member) -> Change {
@@ -164,7 +164,8 @@
         Change::Joined(member)
     }
 
-    /// Takes in an active member's new generation: it was restarted before anybody missed it.
+    /// Replaces an active member by its new generation: the process was restarted before its
+    /// failure was detected.
     fn replace_member(&mut self, member: Member) -> Option<Change> {
         let known = self.view.present.get_mut(&member.name)?;
         if member.leaving {
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -1,7 +1,7 @@
-//! Suspicions: a member that did not answer a probe may refute the suspicion for a time, and is
-//! probed meanwhile.
+//! Suspicions: a member that did not answer a probe may refute the suspicion until a timeout, and
+//! is probed again meanwhile.
 
-use super::anti_entropy::ComparisonMessage;
+use super::anti_entropy::AntiEntropyMessage;
 use super::{Membership, TimerEvent};
 use crate::effect::Effect;
 use crate::member::{Member, MemberState, MemberUpdate};
@@ -9,10 +9,9 @@
 use crate::timing::Millis;
 use foca::Timer;
 
-/// Which incarnation of a member is suspected: the one in which it did not answer.
+/// Identifies a suspicion: the member, and the incarnation in which it did not answer.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SuspicionKey {
-    /// The member's name.
     pub name: Name,
     generation: u64,
     incarnation: u16,
@@ -28,16 +27,16 @@
     }
 }
 
-/// A suspicion that has not run out.
+/// A suspicion that has not timed out.
 #[derive(Debug, Default)]
 pub(super) struct Suspicion {
-    /// Whether the member has answered since.
+    /// Whether the member has answered since the suspicion began.
     pub answered: bool,
 }
 
 impl Membership {
-    /// Starts the time in which a member may refute a suspicion, and probes it until it answers. A
-    /// member that is suspected once more in the same incarnation has its time already.
+    /// Starts the timeout until which a member may refute a suspicion, and probes the member until
+    /// it answers. If the same incarnation is suspected already, the timeout that is running stays.
     pub(super) fn start_suspicion(&mut self, timer: Timer<Member>, timeout: Millis) {
         let Timer::ChangeSuspectToDown {
             member_id,
@@ -62,7 +61,7 @@
         self.timers.schedule(timeout, TimerEvent::Protocol(timer));
     }
 
-    /// Probes a suspected member once more, unless it has answered or refuted the suspicion.
+    /// Probes a suspected member again, unless it has answered or refuted the suspicion.
     pub(super) fn probe_suspect(
         &mut self,
         member: Member,
@@ -85,10 +84,10 @@
         self.timers.schedule(self.timing.probe_timeout, next);
     }
 
-    /// Whether a timer is the end of a suspicion that must not lead to a failure. A member that
-    /// answered meanwhile is present and its refutation has yet to come: it gets the suspicion
-    /// timeout once more and is notified of the suspicion, as that message may have been lost. Only
-    /// an answer counts: a member that sends but receives nothing is of no use.
+    /// Whether `timer` is the end of a suspicion that must not lead to a failure. A member that has
+    /// answered meanwhile is alive, but its refutation has not arrived yet. Its suspicion timeout
+    /// starts again, and it is notified of the suspicion, because the first notification may have
+    /// been lost. Only an answer counts: a member that sends but receives nothing is of no use.
     pub(super) fn extend_suspicion(
         &mut self,
         timer: &Timer<Member>,
@@ -106,9 +105,10 @@
             .suspicions
             .remove(&SuspicionKey::new(member_id, *incarnation));
         if !self.suspects(member_id, *incarnation) {
-            // It has refuted the suspicion. The protocol library would find the timer stale and
-            // notify the member of its failure all the same, as it asks only whether the member is
-            // known: the member would rejoin under a new generation for nothing.
+            // The member has refuted the suspicion. The protocol library would find the timer
+            // stale, but notify the member of its failure all the same, because it checks only
+            // whether the member is known. The member would then rejoin under a new generation
+            // without need.
             return true;
         }
         let answered = removed.is_some_and(|suspicion| suspicion.answered);
@@ -119,11 +119,11 @@
                 incarnation: *incarnation,
                 state: MemberState::Suspect,
             };
-            let message = ComparisonMessage::Updates {
+            let message = AntiEntropyMessage::Updates {
                 updates: vec![update],
                 reply_wanted: false,
             };
-            effects.push(Effect::SendComparison {
+            effects.push(Effect::SendAntiEntropy {
                 to: member_id.clone(),
                 bytes: message.encode(),
             });
@@ -131,7 +131,7 @@
         answered
     }
 
-    /// Records that a member answered: all suspicions of it are.
+    /// Records that a member answered, in all suspicions of that member.
     pub(super) fn record_answer(&mut self, name: &Name) {
         for (key, suspicion) in &mut self.suspicions {
             if key.name == *name {
--- a/crates/membership/src/name.rs
+++ b/crates/membership/src/name.rs
@@ -6,8 +6,8 @@
 use std::ops::Deref;
 use std::sync::Arc;
 
-/// A member's name. The protocol library compares the sender and every member of each datagram with
-/// all that it knows, so the hash that it compares is computed once and kept here.
+/// A member's name. For each datagram, the protocol library compares the hash of the sender and of
+/// every member in it with those of all known members, so the hash is computed once and stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Arc<str>", into = "Arc<str>")]
 pub struct Name {
@@ -53,8 +53,8 @@
     }
 }
 
-// Names are ordered as their text is: every process lists them in the same order, and a map keyed
-// by them can be read with a `&str`.
+// Names are ordered by their text alone, so that every process lists them in the same order and a
+// map with names as keys can be searched with a `&str`.
 impl Ord for Name {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.text.cmp(&other.text)
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -1,10 +1,10 @@
-//! Any number of members in one process, on a simulated network: what the tests and the figures
-//! run.
+//! A deterministic simulation of a fleet: any number of members in one process, on a simulated
+//! network. The tests and the published measurements run on it.
 //!
-//! Time is simulated and nothing waits. All randomness comes from one seed, so a seed replays the
+//! Time is simulated, so nothing waits. All randomness comes from one seed, so a seed replays the
 //! same run. Between two members a datagram can be delayed, lost, duplicated, corrupted or
-//! replayed, and a link can be blocked; a member can be killed, paused, restarted, or started under
-//! another's name.
+//! replayed, and a link can be blocked. A member can be killed, paused, restarted, or started under
+//! another member's name.
 
 mod network;
 mod node;
@@ -22,19 +22,20 @@
 
 pub use network::{DelayRange, Link, NetworkConditions};
 
-/// Simulated time between two checks of the condition of [`Simulation::run_while`].
+/// Simulated time between two checks of the condition of [`Simulation::run_while`], in
+/// milliseconds.
 const CHECK_INTERVAL: Millis = 250.0;
-/// Generation of a member that starts when the simulated clock is at zero.
+/// Generation of a member that starts at simulated time 0.
 const FIRST_GENERATION: f64 = 1_000_000.0;
-/// Members below this index may hold replicas.
+/// Number of nodes whose members may hold replicas: those with an index below it.
 const REPLICA_HOLDERS: usize = 3;
-/// Zones that members are spread over.
+/// Number of zones that members are spread over.
 const ZONES: usize = 3;
 
 /// A change that a member reported.
 #[derive(Clone, Debug)]
 pub struct ObservedChange {
-    /// When it was reported, in simulated time.
+    /// When the change was reported, in simulated time.
     pub at: Millis,
     /// The node whose member reported it.
     pub observer: usize,
@@ -42,24 +43,24 @@
     pub change: Change,
 }
 
-/// Datagrams that were sent, and their bytes.
+/// Number and total length of the datagrams that were sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Bytes of these datagrams.
+    /// Total length of the datagrams, in bytes.
     pub bytes: u64,
 }
 
-/// What happens at a node.
+/// An event at a node.
 #[derive(Clone, Debug)]
 enum Event {
     /// The member's timers are due.
     Tick,
     /// A datagram arrives.
     Datagram(Vec<u8>),
-    /// A message of a comparison arrives.
-    Comparison { from: usize, bytes: Vec<u8> },
+    /// An anti-entropy message arrives.
+    AntiEntropy { from: usize, bytes: Vec<u8> },
 }
 
 #[derive(Clone, Debug)]
@@ -68,26 +69,26 @@
     event: Event,
 }
 
-/// A fleet in simulated time. Its nodes are numbered from 0; each has a name and an address, and
-/// runs at most one member.
+/// A simulated fleet. Its nodes are numbered from 0. Each node has a name and an address, and runs
+/// at most one member.
 pub struct Simulation {
-    /// The simulated time.
+    /// The current simulated time.
     pub now: Millis,
     /// The conditions on every link.
     pub network: NetworkConditions,
-    /// Links on which nothing passes.
+    /// Links that deliver nothing.
     pub blocked_links: BTreeSet<Link>,
-    /// Changes, in the order in which they were reported.
+    /// All reported changes, in the order in which they were reported.
     pub observed_changes: Vec<ObservedChange>,
-    /// Bytes of comparison messages that were sent.
-    pub comparison_bytes: u64,
-    /// Datagrams that were dropped as their checksum did not match.
+    /// Total length of the anti-entropy messages that were sent, in bytes.
+    pub anti_entropy_bytes: u64,
+    /// Number of datagrams that were dropped because their checksum did not match.
     pub corrupted_datagrams: u64,
-    /// What a wall clock shows beyond the simulated time when a member is started: negative if it
-    /// was set back.
+    /// Offset of the wall clock from the simulated time when a member is started; negative if the
+    /// clock was set back.
     pub wall_clock_offset: Millis,
     nodes: Vec<Node>,
-    /// The node that receives what is sent to an address.
+    /// The node that receives what is sent to each address.
     nodes_by_address: BTreeMap<SocketAddr, usize>,
     timing: Timing,
     events: TimeQueue<ScheduledEvent>,
@@ -95,8 +96,9 @@
 }
 
 impl Simulation {
-    /// A fleet of `count` nodes, none of which is started. Each is configured with `peers_each`
-    /// others drawn at random, or with all of them if that is as many.
+    /// Creates a fleet of `count` nodes, none of which runs a member yet. Each node is configured
+    /// with `peers_each` other nodes that are chosen at random, or with all of them if there are no
+    /// more.
     pub fn new(
         count: usize,
         peers_each: usize,
@@ -106,14 +108,14 @@
     ) -> Simulation {
         let mut rng = StdRng::seed_from_u64(seed);
         let nodes: Vec<Node> = (0..count)
-            .map(|index| Node::new(index, draw_peers(index, count, peers_each, &mut rng)))
+            .map(|index| Node::new(index, sample_peers(index, count, peers_each, &mut rng)))
             .collect();
         Simulation {
             now: 0.0,
             network,
             blocked_links: BTreeSet::new(),
             observed_changes: Vec::new(),
-            comparison_bytes: 0,
+            anti_entropy_bytes: 0,
             corrupted_datagrams: 0,
             wall_clock_offset: 0.0,
             nodes_by_address: nodes
@@ -128,23 +130,24 @@
         }
     }
 
-    /// Changes the name under which a node starts its next member, for two processes under one
-    /// name.
+    /// Changes the name under which a node starts its next member, so that two processes can run
+    /// under one name.
     pub fn set_name(&mut self, node: usize, name: &str) {
         name.clone_into(&mut self.nodes[node].name);
     }
 
-    /// Changes the peers that a node's next member is configured with.
+    /// Changes the peers that the next member of a node is configured with.
     pub fn set_configured_peers(&mut self, node: usize, peers: Vec<usize>) {
         self.nodes[node].configured_peers = peers;
     }
 
-    /// Moves the address of node `of` to `node`: from now on, what is sent to it arrives there.
+    /// Moves the address of node `of` to `node`: whatever is sent to that address from now on
+    /// arrives at `node`.
     pub fn take_over_address(&mut self, node: usize, of: usize) {
         self.nodes_by_address.insert(self.nodes[of].address, node);
     }
 
-    /// Starts a member on a node, in place of the one that ran there.
+    /// Starts a member on a node. It replaces the one that ran there.
     pub fn start(&mut self, node: usize) {
         let generation = (FIRST_GENERATION + self.now + self.wall_clock_offset) as u64;
         let instance_id = self.rng.random();
@@ -175,7 +178,7 @@
         self.nodes[node].kill();
     }
 
-    /// Lets the member on a node leave by its own choice.
+    /// Lets the member on a node leave voluntarily.
     pub fn leave(&mut self, node: usize) {
         let now = self.now;
         if let Some(member) = &mut self.nodes[node].member {
@@ -185,14 +188,14 @@
         self.kill(node);
     }
 
-    /// Pauses the process on a node for `duration`; what arrives meanwhile waits for it.
+    /// Pauses the process on a node for `duration`. Messages that arrive meanwhile are queued.
     pub fn pause(&mut self, node: usize, duration: Millis) {
         let end = self.now + duration;
         self.nodes[node].paused_until = Some(end);
         self.schedule(end, node, Event::Tick);
     }
 
-    /// Partitions nodes into groups between which nothing passes.
+    /// Partitions nodes into groups. Nothing is delivered from one group to another.
     pub fn partition(&mut self, groups: &[Vec<usize>]) {
         for (index, group) in groups.iter().enumerate() {
             for (other_index, other) in groups.iter().enumerate() {
@@ -203,19 +206,20 @@
         }
     }
 
-    /// The member that runs on a node.
+    /// The member that runs on a node, if any.
     pub fn member(&self, node: usize) -> Option<&Membership> {
         self.nodes[node].member.as_ref()
     }
 
-    /// Nodes on which a member runs that takes part.
+    /// The nodes whose members participate.
     pub fn active_nodes(&self) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|node| self.nodes[*node].is_active())
             .collect()
     }
 
-    /// Whether the members on these nodes all know each other to be present, and nobody else.
+    /// Whether the view of each of these nodes' members contains the members of all of them, and no
+    /// others.
     pub fn has_converged(&self, nodes: &[usize]) -> bool {
         let names: BTreeSet<&str> = nodes
             .iter()
@@ -229,7 +233,7 @@
         })
     }
 
-    /// What all members have sent since the start, those that were killed included.
+    /// The traffic of all members since the start, including members that were killed.
     pub fn traffic(&self) -> Traffic {
         let mut traffic = Traffic::default();
         for node in &self.nodes {
@@ -244,7 +248,7 @@
         traffic
     }
 
-    /// Has the member on a node report its load, in thousandths of its capacity.
+    /// Lets the member on a node report its load, in thousandths of its capacity.
     pub fn report_load(&mut self, node: usize, load: u16) {
         let now = self.now;
         if let Some(member) = &mut self.nodes[node].member {
@@ -292,7 +296,7 @@
         self.events.insert(at, ScheduledEvent { node, event });
     }
 
-    /// Schedules the member's next tick, unless one is scheduled that is as early.
+    /// Schedules the member's next tick, unless a tick is scheduled that is at least as early.
     fn schedule_tick(&mut self, node: usize) {
         let Some(at) = self.nodes[node].earlier_tick() else {
             return;
@@ -302,7 +306,8 @@
         self.schedule(at, node, Event::Tick);
     }
 
-    /// Handles an event that was scheduled for `at`: at once, or after the pause of its node.
+    /// Handles an event that was scheduled for `at`: delivers it, or queues it while its node is
+    /// paused.
     fn handle(&mut self, at: Millis, scheduled: ScheduledEvent) {
         let now = self.now;
         let node = &mut self.nodes[scheduled.node];
@@ -311,7 +316,7 @@
         }
         if let Some(end) = node.paused_until {
             if now < end {
-                node.hold_back(scheduled.event);
+                node.enqueue_while_paused(scheduled.event);
                 return;
             }
             node.paused_until = None;
@@ -330,10 +335,10 @@
         let effects = match event {
             Event::Tick => member.tick(now),
             Event::Datagram(bytes) => member.handle_datagram(now, &bytes),
-            Event::Comparison { from, bytes } => {
-                let outcome = member.handle_comparison(now, &bytes);
+            Event::AntiEntropy { from, bytes } => {
+                let outcome = member.handle_anti_entropy(now, &bytes);
                 if let Some(reply) = outcome.reply {
-                    self.send_comparison(node, from, reply);
+                    self.send_anti_entropy(node, from, reply);
                 }
                 outcome.effects
             }
@@ -350,11 +355,11 @@
                     observer: node,
                     change,
                 }),
-                Effect::SendComparison { to, bytes } => {
+                Effect::SendAntiEntropy { to, bytes } => {
                     let receiver = self.nodes_by_address.get(&to.address).copied();
-                    // A connection's handshake checks whom it reaches.
+                    // The handshake of a connection checks the name of the member that it reaches.
                     if let Some(receiver) = receiver.filter(|at| self.nodes[*at].name == *to.name) {
-                        self.send_comparison(node, receiver, bytes);
+                        self.send_anti_entropy(node, receiver, bytes);
                     }
                 }
                 Effect::SendDatagram { to, bytes } => {
@@ -367,8 +372,8 @@
     }
 }
 
-/// Draws the peers that a node is configured with.
-fn draw_peers(node: usize, count: usize, peers_each: usize, rng: &mut StdRng) -> Vec<usize> {
+/// Chooses at random the peers that a node is configured with.
+fn sample_peers(node: usize, count: usize, peers_each: usize, rng: &mut StdRng) -> Vec<usize> {
     if peers_each + 1 >= count {
         return (0..count).filter(|other| *other != node).collect();
     }
--- a/crates/membership/src/simulation/node.rs
+++ b/crates/membership/src/simulation/node.rs
@@ -7,31 +7,31 @@
 use crate::timing::Millis;
 use std::net::SocketAddr;
 
-/// Messages that wait for a paused process at most, as in the receive buffer of a socket; more are
-/// dropped.
+/// Maximum number of messages that are queued for a paused process, as in the receive buffer of a
+/// socket. Further messages are dropped.
 const MAX_BACKLOG: usize = 256;
-/// Addresses of one subnet that are used.
+/// Number of addresses that are used in each subnet.
 const ADDRESSES_PER_SUBNET: usize = 250;
 const PORT: u16 = 9100;
 
-/// A node.
+/// A node of the simulated fleet.
 pub(super) struct Node {
     pub name: String,
     pub address: SocketAddr,
-    /// The nodes that a member which starts here is configured with.
+    /// The nodes that the members of this node are configured with.
     pub configured_peers: Vec<usize>,
     pub member: Option<Membership>,
-    /// What members that were killed here have sent.
+    /// The traffic of the members that were killed on this node.
     pub earlier_traffic: Traffic,
     pub paused_until: Option<Millis>,
-    /// What arrived while the process was paused.
+    /// Events that arrived while the process was paused.
     pub backlog: Vec<Event>,
-    /// When the earliest tick that is scheduled comes; infinite if none is.
+    /// When the earliest scheduled tick is due; infinite if none is scheduled.
     pub next_tick: Millis,
 }
 
 impl Node {
-    /// A node on which nothing runs.
+    /// Creates a node that runs no member.
     pub(super) fn new(index: usize, configured_peers: Vec<usize>) -> Node {
         let subnet = (index / ADDRESSES_PER_SUBNET) as u8;
         let host = (index % ADDRESSES_PER_SUBNET) as u8;
@@ -47,19 +47,19 @@
         }
     }
 
-    /// The node as others are configured with it.
+    /// The node as other nodes are configured with it: its name and address.
     pub(super) fn contact(&self) -> Member {
         Member::at_address(&self.name, self.address)
     }
 
-    /// Starts a member in place of the one that ran here.
+    /// Starts a member. It replaces the one that ran here.
     pub(super) fn start(&mut self, member: Membership) {
         self.member = Some(member);
         self.paused_until = None;
         self.backlog.clear();
     }
 
-    /// Kills the member.
+    /// Kills the member, and keeps the numbers of its traffic.
     pub(super) fn kill(&mut self) {
         if let Some(member) = self.member.take() {
             let Counters {
@@ -70,21 +70,22 @@
         }
     }
 
-    /// Whether a member runs here that takes part.
+    /// Whether a member runs here and participates.
     pub(super) fn is_active(&self) -> bool {
         self.member
             .as_ref()
             .is_some_and(|member| !member.is_defunct())
     }
 
-    /// When the member wants its next tick, if that is before the one that is scheduled.
+    /// When the member needs its next tick, if that is earlier than the one that is scheduled.
     pub(super) fn earlier_tick(&self) -> Option<Millis> {
         let deadline = self.member.as_ref()?.next_deadline()?;
         (deadline < self.next_tick).then_some(deadline)
     }
 
-    /// Keeps what arrives during a pause. Ticks are not kept: the pause ends with one.
-    pub(super) fn hold_back(&mut self, event: Event) {
+    /// Queues an event that arrives during a pause. Ticks are not queued, because the pause ends
+    /// with one.
+    pub(super) fn enqueue_while_paused(&mut self, event: Event) {
         if !matches!(event, Event::Tick) && self.backlog.len() < MAX_BACKLOG {
             self.backlog.push(event);
         }
--- a/crates/membership/src/tests.rs
+++ b/crates/membership/src/tests.rs
@@ -163,7 +163,7 @@
 
 /// Guards the messages of a comparison, the digest's hash included: both sides compute it.
 #[test]
-fn a_comparison_keeps_its_bytes_from_the_digest_to_the_last_reply() {
+fn an_anti_entropy_exchange_keeps_its_bytes_from_the_digest_to_the_last_reply() {
     let configured = vec![Member::at_address(
         "n2",
         "10.0.0.5:9100".parse().expect("one"),
@@ -178,24 +178,24 @@
     );
     let effects = first.tick(0.0);
     let digest = effects.iter().find_map(|effect| match effect {
-        Effect::SendComparison { bytes, .. } => Some(bytes.clone()),
+        Effect::SendAntiEntropy { bytes, .. } => Some(bytes.clone()),
         _ => None,
     });
     let digest = digest.expect("it looks for the configured member at once");
     assert_eq!(hex(&digest), "00e5b79af699f58b8a9c01");
 
     let mut second = Membership::new(0.0, member("n3", 1), Vec::new(), Timing::for_size(3), 3, 2);
-    let reply = second.handle_comparison(1.0, &digest).reply;
+    let reply = second.handle_anti_entropy(1.0, &digest).reply;
     let reply = reply.expect("another digest is answered with all that is known");
     assert_eq!(hex(&reply), format!("0101{MEMBER_N3}000001"));
 
-    let last = first.handle_comparison(2.0, &reply).reply;
+    let last = first.handle_anti_entropy(2.0, &reply).reply;
     let last = last.expect("the other side wants this one's part");
     assert_eq!(hex(&last), format!("0102{MEMBER_N3}0000{MEMBER_N1}000000"));
-    let outcome = second.handle_comparison(3.0, &last);
+    let outcome = second.handle_anti_entropy(3.0, &last);
     assert_eq!(outcome.reply, None);
     // Both know the same now: a digest is answered with nothing.
-    let outcome = second.handle_comparison(4.0, &unhex("00a9c1a5dde5e8e6dc49"));
+    let outcome = second.handle_anti_entropy(4.0, &unhex("00a9c1a5dde5e8e6dc49"));
     assert_eq!(outcome.reply, None);
 }
 
--- a/crates/membership/src/time_queue.rs
+++ b/crates/membership/src/time_queue.rs
@@ -1,17 +1,17 @@
-//! A queue of entries in the order of their times.
+//! A priority queue of entries, ordered by time.
 
 use crate::timing::Millis;
 use std::collections::BTreeMap;
 
-/// The bits of a time, which are ordered as the time is because no time is negative, and then the
-/// order of insertion.
+/// Orders entries by time, then by insertion. The bits of a time sort as the time does, because no
+/// time is negative.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Key {
     time_bits: u64,
     sequence: u64,
 }
 
-/// Entries in the order of their times; those of the same time in the order in which they were
+/// Entries in the order of their times. Entries of the same time keep the order in which they were
 /// inserted.
 #[derive(Debug)]
 pub(crate) struct TimeQueue<E> {
@@ -20,7 +20,7 @@
 }
 
 impl<E> TimeQueue<E> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub(crate) fn new() -> TimeQueue<E> {
         TimeQueue {
             entries: BTreeMap::new(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Inserts an entry. `time` is never negative.
+    /// Inserts an entry. `time` must not be negative.
     pub(crate) fn insert(&mut self, time: Millis, entry: E) {
         self.inserted += 1;
         let key = Key {
@@ -38,13 +38,13 @@
         self.entries.insert(key, entry);
     }
 
-    /// The time of the first entry.
+    /// The time of the first entry; `None` if the queue is empty.
     pub(crate) fn first_time(&self) -> Option<Millis> {
         let (key, _) = self.entries.first_key_value()?;
         Some(f64::from_bits(key.time_bits))
     }
 
-    /// Removes the first entry.
+    /// Removes and returns the first entry.
     pub(crate) fn pop_first(&mut self) -> Option<E> {
         let (_, entry) = self.entries.pop_first()?;
         Some(entry)
--- a/crates/membership/src/timing.rs
+++ b/crates/membership/src/timing.rs
@@ -1,54 +1,55 @@
-//! How often members probe, gossip and compare, and how long they wait.
+//! The intervals and timeouts of the protocol.
 
 use std::num::{NonZeroU32, NonZeroUsize};
 use std::time::Duration;
 
-/// Milliseconds: a point on the caller's steady clock, or a span between two such points.
+/// Milliseconds: either a point on the caller's monotonic clock, or a span between two such points.
 ///
-/// The core reads no clock, so a point has no meaning beyond its order and distance to others from
-/// the same caller. Points and spans are finite and never negative.
+/// This crate reads no clock, so a point has a meaning only relative to other points from the same
+/// caller. Points and spans are finite and never negative.
 pub type Millis = f64;
 
-/// Largest datagram, bytes: with the headers around it, it fits an Ethernet frame and is never
-/// fragmented.
+/// Maximum length of a datagram, in bytes. With the headers around it, it fits into an Ethernet
+/// frame and is never fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1300;
 
-/// Gossip rounds after which an update has most likely reached every member, as each round trebles
-/// those who have it.
+/// Number of gossip rounds after which an update has most likely reached every member: each round
+/// triples the number of members that have it.
 const DISSEMINATION_ROUNDS: f64 = 10.0;
 
-/// Intervals and timeouts of the protocol.
+/// The intervals and timeouts of the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timing {
-    /// Between two probes; each goes to the next member of a shuffled list.
+    /// Interval between two probes. Each probe goes to the next member of a shuffled list.
     pub probe_interval: Millis,
-    /// The target of a probe has to answer within this time; after it, other members are asked to
-    /// probe it.
+    /// Time within which the target of a probe has to answer. After it, other members are asked to
+    /// probe the target.
     pub probe_timeout: Millis,
     /// How long a suspected member may refute the suspicion before it is declared failed.
     pub suspicion_timeout: Millis,
-    /// Between two rounds of gossip, while there are updates to spread.
+    /// Interval between two rounds of gossip, while there are updates to disseminate.
     pub gossip_interval: Millis,
-    /// Members that one round of gossip is sent to.
+    /// Number of members that each round of gossip is sent to.
     pub gossip_fanout: usize,
-    /// Members that are asked to probe a target which did not answer.
+    /// Number of members that are asked to probe a target that did not answer.
     pub indirect_probes: usize,
-    /// Between two attempts to reach a member that is configured or failed of late, and is missing
-    /// from the view.
+    /// Interval between two attempts to reach a member that is configured or failed recently, and
+    /// is missing from the view.
     pub reconnect_interval: Millis,
-    /// Longest time between two anti-entropy comparisons with a random member.
+    /// Longest interval between two anti-entropy exchanges with a random member.
     pub anti_entropy_interval: Millis,
     /// How long a failed member counts as part of the fleet.
     pub failed_retention: Millis,
-    /// How long after its start a process may take its name from a predecessor that seems alive.
+    /// How long after its start a process may take its name over from a predecessor that appears to
+    /// be alive.
     pub name_takeover_window: Millis,
     /// How late a timer may fire before the process counts as stalled.
     pub timer_tolerance: Millis,
 }
 
 impl Timing {
-    /// The timing for a fleet of about `size` members. Suspicion lasts as long as an update needs
-    /// to reach all of them, so it grows with the logarithm of the size (SWIM, section 4.2).
+    /// Returns the timing for a fleet of about `size` members. Suspicion lasts as long as an update
+    /// needs to reach all of them, so it grows with the logarithm of the size (SWIM, section 4.2).
     pub fn for_size(size: u32) -> Timing {
         let scale = f64::from(size.max(2)).log10().max(1.0);
         Timing {
@@ -66,13 +67,13 @@
         }
     }
 
-    /// How long an update needs until it has most likely reached every member.
+    /// Time after which an update has most likely reached every member.
     pub(crate) fn dissemination_time(&self) -> Millis {
         DISSEMINATION_ROUNDS * self.gossip_interval
     }
 
-    /// The same as the protocol library takes it. Its own announcements are off, as anti-entropy
-    /// does their job.
+    /// Returns this timing as the configuration of the protocol library. The library's own periodic
+    /// announcements are off, because anti-entropy does their job.
     pub(crate) fn foca_config(&self, size: u32) -> foca::Config {
         let mut config = foca::Config::new_lan(NonZeroU32::new(size).unwrap_or(NonZeroU32::MIN));
         config.probe_period = to_duration(self.probe_interval);
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,5 +1,5 @@
-//! The encoding of datagrams: a header, the number of updates, the updates, and load reports behind
-//! them. Values are written with postcard.
+//! The encoding of datagrams. A datagram consists of a header, the number of updates, the updates,
+//! and load reports behind them. Values are encoded with postcard.
 
 use crate::member::{Member, MemberUpdate};
 use crate::name::Name;
@@ -7,24 +7,24 @@
 use foca::{Codec, Header, Message};
 use serde::{Deserialize, Serialize};
 
-/// Bytes of the number of updates that follows a header.
+/// Length of the number of updates that follows a header, in bytes.
 const UPDATE_COUNT_BYTES: usize = 2;
 
-/// Why bytes are not a message, or a message cannot be written.
+/// Why a message could not be decoded or encoded.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// The bytes are not what this version writes.
+    /// The bytes are not a valid encoding in this version.
     #[error(transparent)]
     Postcard(#[from] postcard::Error),
-    /// A name is empty or too long.
-    #[error("a name is empty or too long")]
+    /// The name of a member is empty, or its name or zone is too long.
+    #[error("the name of a member is empty, or its name or zone is too long")]
     InvalidName,
     /// The datagram has no space left for the value.
-    #[error("the datagram is full")]
+    #[error("no space left in the datagram")]
     NoSpace,
 }
 
-/// Writes and reads headers and members for the protocol library.
+/// Encodes and decodes headers and members for the protocol library.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PostcardCodec;
 
@@ -45,7 +45,7 @@
     Ok(value)
 }
 
-/// A message as it is written. The order of the variants is their number on the wire.
+/// The encoded form of a message. The order of the variants is their number on the wire.
 #[derive(Serialize, Deserialize)]
 enum WireMessage {
     Ping(u8),
@@ -62,8 +62,8 @@
 }
 
 impl WireMessage {
-    /// The third member that an indirect probe names.
-    fn third_member(&self) -> Option<&Member> {
+    /// The member that an indirect probe names besides its sender and its receiver.
+    fn indirect_party(&self) -> Option<&Member> {
         match self {
             WireMessage::PingReq(member, _)
             | WireMessage::IndirectPing(member, _)
@@ -134,8 +134,8 @@
     }
 }
 
-/// A header as it is read. The order of the fields is the order on the wire. Of the receiver only
-/// the name and the generation are written: it knows the rest.
+/// A header that is decoded. The fields are encoded in this order. Of the receiver only the name
+/// and the generation are encoded, because it knows the rest.
 #[derive(Deserialize)]
 struct WireHeader {
     source: Member,
@@ -145,7 +145,7 @@
     message: WireMessage,
 }
 
-/// A header as it is written, with the fields of [`WireHeader`].
+/// A header that is encoded, with the same fields as [`WireHeader`].
 #[derive(Serialize)]
 struct WireHeaderRef<'a> {
     source: &'a Member,
@@ -175,10 +175,10 @@
             generation: header.destination_generation,
             ..Member::at_address(&header.destination_name, header.source.address)
         };
-        let third = header.message.third_member();
+        let party = header.message.indirect_party();
         if !header.source.has_valid_names()
             || !destination.has_valid_names()
-            || third.is_some_and(|third| !third.has_valid_names())
+            || party.is_some_and(|party| !party.has_valid_names())
         {
             return Err(WireError::InvalidName);
         }
@@ -207,7 +207,7 @@
     }
 }
 
-/// The part of a datagram that is checked before the protocol acts on it.
+/// The part of a datagram that is checked before the protocol library handles it.
 pub(crate) struct Datagram {
     /// The header.
     pub header: Header<Member>,
@@ -216,8 +216,8 @@
 }
 
 impl Datagram {
-    /// Reads the header and the updates of a datagram; `None` if they are malformed. Load reports
-    /// are left to the protocol.
+    /// Decodes the header and the updates of a datagram; returns `None` if they are malformed. Load
+    /// reports are left to the protocol library.
     pub(crate) fn decode(mut bytes: &[u8]) -> Option<Datagram> {
         let mut codec = PostcardCodec;
         let header = codec.decode_header(&mut bytes).ok()?;
--- a/crates/membership/tests/replay.rs
+++ b/crates/membership/tests/replay.rs
@@ -21,7 +21,7 @@
     changes: usize,
     datagrams: u64,
     bytes: u64,
-    comparison_bytes: u64,
+    anti_entropy_bytes: u64,
     corrupted: u64,
     fingerprint: u64,
 }
@@ -63,7 +63,7 @@
         changes: sim.observed_changes.len(),
         datagrams: traffic.datagrams,
         bytes: traffic.bytes,
-        comparison_bytes: sim.comparison_bytes,
+        anti_entropy_bytes: sim.anti_entropy_bytes,
         corrupted: sim.corrupted_datagrams,
         fingerprint: fingerprint.0,
     }
@@ -107,7 +107,7 @@
         changes: 365,
         datagrams: 14_552,
         bytes: 961_885,
-        comparison_bytes: 32_626,
+        anti_entropy_bytes: 32_626,
         corrupted: 270,
         fingerprint: 6_133_508_839_526_921_070,
     };
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -8,7 +8,12 @@
 const MINUTE: Millis = 60_000.0;
 
 /// A fleet whose members all know each other.
-fn converged(count: usize, peers_each: usize, network: NetworkConditions, seed: u64) -> Simulation {
+fn start_converged_fleet(
+    count: usize,
+    peers_each: usize,
+    network: NetworkConditions,
+    seed: u64,
+) -> Simulation {
     let mut sim = Simulation::new(
         count,
         peers_each,
@@ -44,7 +49,7 @@
     );
 }
 
-fn failures(sim: &Simulation, since: Millis) -> usize {
+fn count_reported_failures(sim: &Simulation, since: Millis) -> usize {
     sim.observed_changes
         .iter()
         .filter(|observed| observed.at >= since && matches!(observed.change, Change::Failed(_)))
@@ -55,7 +60,7 @@
 /// tenth at a time.
 #[test]
 fn a_fleet_of_300_converges_after_start_mass_failure_and_rolling_restart() {
-    let mut sim = converged(300, 5, NetworkConditions::default(), 1);
+    let mut sim = start_converged_fleet(300, 5, NetworkConditions::default(), 1);
     let (killed, survivors): (Vec<usize>, Vec<usize>) = (0..300).partition(|node| node % 10 < 7);
     killed.iter().for_each(|node| sim.kill(*node));
     await_convergence(
@@ -74,7 +79,7 @@
         sim.run_until(start + 2000.0);
         part.iter().for_each(|node| sim.start(*node));
         await_convergence(&mut sim, &all, 3.0 * MINUTE, "after a tenth was restarted");
-        let failed = failures(&sim, start);
+        let failed = count_reported_failures(&sim, start);
         assert!(
             failed <= 300,
             "{failed} reports of a failure where 30 left and came back"
@@ -93,11 +98,11 @@
         replay: 0.05,
         ..NetworkConditions::default()
     };
-    let mut sim = converged(30, 29, network, 2);
+    let mut sim = start_converged_fleet(30, 29, network, 2);
     let all: Vec<usize> = (0..30).collect();
     let start = sim.now;
     sim.run_until(start + 5.0 * MINUTE);
-    let wrong = failures(&sim, start);
+    let wrong = count_reported_failures(&sim, start);
     await_convergence(&mut sim, &all, 2.0 * MINUTE, "under bad links");
     assert_eq!(wrong, 0, "reports of a failure where nobody failed");
     assert!(
@@ -118,12 +123,16 @@
 /// each other only through others.
 #[test]
 fn members_rejoin_after_one_way_loss_and_a_blocked_pair_stays_connected() {
-    let mut sim = converged(12, 11, NetworkConditions::default(), 3);
+    let mut sim = start_converged_fleet(12, 11, NetworkConditions::default(), 3);
     let all: Vec<usize> = (0..12).collect();
     sim.blocked_links = [Link { from: 0, to: 2 }, Link { from: 2, to: 0 }].into();
     let start = sim.now;
     sim.run_until(start + 3.0 * MINUTE);
-    assert_eq!(failures(&sim, start), 0, "indirect probes vouch for both");
+    assert_eq!(
+        count_reported_failures(&sim, start),
+        0,
+        "indirect probes vouch for both"
+    );
     await_convergence(&mut sim, &all, MINUTE, "with a pair that is cut off");
     sim.blocked_links = (1..12).map(|from| Link { from, to: 0 }).collect();
     let rest: Vec<usize> = (1..12).collect();
@@ -141,7 +150,7 @@
 /// others failed.
 #[test]
 fn a_paused_member_declares_no_other_member_failed() {
-    let mut sim = converged(10, 9, NetworkConditions::default(), 4);
+    let mut sim = start_converged_fleet(10, 9, NetworkConditions::default(), 4);
     let all: Vec<usize> = (0..10).collect();
     let start = sim.now;
     sim.pause(4, 20_000.0);
@@ -165,7 +174,7 @@
 /// without help.
 #[test]
 fn a_partition_into_thirds_heals() {
-    let mut sim = converged(30, 5, NetworkConditions::default(), 5);
+    let mut sim = start_converged_fleet(30, 5, NetworkConditions::default(), 5);
     let third = |n: usize| (0..30).filter(|node| node % 3 == n).collect::<Vec<usize>>();
     sim.partition(&[third(0), third(1), third(2)]);
     for n in 0..3 {
@@ -189,7 +198,7 @@
 /// takes its own name back even with a clock that is set back an hour, and `left` is not `failed`.
 #[test]
 fn a_name_has_one_holder_and_a_leave_is_not_a_failure() {
-    let mut sim = converged(8, 7, NetworkConditions::default(), 6);
+    let mut sim = start_converged_fleet(8, 7, NetworkConditions::default(), 6);
     sim.run_until(sim.now + 20_000.0);
     // Node 7 leaves and starts again under the name of node 3, which runs: the later one has it.
     sim.leave(7);
@@ -205,14 +214,14 @@
         .filter(|observed| matches!(observed.change, Change::Left(_)))
         .count();
     assert_eq!(
-        (left, failures(&sim, 0.0)),
+        (left, count_reported_failures(&sim, 0.0)),
         (7, 0),
         "each reports that it left"
     );
     sim.set_name(7, "n3");
     sim.start(7);
     sim.run_until(sim.now + 2.0 * MINUTE);
-    let holders: Vec<u64> = [0, 1, 2, 4, 5, 6, 7]
+    let reported_holders: Vec<u64> = [0, 1, 2, 4, 5, 6, 7]
         .iter()
         .filter_map(|node| {
             sim.member(*node)?
@@ -223,7 +232,7 @@
         })
         .collect();
     let winner = sim.member(7).expect("it runs").local_member().instance_id;
-    assert_eq!(holders, [winner; 7]);
+    assert_eq!(reported_holders, [winner; 7]);
     assert!(
         sim.member(3).expect("it runs").is_defunct(),
         "the earlier one takes part no more"
@@ -257,7 +266,7 @@
 /// find.
 #[test]
 fn a_reused_address_does_not_stand_for_its_previous_member() {
-    let mut sim = converged(6, 5, NetworkConditions::default(), 7);
+    let mut sim = start_converged_fleet(6, 5, NetworkConditions::default(), 7);
     sim.kill(2);
     sim.take_over_address(5, 2);
     await_convergence(
@@ -290,7 +299,7 @@
 /// counts even where an earlier one arrives after it.
 #[test]
 fn load_reports_reach_all_members_and_the_latest_wins() {
-    let mut sim = converged(
+    let mut sim = start_converged_fleet(
         10,
         9,
         NetworkConditions {
@@ -328,7 +337,7 @@
         let mut membership = Membership::new(0.0, local, Vec::new(), Timing::for_size(3), 3, 1);
         for (at, bytes) in datagrams.iter().enumerate() {
             membership.handle_datagram(at as f64, bytes);
-            membership.handle_comparison(at as f64, bytes);
+            membership.handle_anti_entropy(at as f64, bytes);
             membership.tick(at as f64);
         }
         let counters = membership.counters();
--- a/src/net/fleet/frame.rs
+++ b/src/net/fleet/frame.rs
@@ -14,80 +14,83 @@
 //! | 16..20 | the body's length |
 //! | 20..24 | CRC-32C of the header before it, and of the body |
 //!
-//! Versions: a gateway reads its own, the next, and the one before. Bodies only ever grow at
-//! their end. Fields that a newer sender appends are ignored; those that an older sender does not
-//! know read as zero, empty or none, which is what postcard makes of zero bytes, so that value of a
-//! new field must mean the same as its absence. A frame of an unknown kind is counted and ignored.
+//! Versions: a gateway accepts frames of its own version, of the next one and of the previous one.
+//! New fields are only ever appended to a body. A reader ignores the fields that a newer sender
+//! appended. Fields that an older sender does not know read as zero, empty or `None`, because the
+//! reader pads the body with zero bytes and postcard decodes those so. This value of a new field
+//! must therefore mean the same as its absence. A frame of an unknown kind is counted and ignored.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use tokio_util::bytes::{Buf, BufMut, Bytes, BytesMut};
 use tokio_util::codec::Decoder;
 
-/// The version of the messages that this program sends.
+/// The protocol version of the frames that this program sends.
 pub(super) const VERSION: u16 = 1;
-/// Bytes of a header.
+/// Length of a header, in bytes.
 pub(super) const HEADER_LENGTH: usize = 24;
 const MAGIC: &[u8; 2] = b"CS";
-/// Offsets in the header of the version, the kind and the checksum.
+/// Offsets of the version, the kind and the checksum in the header, in bytes.
 const VERSION_OFFSET: usize = 2;
 const KIND_OFFSET: usize = 4;
 const CHECKSUM_OFFSET: usize = 20;
-/// Zero bytes that stand in for the fields an older sender does not know.
+/// Zero bytes that are appended to the body of an older sender, in place of the fields that it does
+/// not know.
 const ABSENT_FIELDS: [u8; 64] = [0; 64];
 
-/// The kind of a frame. The values are their numbers on the wire.
+/// The kind of a frame. The discriminants are the numbers on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u16)]
 pub(super) enum FrameKind {
-    /// The handshake: the first frame in each direction.
+    /// The handshake: the first frame in each direction of a connection.
     Hello = 1,
-    /// Shows that the peer is alive, on a connection without other frames.
+    /// Shows that the sender is alive while the connection carries no other frames.
     Heartbeat = 2,
-    /// A datagram of membership.
+    /// A datagram of the membership protocol.
     Gossip = 16,
-    /// A message of membership's comparisons.
-    Compare = 17,
+    /// An anti-entropy message of the membership protocol.
+    AntiEntropy = 17,
 }
 
 impl FrameKind {
-    /// The kind with this number, if this version knows it.
+    /// The kind with this number on the wire; `None` if this version does not know it.
     fn from_wire(number: u16) -> Option<FrameKind> {
         [
             FrameKind::Hello,
             FrameKind::Heartbeat,
             FrameKind::Gossip,
-            FrameKind::Compare,
+            FrameKind::AntiEntropy,
         ]
         .into_iter()
         .find(|kind| *kind as u16 == number)
     }
 }
 
-/// Why bytes are not a frame that this gateway accepts.
+/// Why a frame was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum FrameError {
-    /// It does not begin with the magic bytes.
-    #[error("not a frame")]
-    Magic,
-    /// This program does not read the sender's version.
-    #[error("version {0}")]
+    /// It does not begin with the magic bytes, its length is wrong, or it is not the frame that was
+    /// expected.
+    #[error("malformed frame")]
+    Malformed,
+    /// This program does not support the sender's protocol version.
+    #[error("unsupported protocol version {0}")]
     Version(u16),
     /// It belongs to another fleet.
-    #[error("another fleet")]
+    #[error("frame of another fleet")]
     Fleet,
     /// It belongs to another epoch of the fleet.
-    #[error("epoch {0}")]
+    #[error("frame of another fleet epoch: {0}")]
     Epoch(u32),
-    /// Its body is longer than allowed, bytes.
-    #[error("a body of {0} bytes")]
+    /// Its body is longer than allowed. The value is the length in bytes.
+    #[error("frame body of {0} bytes is too long")]
     TooLong(u32),
     /// The checksum does not match.
-    #[error("the checksum does not match")]
+    #[error("frame checksum mismatch")]
     Checksum,
 }
 
-/// Encodes the frames of one fleet and epoch, and decodes those that carry the same.
+/// Encodes frames for one fleet and epoch, and rejects received frames of any other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct FrameCodec {
     /// CRC-32C of the fleet's name.
@@ -96,18 +99,18 @@
     max_body_bytes: usize,
 }
 
-/// A frame whose header and checksum were checked.
+/// A received frame whose header and checksum are valid.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Frame {
-    /// The sender's version.
+    /// The sender's protocol version.
     pub version: u16,
-    /// Its kind; `None` if this version does not know it.
+    /// `None` if this version does not know the kind.
     pub kind: Option<FrameKind>,
     body: Bytes,
 }
 
 impl FrameCodec {
-    /// The codec of a fleet, for bodies of up to `max_body_bytes`.
+    /// Creates the codec of a fleet, for bodies of up to `max_body_bytes`.
     pub(super) fn new(fleet: &str, epoch: u32, max_body_bytes: usize) -> FrameCodec {
         FrameCodec {
             fleet: crc32c::crc32c(fleet.as_bytes()),
@@ -116,12 +119,12 @@
         }
     }
 
-    /// A frame with this body; `None` if that is too long.
+    /// Encodes a frame; returns `None` if the body is too long.
     pub(super) fn encode(&self, kind: FrameKind, body: &[u8]) -> Option<Bytes> {
         self.encode_as(VERSION, kind as u16, body)
     }
 
-    /// As [`FrameCodec::encode`], for any version and kind.
+    /// As [`FrameCodec::encode`], with any version and any number of a kind.
     pub(super) fn encode_as(&self, version: u16, kind: u16, body: &[u8]) -> Option<Bytes> {
         let length = u32::try_from(body.len())
             .ok()
@@ -140,10 +143,10 @@
         Some(bytes.freeze())
     }
 
-    /// Checks a header, and returns the length of the body that follows.
+    /// Checks a header, and returns the length of the body that follows it, in bytes.
     fn check_header(&self, mut header: &[u8]) -> Result<usize, FrameError> {
         if header.get(..MAGIC.len()) != Some(MAGIC) {
-            return Err(FrameError::Magic);
+            return Err(FrameError::Malformed);
         }
         header.advance(MAGIC.len());
         let version = header.get_u16();
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Checks the checksum of a frame whose header was checked.
+    /// Verifies the checksum of a frame whose header is valid.
     fn verify(&self, bytes: Bytes) -> Result<Frame, FrameError> {
         let mut stored = &bytes[CHECKSUM_OFFSET..];
         let header = crc32c::crc32c(&bytes[..CHECKSUM_OFFSET]);
@@ -184,13 +187,13 @@
         })
     }
 
-    /// The frame that a datagram holds; there is nothing else in it.
+    /// Decodes a datagram, which holds exactly one frame.
     pub(super) fn decode_datagram(&self, bytes: &[u8]) -> Result<Frame, FrameError> {
         if bytes.len() < HEADER_LENGTH {
-            return Err(FrameError::Magic);
+            return Err(FrameError::Malformed);
         }
         if self.check_header(&bytes[..HEADER_LENGTH])? != bytes.len() - HEADER_LENGTH {
-            return Err(FrameError::Magic);
+            return Err(FrameError::Malformed);
         }
         self.verify(Bytes::copy_from_slice(bytes))
     }
@@ -202,7 +205,7 @@
         &self.body
     }
 
-    /// The body as a value, by the rule on versions; `None` if it is malformed.
+    /// Decodes the body by the version rule in the module documentation; `None` if it is malformed.
     pub(super) fn decode_body<T: DeserializeOwned>(&self) -> Option<T> {
         if self.version < VERSION {
             let padded = [&self.body[..], &ABSENT_FIELDS].concat();
@@ -215,16 +218,16 @@
     }
 }
 
-/// Encodes a value as a body.
+/// Encodes a value as the body of a frame.
 pub(super) fn encode_body(value: &impl Serialize) -> Vec<u8> {
-    // Plain values in memory can always be written.
+    // Encoding plain values into a vector cannot fail.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-/// Why no more frames can be read from a connection, or written to it.
+/// Why no more frames can be read from a connection or written to it.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectionError {
-    /// The peer sent something that is not a frame for this gateway.
+    /// The peer sent bytes that are not a valid frame for this gateway.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// The connection failed.
--- a/src/net/fleet/frame/tests.rs
+++ b/src/net/fleet/frame/tests.rs
@@ -17,12 +17,12 @@
         })
 }
 
-/// Guards the order of the checks: each is made on the header alone, before the body is received.
+/// Guards the checks of the header: each is made on the header alone, before the body is received.
 #[test]
 fn foreign_frames_are_rejected_by_their_header_alone() {
-    let other = |codec: FrameCodec, body: usize| {
+    let header_of = |codec: FrameCodec, body: usize| {
         codec
-            .encode(FrameKind::Compare, &vec![0; body])
+            .encode(FrameKind::AntiEntropy, &vec![0; body])
             .expect("it fits")[..HEADER_LENGTH]
             .to_vec()
     };
@@ -30,22 +30,22 @@
     let cases = [
         (
             b"GET / HTTP/1.1\r\nHost: somebody\r\n".to_vec(),
-            FrameError::Magic,
+            FrameError::Malformed,
         ),
         (
             newer[..HEADER_LENGTH].to_vec(),
             FrameError::Version(VERSION + 2),
         ),
         (
-            other(FrameCodec::new("another", 7, 1000), 9),
+            header_of(FrameCodec::new("another", 7, 1000), 9),
             FrameError::Fleet,
         ),
         (
-            other(FrameCodec::new("fleet", 6, 1000), 9),
+            header_of(FrameCodec::new("fleet", 6, 1000), 9),
             FrameError::Epoch(6),
         ),
         (
-            other(FrameCodec::new("fleet", 7, 2000), 1001),
+            header_of(FrameCodec::new("fleet", 7, 2000), 1001),
             FrameError::TooLong(1001),
         ),
     ];
@@ -68,7 +68,7 @@
     assert_eq!(codec().encode(FrameKind::Heartbeat, &[0; 1001]), None);
 }
 
-/// Guards two versions side by side, by the rule that the module's documentation states.
+/// Guards the compatibility of versions, by the rule in the documentation of the module.
 #[test]
 fn frames_of_the_next_and_the_previous_version_are_decoded() {
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
@@ -105,7 +105,7 @@
         ),
         current(Some("b"), 5)
     );
-    // Within a version no field may be missing or left over.
+    // Between gateways of the same version, no field may be missing or left over.
     assert_eq!(
         decode(
             VERSION,
@@ -128,7 +128,7 @@
 }
 
 proptest! {
-    /// Guards against arbitrary bytes, in pieces of any size.
+    /// Guards the decoder against arbitrary bytes: they decode to a frame or to an error.
     #[test]
     fn arbitrary_bytes_decode_to_a_frame_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..200), valid in any::<bool>()) {
         let mut stream = BytesMut::new();
@@ -150,8 +150,8 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Guards the bytes of a frame: gateways of two versions run side by side. The body begins after
-/// the checksum.
+/// Guards the bytes of a frame, because gateways of two versions run side by side. The body begins
+/// after the checksum.
 #[test]
 fn a_frame_keeps_its_bytes_for_every_kind() {
     let cases: [(FrameKind, &[u8], &str); 4] = [
@@ -171,7 +171,7 @@
             "43530001001000007e01834b0000000700000004ac6103410001feff",
         ),
         (
-            FrameKind::Compare,
+            FrameKind::AntiEntropy,
             b"compare",
             "43530001001100007e01834b00000007000000070421cfca636f6d70617265",
         ),
@@ -194,12 +194,14 @@
     );
 }
 
-/// Guards the bodies of all lanes: a body is the value in postcard and nothing more, or the
-/// sender's bytes as they are.
+/// Guards the bytes of a body: it is the postcard encoding of a value and nothing more, or the
+/// sender's bytes unchanged.
 #[test]
 fn a_body_keeps_its_bytes() {
     let body = encode_body(&("n1", 300u64, Some(-2i32), vec![1u8, 2]));
     assert_eq!(hex(&body), "026e31ac020103020102");
-    let bytes = codec().encode(FrameKind::Compare, &body).expect("it fits");
+    let bytes = codec()
+        .encode(FrameKind::AntiEntropy, &body)
+        .expect("it fits");
     assert_eq!(&bytes[HEADER_LENGTH..], &body[..]);
 }
--- a/src/net/fleet/membership.rs
+++ b/src/net/fleet/membership.rs
@@ -1,4 +1,4 @@
-//! Drives [`Membership`] with sockets and timers: datagrams over UDP, comparisons over the
+//! Runs [`Membership`] on sockets and timers: datagrams go over UDP, anti-entropy messages over the
 //! transport.
 
 use super::frame::{FrameError, FrameKind};
@@ -15,37 +15,39 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
-/// Datagrams that are read before the timers get their turn.
-const MAX_BATCH: usize = 64;
-/// Longest datagram that is read, bytes; a longer one is not a frame.
+/// Maximum number of datagrams that are read before the timers are checked.
+const MAX_DATAGRAMS_PER_BATCH: usize = 64;
+/// Maximum length of a received datagram, in bytes. A longer one is cut off by the read and
+/// rejected as an invalid frame.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// What is new with each start of the process.
+/// Values that a process gets at its start.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ProcessStart {
-    /// Gateways of the fleet by the settings.
+    /// Number of gateways in the fleet according to the settings.
     pub configured_size: u32,
-    /// Drawn at random: distinguishes this process from all others under its name.
+    /// Distinguishes this process from every other process under its name; random at each start.
     pub instance_id: u64,
-    /// The seed of membership's random draws.
+    /// Seed of the random choices of the membership protocol.
     pub seed: u64,
 }
 
-/// The membership of this gateway, and the socket that it runs on.
+/// The membership protocol of this gateway, and the UDP socket that it runs on.
 pub(super) struct MembershipService {
     membership: RefCell<Membership>,
     socket: UdpSocket,
     transport: Rc<Transport>,
     clock: Clock,
     local_name: String,
-    /// Notified when a timer may be due earlier than before.
+    /// Notified when the next timer may be due earlier than before.
     rescheduled: Notify,
-    /// Called with the number of gateways that are present or failed of late.
+    /// Called after each change of the view, with the number of gateways that are present or failed
+    /// recently.
     on_fleet_size: Box<dyn Fn(u32)>,
 }
 
 impl MembershipService {
-    /// The service of a process that has just started. Nothing is sent before
+    /// Creates the service of a process that has just started. Nothing is sent before
     /// [`MembershipService::run`].
     pub(super) fn new(
         section: &FleetSection,
@@ -56,8 +58,9 @@
         on_fleet_size: Box<dyn Fn(u32)>,
     ) -> Rc<MembershipService> {
         let local = Member {
-            // If the clock is right, this is higher than that of any earlier process under this
-            // name; if not, the others report the earlier one's.
+            // If the clock is right, this is higher than the generation of any earlier process
+            // under this name. If it is not, the other members report the earlier generation, and
+            // this process takes a higher one.
             generation: clock.now().max(1.0) as u64,
             instance_id: start.instance_id,
             zone: section.zone.clone(),
@@ -83,29 +86,29 @@
         })
     }
 
-    /// Reads datagrams and fires timers for as long as the gateway runs.
+    /// Receives datagrams and fires timers for as long as the gateway runs.
     pub(super) async fn run(self: Rc<Self>) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             tokio::select! {
                 biased;
-                // An error is the echo of a datagram that reached nobody.
+                // An error here reports that an earlier datagram reached no process.
                 _ = self.socket.readable() => {}
-                () = self.next_deadline() => {}
+                () = self.wait_for_deadline() => {}
                 () = self.rescheduled.notified() => {}
             }
-            // What arrived while the process was kept from running is handled before timers judge
-            // other members.
+            // Datagrams that arrived while the process was stalled are handled before timers fire,
+            // because a timer may declare other members failed.
             self.receive_batch(&mut buffer);
             let effects = self.membership.borrow_mut().tick(self.clock.now());
             self.apply(effects);
         }
     }
 
-    /// Handles a peer's message of a comparison, and replies if that is asked for.
-    pub(super) fn receive_comparison(&self, from: &str, bytes: &[u8]) {
+    /// Handles an anti-entropy message of a peer, and sends the reply if there is one.
+    pub(super) fn receive_anti_entropy(&self, from: &str, bytes: &[u8]) {
         let now = self.clock.now();
-        let outcome = self.membership.borrow_mut().handle_comparison(now, bytes);
+        let outcome = self.membership.borrow_mut().handle_anti_entropy(now, bytes);
         self.apply(outcome.effects);
         self.rescheduled.notify_one();
         let Some(reply) = outcome.reply else {
@@ -118,26 +121,30 @@
             .present
             .get(from)
             .map(|member| member.address);
-        // The peer's message came on a connection, which carries the reply. A full lane is counted
-        // by the transport.
-        let _ = self
-            .transport
-            .send(from, address, Lane::BestEffort, FrameKind::Compare, &reply);
+        // The peer's message came on a connection, which also carries the reply. An error needs no
+        // handling here: the transport counts frames that it could not queue.
+        let _ = self.transport.send(
+            from,
+            address,
+            Lane::BestEffort,
+            FrameKind::AntiEntropy,
+            &reply,
+        );
     }
 
-    /// Reports to the others how busy this gateway is, in thousandths of its capacity.
+    /// Reports to the other gateways how busy this one is, in thousandths of its capacity.
     pub(super) fn report_load(&self, load: u16) {
         let now = self.clock.now();
         self.membership.borrow_mut().report_load(now, load);
     }
 
-    /// Notifies the others that this gateway leaves.
+    /// Announces to the other gateways that this one is leaving.
     pub(super) fn leave(&self) {
         let effects = self.membership.borrow_mut().leave(self.clock.now());
         self.apply(effects);
     }
 
-    /// The view and the counters for the log. Its keys are read by tools.
+    /// The view and the counters for the log. Tools read its keys.
     pub(super) fn status(&self) -> Value {
         let membership = self.membership.borrow();
         let view = membership.view();
@@ -159,8 +166,8 @@
         })
     }
 
-    /// Waits until a timer is due, or for ever if there is none.
-    async fn next_deadline(&self) {
+    /// Waits until the next timer is due, or forever if there is none.
+    async fn wait_for_deadline(&self) {
         let deadline = self.membership.borrow().next_deadline();
         match deadline {
             Some(at) => tokio::time::sleep_until(self.clock.instant_at(at)).await,
@@ -168,9 +175,9 @@
         }
     }
 
-    /// Handles the datagrams that have arrived, up to [`MAX_BATCH`].
+    /// Handles the datagrams that have arrived, at most [`MAX_DATAGRAMS_PER_BATCH`].
     fn receive_batch(&self, buffer: &mut [u8]) {
-        for _ in 0..MAX_BATCH {
+        for _ in 0..MAX_DATAGRAMS_PER_BATCH {
             match self.socket.try_recv_from(buffer) {
                 Ok((length, _)) => self.receive_datagram(&buffer[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
@@ -198,7 +205,7 @@
         for effect in effects {
             match effect {
                 Effect::SendDatagram { to, bytes } => self.send_datagram(&to, &bytes),
-                Effect::SendComparison { to, bytes } => self.send_comparison(&to, &bytes),
+                Effect::SendAntiEntropy { to, bytes } => self.send_anti_entropy(&to, &bytes),
                 Effect::Changed(change) => self.report_change(&change),
             }
         }
@@ -210,34 +217,36 @@
             .address_of(&to.name, Some(to.address))
             .unwrap_or(to.address);
         match self.transport.codec.encode(FrameKind::Gossip, bytes) {
-            // A datagram that the system does not accept is lost, as others are on the network.
+            // A datagram that the operating system does not accept is treated as lost on the
+            // network.
             Some(frame) => drop(self.socket.try_send_to(&frame, address)),
             None => self.record_rejected(FrameError::TooLong(bytes.len() as u32)),
         }
     }
 
-    fn send_comparison(&self, to: &Member, bytes: &[u8]) {
-        // A full lane is counted by the transport, and the next comparison makes up for this one.
+    fn send_anti_entropy(&self, to: &Member, bytes: &[u8]) {
+        // An error needs no handling here: the transport counts frames that it could not queue, and
+        // the next anti-entropy exchange makes up for this one.
         let _ = self.transport.send(
             &to.name,
             Some(to.address),
             Lane::BestEffort,
-            FrameKind::Compare,
+            FrameKind::AntiEntropy,
             bytes,
         );
     }
 
-    /// Logs a change, and reports the size of the fleet after it.
+    /// Logs a change, and passes the size of the fleet after it to `on_fleet_size`.
     fn report_change(&self, change: &Change) {
         self.log_change(change);
         let membership = self.membership.borrow();
         let view = membership.view();
-        // A member that failed of late may run on the other side of a partition, and do all that
-        // this one does.
+        // A member that failed recently is counted: it may still run on the other side of a
+        // partition and do the same work as this gateway.
         (self.on_fleet_size)((view.present.len() + view.failed.len()) as u32);
     }
 
-    /// Writes a change to the log. The fields are read by tools.
+    /// Writes a change to the log. Tools read its fields.
     fn log_change(&self, change: &Change) {
         let (event, member) = match change {
             Change::Joined(member) => ("up", member),
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! Gateways that act together.
+//! The fleet layer: the gateways of one fleet find each other and exchange messages.
 //!
-//! Off unless the configuration has a `fleet` section: then none of this exists, neither a socket
-//! nor a task nor a call. `docs/FLEET.md` describes the layers and what each guarantees.
+//! It is off unless the configuration has a `fleet` section. Without one, it opens no socket,
+//! spawns no task and is never called. `docs/FLEET.md` describes the layers and what each of them
+//! guarantees.
 
 mod frame;
 mod membership;
@@ -27,12 +28,12 @@
     Bind {
         /// The configured address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// The fleet layer, as its gateway uses it.
+/// The running fleet layer of one gateway.
 pub(super) struct Fleet {
     section: FleetSection,
     transport: Rc<Transport>,
@@ -41,12 +42,12 @@
 }
 
 impl Fleet {
-    /// Listens for the other gateways and starts to contact them.
+    /// Binds the listeners and starts the tasks that exchange messages with the other gateways.
     ///
-    /// `configured_size` is the fleet's size by the settings; `seed` is new with each start; `load`
-    /// returns how busy this gateway is, in thousandths of its capacity; `on_fleet_size` is
-    /// called with the number of gateways that are present or failed of late whenever that
-    /// changes.
+    /// `configured_size` is the number of gateways in the fleet according to the settings. `seed`
+    /// has to differ at each start. `load` returns how busy this gateway is, in thousandths of its
+    /// capacity. `on_fleet_size` is called after each change of the view, with the number of
+    /// gateways that are present or failed recently.
     ///
     /// # Errors
     ///
@@ -83,7 +84,8 @@
         Ok(fleet)
     }
 
-    /// Notifies the others that this gateway leaves: a graceful shutdown begins.
+    /// Announces to the other gateways that this one is leaving. Called when a graceful shutdown
+    /// begins.
     pub(super) fn leave(&self) {
         if let Some(membership) = &self.membership {
             membership.leave();
@@ -93,8 +95,10 @@
     fn spawn_tasks(self: &Rc<Self>, listener: TcpListener) {
         let fleet = self.clone();
         self.transport.set_handler(Rc::new(move |from, frame| {
-            if let (Some(membership), Some(FrameKind::Compare)) = (&fleet.membership, frame.kind) {
-                membership.receive_comparison(from, frame.body());
+            if let (Some(membership), Some(FrameKind::AntiEntropy)) =
+                (&fleet.membership, frame.kind)
+            {
+                membership.receive_anti_entropy(from, frame.body());
             }
         }));
         tokio::task::spawn_local(self.transport.clone().accept(listener));
@@ -104,8 +108,8 @@
         tokio::task::spawn_local(self.clone().report_status());
     }
 
-    /// Reports the load to the others and the status to the log at intervals, for as long as the
-    /// gateway runs.
+    /// At each report interval, reports the load to the other gateways and writes the status to the
+    /// log. Runs for as long as the gateway does.
     async fn report_status(self: Rc<Self>) {
         loop {
             tokio::time::sleep(self.section.report_interval).await;
@@ -117,7 +121,7 @@
         }
     }
 
-    /// The status for the log. Its keys are read by tools.
+    /// The status for the log. Tools read its keys.
     fn status(&self) -> Value {
         let connections = self.transport.connection_counts();
         let members = self
@@ -133,8 +137,8 @@
     }
 }
 
-/// Distinguishes this process from all others under its name: no two starts share both their seed
-/// and their time.
+/// Returns an id that distinguishes this process from every other process under its name: no two
+/// starts have both the same seed and the same time.
 fn instance_id(seed: u64, clock: &Clock) -> u64 {
     seed.rotate_left(32) ^ clock.now().to_bits()
 }
--- a/src/net/fleet/outbox.rs
+++ b/src/net/fleet/outbox.rs
@@ -1,11 +1,11 @@
-//! Frames that wait to be sent to one peer: three lanes, each with a limit.
+//! The queue of frames for one peer. It has three lanes, each with a limit in bytes.
 
 use std::collections::VecDeque;
 use tokio_util::bytes::Bytes;
 
 const LANE_COUNT: usize = 3;
 
-/// The priority of a frame: frames of a lane are sent only while the lanes before it are empty.
+/// The priority of a frame. Frames of a lane are sent only while all earlier lanes are empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Lane {
     /// Messages of the replicated log's consensus.
@@ -14,20 +14,20 @@
     /// Entries of the replicated log.
     #[allow(dead_code, reason = "the replicated log will use it")]
     Replication,
-    /// Hints: where too many wait, the oldest are dropped.
+    /// Hints. When the lane is full, its oldest frames are dropped to make room for new ones.
     BestEffort,
 }
 
 /// The lane has no space for the frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the lane has no space for the frame")]
+#[error("the outbox lane is full")]
 pub(super) struct OutboxFull;
 
 /// The frames of one lane, in the order in which they are sent.
 #[derive(Debug, Default)]
 struct LaneQueue {
     frames: VecDeque<Bytes>,
-    /// Bytes of all the frames.
+    /// Total length of the frames, in bytes.
     bytes: usize,
 }
 
@@ -44,18 +44,18 @@
     }
 }
 
-/// Frames that wait for one peer.
+/// The frames that are queued for one peer.
 #[derive(Debug)]
 pub(super) struct Outbox {
     lanes: [LaneQueue; LANE_COUNT],
-    /// Bytes in each lane at most.
+    /// Maximum total length of the frames in each lane, in bytes.
     limit: usize,
-    /// Best-effort frames that were dropped for newer ones.
+    /// Number of best-effort frames that were dropped for newer ones.
     pub dropped: u64,
 }
 
 impl Outbox {
-    /// An empty outbox with space for `limit` bytes in each lane.
+    /// Creates an empty outbox with space for `limit` bytes in each lane.
     pub(super) fn new(limit: usize) -> Outbox {
         Outbox {
             lanes: Default::default(),
@@ -64,9 +64,9 @@
         }
     }
 
-    /// Puts a frame at the end of its lane. In the best-effort lane older frames are dropped for
-    /// it; in others it is refused with [`OutboxFull`], as is a frame that is longer than the
-    /// limit.
+    /// Appends a frame to its lane. When the best-effort lane is full, its oldest frames are
+    /// dropped. When another lane is full, or the frame alone exceeds the limit, the frame is
+    /// refused with [`OutboxFull`].
     pub(super) fn push(&mut self, lane: Lane, frame: Bytes) -> Result<(), OutboxFull> {
         if frame.len() > self.limit {
             return Err(OutboxFull);
@@ -85,17 +85,18 @@
         Ok(())
     }
 
-    /// Removes the frame that is to be sent next.
+    /// Removes the next frame to send: the first one of the highest-priority lane that is not
+    /// empty.
     pub(super) fn pop(&mut self) -> Option<Bytes> {
         self.lanes.iter_mut().find_map(LaneQueue::pop)
     }
 
-    /// Whether no frame waits.
+    /// Whether no frame is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.lanes.iter().all(|lane| lane.frames.is_empty())
     }
 
-    /// Drops all frames: what a peer could not be sent for long is out of date.
+    /// Drops all frames. They are out of date once the peer could not be reached for long.
     pub(super) fn clear(&mut self) {
         self.lanes = Default::default();
     }
--- a/src/net/fleet/outbox/tests.rs
+++ b/src/net/fleet/outbox/tests.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 
-/// Guards the order and the limits: the lane of the highest priority first, a refusal where nothing
-/// may be dropped, the oldest best-effort frames dropped, and no lane filled by another.
+/// Guards the order and the limits of the lanes. The highest-priority lane is sent first. A full
+/// lane refuses frames, except that the best-effort lane drops its oldest ones instead. No lane
+/// takes up the space of another.
 #[test]
 fn lanes_are_sent_by_priority_and_stay_within_their_limits() {
     let frame = |byte: u8| Bytes::from(vec![byte; 40]);
--- a/src/net/fleet/tests.rs
+++ b/src/net/fleet/tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the fleet layer as a whole.
 
-/// Guards the names of counters in the log: tools read them.
+/// Guards the names of the counters in the log, because tools read them.
 #[test]
 fn the_counters_keep_their_names_in_the_log() {
     let transport =
--- a/src/net/fleet/transport.rs
+++ b/src/net/fleet/transport.rs
@@ -1,9 +1,10 @@
-//! The transport between gateways: a listener, and one kept connection for each peer that is
-//! needed.
+//! The transport between gateways: a listener, and one persistent connection to each peer that
+//! frames are exchanged with.
 //!
-//! A connection carries frames in both directions, whichever side dialed. It begins with a
-//! handshake, and ends when no complete frame arrived for four heartbeat intervals: a peer that is
-//! silent, slow or does not read costs no more than its own connection and its outbox.
+//! A connection carries frames in both directions, whichever side dialed it. It begins with a
+//! handshake, and is closed when no complete frame could be read or written for four heartbeat
+//! intervals. So a peer that is silent, slow or does not read affects no more than its own
+//! connection and its outbox.
 
 mod connection;
 pub(super) mod counters;
@@ -25,44 +26,44 @@
 use tokio::time::Instant;
 use tokio_util::bytes::Bytes;
 
-/// Peers that are known at most.
+/// Maximum number of peers that the transport keeps state for.
 const MAX_PEERS: usize = 4096;
 
-/// Called with the sender's name and each frame that arrives on a connection, heartbeats and
-/// handshakes aside.
+/// Called with the sender's name and each frame that arrives on a connection, except heartbeats,
+/// handshakes and frames of an unknown kind.
 type FrameHandler = dyn Fn(&str, &Frame);
 
-/// Why a frame is not sent.
+/// Why a frame was not queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum SendError {
-    /// The body is longer than a frame's may be.
-    #[error("the body is too long")]
+    /// The body is longer than the configured maximum.
+    #[error("the frame body is too long")]
     BodyTooLong,
     /// The receiver is this gateway.
     #[error("the receiver is this gateway")]
     ToSelf,
-    /// The receiver's name cannot be one, or too many peers are known.
+    /// The receiver's name is empty or too long, or [`MAX_PEERS`] other peers are known.
     #[error("the receiver's name is invalid, or too many peers are known")]
     UnknownPeer,
-    /// There is no connection, and none can be dialed: no address is known, or too many connections
-    /// are in use.
-    #[error("there is no connection, and none can be dialed")]
+    /// No connection is open, and none can be dialed: no address is known, or all outbound
+    /// connections are in use.
+    #[error("no connection is open, and none can be dialed")]
     NotConnected,
-    /// The lane has no space for the frame.
+    /// The lane of the frame is full.
     #[error(transparent)]
     OutboxFull(#[from] OutboxFull),
 }
 
-/// Connections that are open.
+/// Numbers of open connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ConnectionCounts {
-    /// Connections that this side dialed.
+    /// Connections that this gateway dialed.
     pub outbound: usize,
     /// Connections that peers dialed.
     pub inbound: usize,
 }
 
-/// Sends frames to peers, and passes on those that arrive from them.
+/// Sends frames to peers, and passes the frames that arrive from them to a handler.
 pub(super) struct Transport {
     section: FleetSection,
     /// Encodes and decodes the frames of this fleet.
@@ -70,16 +71,16 @@
     instance_id: u64,
     peers: RefCell<HashMap<Rc<str>, Rc<Peer>>>,
     handler: RefCell<Option<Rc<FrameHandler>>>,
-    /// What was sent, received and rejected.
+    /// Numbers of frames that were sent, received and rejected since the start.
     pub counters: RefCell<TransportCounters>,
-    /// Connections that were opened since the start, from which each takes its id.
+    /// Number of connections that were opened since the start. Each one takes its number as its id.
     connections_opened: Cell<u64>,
-    /// Accepted connections that are open, before their handshake too.
+    /// Number of accepted connections that are open, including those still in their handshake.
     inbound: Cell<usize>,
 }
 
 impl Transport {
-    /// The transport of a gateway whose process has this `instance_id`.
+    /// Creates the transport of a process with this `instance_id`.
     pub(super) fn new(section: FleetSection, instance_id: u64) -> Rc<Transport> {
         let codec = FrameCodec::new(&section.fleet_name, section.epoch, section.max_body_bytes);
         Rc::new(Transport {
@@ -94,12 +95,12 @@
         })
     }
 
-    /// Sets what is called with each frame that arrives and its sender.
+    /// Sets the function that is called with each received frame and the name of its sender.
     pub(super) fn set_handler(&self, handler: Rc<FrameHandler>) {
         *self.handler.borrow_mut() = Some(handler);
     }
 
-    /// Connections that are open.
+    /// Counts the open connections by direction.
     pub(super) fn connection_counts(&self) -> ConnectionCounts {
         let mut counts = ConnectionCounts::default();
         for peer in self.peers.borrow().values() {
@@ -112,8 +113,7 @@
         counts
     }
 
-    /// Where to reach a gateway: the configured address takes precedence over the advertised
-    /// one.
+    /// The address of a gateway. A configured address takes precedence over the advertised one.
     pub(super) fn address_of(
         &self,
         name: &str,
@@ -122,14 +122,13 @@
         self.section.peers.get(name).copied().or(advertised)
     }
 
-    /// Sends a frame to a peer: on the connection that is open, or on one that is dialed for it, at
-    /// the configured address or else at `advertised`. It waits in the outbox until it can be
-    /// written; a frame that cannot be queued is counted.
+    /// Queues a frame for a peer. If no connection is open, one is dialed, at the configured
+    /// address or else at `advertised`. A frame that cannot be queued is counted.
     ///
     /// # Errors
     ///
-    /// [`SendError`] says why the frame was not queued. A frame that was queued may still be lost
-    /// with its connection.
+    /// [`SendError`] says why the frame was not queued. A queued frame may still be lost with its
+    /// connection.
     pub(super) fn send(
         self: &Rc<Self>,
         to: &str,
@@ -177,7 +176,7 @@
         Ok(())
     }
 
-    /// Puts a frame into a peer's outbox, and counts those that were dropped for it.
+    /// Appends a frame to a peer's outbox, and counts the frames that were dropped to make room.
     fn push_to_outbox(&self, peer: &Peer, lane: Lane, frame: Bytes) -> Result<(), OutboxFull> {
         let mut outbox = peer.outbox.borrow_mut();
         let dropped_before = outbox.dropped;
@@ -186,8 +185,8 @@
         Ok(())
     }
 
-    /// The peer with this name, which is known from now on; `None` if too many are, or the name
-    /// cannot be one.
+    /// Returns the peer with this name, and adds it if it is new. Returns `None` if the name is
+    /// invalid or too many peers are known.
     fn peer(&self, name: &str) -> Option<Rc<Peer>> {
         let mut peers = self.peers.borrow_mut();
         if let Some(peer) = peers.get(name) {
@@ -202,15 +201,15 @@
         Some(peer)
     }
 
-    /// Removes a peer for which there is neither a connection, nor a dial, nor a frame.
+    /// Removes a peer that has no connection, no dial in progress and no queued frame.
     fn remove_if_unused(&self, peer: &Peer) {
         if peer.is_unused() {
             self.peers.borrow_mut().remove(&peer.name);
         }
     }
 
-    /// Whether one more peer may be dialed. If as many connections as may be are in use, the least
-    /// recently used one with an empty outbox is closed for it.
+    /// Whether one more peer may be dialed. If the maximum number of outbound connections is in
+    /// use, the least recently used one with an empty outbox is closed to make room.
     fn reserve_outbound_slot(&self) -> bool {
         let peers = self.peers.borrow();
         let in_use = peers
@@ -233,10 +232,9 @@
         true
     }
 
-    /// Whether this gateway's name comes before the peer's. Of two gateways that dialed each
-    /// other at the same time, the connection stays that was dialed by the one whose name comes
-    /// first.
-    fn has_first_name(&self, peer: &Peer) -> bool {
+    /// Whether this gateway's name sorts before the peer's. If two gateways dial each other at the
+    /// same time, both keep the connection that was dialed by the one whose name sorts first.
+    fn local_name_sorts_first(&self, peer: &Peer) -> bool {
         *self.section.local_name < *peer.name
     }
 }
--- a/src/net/fleet/transport/connection.rs
+++ b/src/net/fleet/transport/connection.rs
@@ -1,4 +1,4 @@
-//! One connection after its handshake: frames are read and written until it ends.
+//! Runs a connection after its handshake: reads and writes frames until the connection closes.
 
 use super::handshake::{EstablishedConnection, FrameReader};
 use super::peer::{CloseSignal, ConnectionHandle, Direction, Peer};
@@ -12,33 +12,34 @@
 use tokio_stream::StreamExt;
 use tokio_util::bytes::Bytes;
 
-/// Heartbeat intervals without a complete frame after which a connection ends.
+/// Number of heartbeat intervals without a complete frame after which a connection is closed.
 const MISSED_HEARTBEATS: u32 = 4;
 
-/// Why a connection ended.
+/// Why a connection closed.
 enum CloseReason {
-    /// The peer closed it, or this side was asked to.
+    /// The peer closed it, or this gateway requested its close.
     Closed,
     /// No complete frame could be read or written in time.
     TimedOut,
-    /// It carried nothing for long.
+    /// No frame other than heartbeats was queued or received within the idle timeout.
     Idle,
-    /// It failed, or the peer sent what is not a frame.
+    /// It failed, or the peer sent an invalid frame.
     Failed(ConnectionError),
 }
 
-/// What to write next on a connection.
+/// What the writer of a connection has to do next.
 enum NextFrame {
-    /// A frame from the outbox, or a heartbeat.
+    /// Write this frame, which is from the outbox or is a heartbeat.
     Frame(Bytes),
-    /// Something has changed: look again.
+    /// Check again, as a frame was queued or the close was requested.
     Recheck,
-    /// Nothing, as the connection is idle.
+    /// Close the connection, as it is idle.
     Idle,
 }
 
 impl Transport {
-    /// Reads and writes frames until the connection ends. It replaces one that was open before.
+    /// Reads and writes frames until the connection closes. If another connection to the peer is
+    /// open, it is asked to close and replaced by this one.
     pub(super) async fn run_connection(
         self: &Rc<Self>,
         peer: &Rc<Peer>,
@@ -64,7 +65,7 @@
         self.counters.borrow_mut().connections_opened += 1;
         let reason = tokio::select! {
             reason = self.read_frames(peer, &mut reader) => reason,
-            reason = self.write_until_drained(peer, &mut writer, direction, &close) => reason,
+            reason = self.write_until_closed(peer, &mut writer, direction, &close) => reason,
         };
         self.record_closed(reason);
         let mut open = peer.connection.borrow_mut();
@@ -73,15 +74,15 @@
         }
     }
 
-    /// Ends a connection in favour of another: nothing is written on it, and what the peer has
-    /// written is read until it ends.
+    /// Closes a connection in favour of another one to the same peer. Nothing is written on it;
+    /// frames that the peer has written are read until the connection closes.
     pub(super) async fn drain(self: Rc<Self>, peer: Rc<Peer>, connection: EstablishedConnection) {
         let EstablishedConnection {
             mut reader,
             mut writer,
             ..
         } = connection;
-        // It may have ended already.
+        // The connection may be closed already.
         let _ = writer.shutdown().await;
         let reading = self.read_frames(&peer, &mut reader);
         let _ = timeout(self.frame_timeout(), reading).await;
@@ -105,7 +106,7 @@
         }
     }
 
-    /// How long a complete frame may take to be read or written.
+    /// Time within which a complete frame has to be read or written.
     fn frame_timeout(&self) -> Duration {
         self.section.heartbeat_interval * MISSED_HEARTBEATS
     }
@@ -142,9 +143,9 @@
         }
     }
 
-    /// Writes frames until the connection ends. If it is asked to close, the peer's last frames are
-    /// given time to be read.
-    async fn write_until_drained(
+    /// Writes frames until the connection closes. After a requested close, the connection stays
+    /// open for one frame timeout, so that the peer's last frames can be read.
+    async fn write_until_closed(
         &self,
         peer: &Peer,
         writer: &mut OwnedWriteHalf,
@@ -153,7 +154,7 @@
     ) -> CloseReason {
         let reason = self.write_frames(peer, writer, direction, close).await;
         if close.is_requested() {
-            // The writer of the connection that replaced this one takes over.
+            // Wakes the writer of the connection that replaced this one.
             peer.writable.notify_one();
             let _ = writer.shutdown().await;
             sleep(self.frame_timeout()).await;
@@ -188,8 +189,8 @@
         }
     }
 
-    /// Waits for the next frame: one from the outbox, or a heartbeat after an interval without one.
-    /// Only the side that dialed closes an idle connection.
+    /// Waits for the next frame: one from the outbox, or a heartbeat if none is queued for a
+    /// heartbeat interval. Only the side that dialed closes an idle connection.
     async fn next_frame(
         &self,
         peer: &Peer,
--- a/src/net/fleet/transport/counters.rs
+++ b/src/net/fleet/transport/counters.rs
@@ -3,7 +3,7 @@
 use crate::net::fleet::frame::FrameError;
 use serde::Serialize;
 
-/// The counters since the start. Their serialized names stand in logs that tools read.
+/// Counters since the start of the process. Tools read their serialized names in the log.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(crate) struct TransportCounters {
     /// Dials that were started.
@@ -13,11 +13,11 @@
     /// Connections that were established, in either direction.
     #[serde(rename = "up")]
     pub connections_opened: u64,
-    /// Connections that ended.
+    /// Connections that closed.
     #[serde(rename = "down")]
     pub connections_closed: u64,
-    /// Of these, those on which no complete frame could be read or written in time; and handshakes
-    /// that took too long.
+    /// Connections that were closed because no complete frame could be read or written in time, and
+    /// inbound handshakes that took too long.
     #[serde(rename = "silent")]
     pub timed_out: u64,
     /// Frames sent on connections.
@@ -30,45 +30,46 @@
     /// Bytes of the frames received.
     #[serde(rename = "read_bytes")]
     pub received_bytes: u64,
-    /// Frames that could not be sent: a full lane, a peer that cannot be dialed, or a body that is
-    /// too long.
+    /// Frames that could not be queued: the lane was full, the peer could not be dialed, or the
+    /// body was too long.
     #[serde(rename = "full")]
     pub send_failed: u64,
     /// Best-effort frames that were dropped for newer ones.
     pub dropped: u64,
-    /// Rejected as they are not frames, or not the expected ones.
+    /// Rejected because they are not frames, or not the expected ones.
     #[serde(rename = "mark")]
-    pub bad_magic: u64,
-    /// Rejected as their checksum does not match.
+    pub malformed: u64,
+    /// Rejected because their checksum does not match.
     #[serde(rename = "checksum")]
     pub bad_checksum: u64,
-    /// Rejected for their version.
+    /// Rejected because their protocol version is not supported.
     #[serde(rename = "version")]
     pub unsupported_version: u64,
-    /// Rejected as they belong to another fleet.
+    /// Rejected because they belong to another fleet.
     #[serde(rename = "fleet")]
     pub foreign_fleet: u64,
-    /// Rejected as they belong to another epoch of the fleet.
+    /// Rejected because they belong to another epoch of the fleet.
     #[serde(rename = "generation")]
     pub foreign_epoch: u64,
-    /// Rejected for the length of their body.
+    /// Rejected because their body is too long.
     #[serde(rename = "size")]
     pub too_long: u64,
-    /// Handshakes that were meant for, or came from, another gateway.
+    /// Handshakes for another gateway than the receiver, or from another one than was dialed.
     pub wrong_name: u64,
     /// Frames of a kind that this version does not know.
     #[serde(rename = "unknown")]
     pub unknown_kind: u64,
-    /// Connections that were closed as too many others, or too many peers, are there.
+    /// Inbound connections that were closed because too many connections were open or too many
+    /// peers known.
     #[serde(rename = "crowded")]
     pub over_limit: u64,
 }
 
 impl TransportCounters {
-    /// Records why a frame or datagram was rejected.
+    /// Counts a rejected frame or datagram by the reason of its rejection.
     pub(crate) fn record_rejected(&mut self, error: FrameError) {
         let counter = match error {
-            FrameError::Magic => &mut self.bad_magic,
+            FrameError::Malformed => &mut self.malformed,
             FrameError::Checksum => &mut self.bad_checksum,
             FrameError::Version(_) => &mut self.unsupported_version,
             FrameError::Fleet => &mut self.foreign_fleet,
--- a/src/net/fleet/transport/dialer.rs
+++ b/src/net/fleet/transport/dialer.rs
@@ -1,4 +1,4 @@
-//! Dials to peers: the handshake of the side that dials, and the backoff between dials.
+//! Dials peers: the dialing side of the handshake, and the backoff between attempts.
 
 use super::handshake::{ConnectionHalves, EstablishedConnection, HandshakeError};
 use super::peer::{Direction, Peer};
@@ -11,26 +11,27 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// First backoff before a peer is dialed again; it doubles with each dial, with jitter.
+/// Backoff after the first failed attempt to dial a peer. It doubles with each further attempt,
+/// with jitter.
 const MIN_REDIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// Longest backoff before a peer is dialed again.
+/// Longest backoff between two attempts to dial a peer.
 const MAX_REDIAL_BACKOFF: Duration = Duration::from_secs(5);
-/// Dials in a row without a connection after which the frames that waited are dropped: they are out
-/// of date by then.
-const MAX_DIALS: usize = 6;
+/// Number of consecutive failed attempts after which the frames queued for the peer are dropped:
+/// they are out of date by then.
+const MAX_DIAL_ATTEMPTS: usize = 6;
 
 fn redial_backoff() -> ExponentialBackoff {
     ExponentialBuilder::default()
         .with_min_delay(MIN_REDIAL_BACKOFF)
         .with_max_delay(MAX_REDIAL_BACKOFF)
-        .with_max_times(MAX_DIALS - 1)
+        .with_max_times(MAX_DIAL_ATTEMPTS - 1)
         .with_jitter()
         .build()
 }
 
 impl Transport {
-    /// Dials a peer, and runs the connection, until no frame waits for the peer any more or it
-    /// cannot be reached.
+    /// Dials a peer and runs the connection. Dials again as long as frames are queued, unless the
+    /// peer has connected meanwhile or [`MAX_DIAL_ATTEMPTS`] attempts in a row have failed.
     pub(super) async fn dial(self: Rc<Self>, peer: Rc<Peer>, address: SocketAddr) {
         let mut backoff = redial_backoff();
         loop {
@@ -45,7 +46,8 @@
                 Err(_elapsed) => self.counters.borrow_mut().dials_failed += 1,
             }
             if peer.is_connected() {
-                // The peer's own dial succeeded meanwhile, and carries the frames that wait.
+                // The peer has dialed this gateway meanwhile. That connection carries the queued
+                // frames.
                 peer.writable.notify_one();
                 break;
             }
@@ -62,15 +64,15 @@
         self.remove_if_unused(&peer);
     }
 
-    /// Runs a connection that was dialed, unless one with the same process is open and is the one
-    /// to keep.
+    /// Runs a connection that this gateway dialed. If a connection to the same process is open and
+    /// takes precedence, the new connection is drained instead.
     async fn run_outbound(self: &Rc<Self>, peer: &Rc<Peer>, connection: EstablishedConnection) {
         let same_process = peer
             .connection
             .borrow()
             .as_ref()
             .is_some_and(|open| open.instance_id == connection.instance_id);
-        if !same_process || self.has_first_name(peer) {
+        if !same_process || self.local_name_sorts_first(peer) {
             self.run_connection(peer, connection, Direction::Outbound)
                 .await;
         } else {
--- a/src/net/fleet/transport/handshake.rs
+++ b/src/net/fleet/transport/handshake.rs
@@ -1,5 +1,5 @@
-//! The handshake: the first frame in each direction, which names the sender and the receiver that
-//! it means.
+//! The handshake: the first frame in each direction, which carries the names of its sender and of
+//! the receiver that it is meant for.
 
 use super::Transport;
 use crate::net::fleet::frame::{encode_body, ConnectionError, FrameCodec, FrameError, FrameKind};
@@ -11,31 +11,32 @@
 use tokio_stream::StreamExt;
 use tokio_util::codec::FramedRead;
 
-/// Bytes that are read from a connection at a time.
+/// Initial capacity of a connection's read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// The half of a connection that frames are read from.
+/// The read half of a connection, decoded into frames.
 pub(super) type FrameReader = FramedRead<OwnedReadHalf, FrameCodec>;
 
-/// The body of a handshake's frame. The order of the fields is the order on the wire.
+/// The body of a handshake frame. The fields are encoded in this order.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Hello {
     /// The sender's name.
     pub(super) name: String,
-    /// The name of the gateway that the sender means: its address may have passed to another.
+    /// The name of the gateway that the hello is meant for. Its address may have been reassigned to
+    /// another gateway.
     pub(super) to: String,
-    /// The sender's instance id, drawn at its start.
+    /// The instance id of the sender's process, new at each start.
     pub(super) instance_id: u64,
 }
 
 /// Why a handshake failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum HandshakeError {
-    /// No hello could be read or written.
+    /// The hello could not be read or written.
     #[error(transparent)]
     Connection(#[from] ConnectionError),
-    /// The hello is meant for another gateway, or comes from another than was dialed.
-    #[error("the hello is not from, or not for, the expected gateway")]
+    /// The hello is meant for another gateway, or comes from another one than was dialed.
+    #[error("the hello is from or for an unexpected gateway")]
     WrongName,
 }
 
@@ -51,7 +52,7 @@
     }
 }
 
-/// The two halves of a connection on which no frame was read yet.
+/// The two halves of a connection before its handshake.
 pub(super) struct ConnectionHalves {
     pub(super) reader: FrameReader,
     pub(super) writer: OwnedWriteHalf,
@@ -66,7 +67,7 @@
 }
 
 impl ConnectionHalves {
-    /// Splits a connection.
+    /// Splits a connection into its read half and its write half.
     pub(super) fn new(stream: TcpStream, codec: FrameCodec) -> ConnectionHalves {
         let (reader, writer) = stream.into_split();
         ConnectionHalves {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The connection after a handshake with the process that has this instance id.
+    /// Returns the connection after a handshake with the process that has this instance id.
     pub(super) fn establish(self, instance_id: u64) -> EstablishedConnection {
         EstablishedConnection {
             reader: self.reader,
@@ -86,7 +87,7 @@
 }
 
 impl Transport {
-    /// Sends this gateway's hello to the one called `to`.
+    /// Sends this gateway's hello to the gateway called `to`.
     pub(super) async fn send_hello(
         &self,
         writer: &mut OwnedWriteHalf,
@@ -106,7 +107,8 @@
         Ok(())
     }
 
-    /// Receives the peer's hello. One that does not mean this gateway is counted.
+    /// Receives the peer's hello. A hello that is meant for another gateway, or comes from one with
+    /// this gateway's own name, is counted and rejected.
     pub(super) async fn receive_hello(
         &self,
         reader: &mut FrameReader,
@@ -116,9 +118,9 @@
             .await
             .ok_or(io::Error::from(io::ErrorKind::UnexpectedEof))??;
         if frame.kind != Some(FrameKind::Hello) {
-            return Err(FrameError::Magic.into());
+            return Err(FrameError::Malformed.into());
         }
-        let hello: Hello = frame.decode_body().ok_or(FrameError::Magic)?;
+        let hello: Hello = frame.decode_body().ok_or(FrameError::Malformed)?;
         if hello.to != self.section.local_name || hello.name == self.section.local_name {
             self.counters.borrow_mut().wrong_name += 1;
             return Err(HandshakeError::WrongName);
--- a/src/net/fleet/transport/listener.rs
+++ b/src/net/fleet/transport/listener.rs
@@ -1,4 +1,4 @@
-//! Connections that peers dialed: accepted, and run after their handshake.
+//! The listener: accepts connections that peers dialed, and runs them after their handshake.
 
 use super::handshake::{ConnectionHalves, EstablishedConnection, HandshakeError, Hello};
 use super::peer::{Direction, Peer};
@@ -28,9 +28,9 @@
         }
     }
 
-    /// Shakes hands on an accepted connection and runs it until it ends.
+    /// Performs the handshake on an accepted connection and runs the connection until it closes.
     async fn serve(self: &Rc<Self>, stream: TcpStream) {
-        // Without it frames are late, not wrong.
+        // If this fails, frames are delayed but still correct.
         let _ = stream.set_nodelay(true);
         let mut halves = ConnectionHalves::new(stream, self.codec);
         let handshake = timeout(
@@ -60,14 +60,14 @@
         Ok(hello)
     }
 
-    /// Whether a connection that this side dialed to the same process stays in place of one that
-    /// the peer dialed.
+    /// Whether a connection that this gateway dialed to the same process is kept, and the inbound
+    /// one is not.
     fn keeps_outbound(&self, peer: &Peer, inbound: &EstablishedConnection) -> bool {
         let dialed_same_process = peer.connection.borrow().as_ref().is_some_and(|connection| {
             connection.direction == Direction::Outbound
                 && connection.instance_id == inbound.instance_id
         });
-        dialed_same_process && self.has_first_name(peer)
+        dialed_same_process && self.local_name_sorts_first(peer)
     }
 
     fn record_failed_handshake(&self, error: &HandshakeError) {
--- a/src/net/fleet/transport/peer.rs
+++ b/src/net/fleet/transport/peer.rs
@@ -1,5 +1,4 @@
-//! A peer as the transport knows it: the frames that wait for it, and its connection if one is
-//! open.
+//! The transport's state for one peer: the queued frames, and the connection if one is open.
 
 use crate::net::fleet::outbox::Outbox;
 use std::cell::{Cell, RefCell};
@@ -7,24 +6,26 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A peer.
+/// The state of one peer.
 pub(super) struct Peer {
-    /// Its name.
     pub(super) name: Rc<str>,
-    /// The frames that wait for it.
+    /// Frames that are queued for the peer.
     pub(super) outbox: RefCell<Outbox>,
-    /// Notified when there is something to write.
+    /// Notified when the writer of the connection has to check the outbox.
     pub(super) writable: Notify,
-    /// The connection that frames are written on, if one is open.
+    /// The connection that frames are written to; `None` if none is open.
     pub(super) connection: RefCell<Option<ConnectionHandle>>,
-    /// Whether a task dials it.
+    /// Whether a dial task is active for the peer. The task also runs the connection that it
+    /// dialed.
     pub(super) dialing: Cell<bool>,
-    /// When a frame other than a heartbeat was last queued for it or received from it.
+    /// When a frame other than a heartbeat or a handshake was last queued for the peer or received
+    /// from it.
     pub(super) last_used: Cell<Instant>,
 }
 
 impl Peer {
-    /// A peer without a connection, with space for `max_queue_bytes` in each lane of its outbox.
+    /// Creates a peer without a connection, with space for `max_queue_bytes` in each lane of its
+    /// outbox.
     pub(super) fn new(name: Rc<str>, max_queue_bytes: usize) -> Peer {
         Peer {
             name,
@@ -36,12 +37,12 @@
         }
     }
 
-    /// Whether a connection is open.
+    /// Whether a connection to the peer is open.
     pub(super) fn is_connected(&self) -> bool {
         self.connection.borrow().is_some()
     }
 
-    /// Whether the open connection was dialed by this side.
+    /// Whether a connection is open that this gateway dialed.
     pub(super) fn is_connected_outbound(&self) -> bool {
         self.connection
             .borrow()
@@ -49,7 +50,7 @@
             .is_some_and(|connection| connection.direction == Direction::Outbound)
     }
 
-    /// Whether there is neither a connection nor a dial, and no frame waits.
+    /// Whether the peer has no connection, no active dial task and no queued frame.
     pub(super) fn is_unused(&self) -> bool {
         !self.is_connected() && !self.dialing.get() && self.outbox.borrow().is_empty()
     }
@@ -58,26 +59,25 @@
 /// Which side dialed a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Direction {
-    /// This side did.
+    /// This gateway dialed it.
     Outbound,
-    /// The peer did.
+    /// The peer dialed it.
     Inbound,
 }
 
-/// An open connection.
+/// The handle to an open connection.
 pub(super) struct ConnectionHandle {
-    /// Distinguishes it from other connections of this transport.
+    /// Unique among the connections of this transport.
     pub(super) id: u64,
-    /// Which side dialed it.
     pub(super) direction: Direction,
     /// The instance id of the process at the other end.
     pub(super) instance_id: u64,
-    /// Asks it to close.
+    /// Requests the close of the connection.
     pub(super) close: Rc<CloseSignal>,
 }
 
-/// Asks a connection to close. Its writing ends between two frames; what the peer has written is
-/// still read.
+/// Requests the close of a connection. The writer stops after the frame that it is writing; frames
+/// that the peer has written are still read.
 #[derive(Default)]
 pub(super) struct CloseSignal {
     requested: Cell<bool>,
@@ -85,18 +85,18 @@
 }
 
 impl CloseSignal {
-    /// Asks the connection to close.
+    /// Requests the close.
     pub(super) fn request(&self) {
         self.requested.set(true);
         self.notify.notify_one();
     }
 
-    /// Whether the connection is asked to close.
+    /// Whether the close was requested.
     pub(super) fn is_requested(&self) -> bool {
         self.requested.get()
     }
 
-    /// Waits until the connection is asked to close.
+    /// Waits until the close is requested.
     pub(super) async fn wait(&self) {
         self.notify.notified().await;
     }
--- a/src/net/fleet/transport/tests.rs
+++ b/src/net/fleet/transport/tests.rs
@@ -1,4 +1,4 @@
-//! The transport against peers that a test scripts, on loopback.
+//! Tests of the transport on loopback, against scripted peers.
 
 use super::handshake::Hello;
 use super::*;
@@ -10,8 +10,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// A wide limit for what has to come about.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Generous limit on how long a test waits for an expected event.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A frame that a transport received.
 #[derive(Debug)]
@@ -20,14 +20,14 @@
     body_bytes: usize,
 }
 
-/// A transport, where it listens, and what it received.
-struct Fixture {
+/// A transport, the address that it listens on, and the frames that it received.
+struct TestTransport {
     transport: Rc<Transport>,
     address: SocketAddr,
     received: Rc<RefCell<Vec<ReceivedFrame>>>,
 }
 
-impl Fixture {
+impl TestTransport {
     fn outbound(&self) -> usize {
         self.transport.connection_counts().outbound
     }
@@ -38,7 +38,7 @@
 
     fn send(&self, to: &str, at: Option<SocketAddr>, body: &[u8]) -> Result<(), SendError> {
         self.transport
-            .send(to, at, Lane::BestEffort, FrameKind::Compare, body)
+            .send(to, at, Lane::BestEffort, FrameKind::AntiEntropy, body)
     }
 
     fn counters(&self) -> TransportCounters {
@@ -46,8 +46,9 @@
     }
 }
 
-/// A transport called `name` with a short heartbeat interval, small outboxes and few connections.
-async fn transport(name: &str, peers: &[(&str, SocketAddr)]) -> Fixture {
+/// Starts a transport called `name` with a short heartbeat interval, small outboxes and few
+/// connections.
+async fn transport(name: &str, peers: &[(&str, SocketAddr)]) -> TestTransport {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let peers: Vec<_> = peers
@@ -69,7 +70,7 @@
         });
     }));
     tokio::task::spawn_local(transport.clone().accept(listener));
-    Fixture {
+    TestTransport {
         transport,
         address,
         received,
@@ -85,14 +86,14 @@
 }
 
 async fn wait_for(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + LIMIT;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "{what} was due");
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// A scripted peer that has sent its hello.
+/// Connects as a scripted peer called `name`, and sends its hello.
 async fn connect(at: SocketAddr, codec: FrameCodec, name: &str, to: &str) -> TcpStream {
     let mut stream = TcpStream::connect(at).await.expect("a listener");
     let hello = Hello {
@@ -107,13 +108,13 @@
                 .expect("it fits"),
         )
         .await
-        .expect("room");
+        .expect("the write succeeds");
     stream
 }
 
-/// Guards the time of other peers and the memory of this gateway: a peer that never reads fills
-/// its own outbox and no more, loses its connection, and delays nobody; one that sends a byte at a
-/// time and one that sends nothing lose theirs.
+/// Guards against a peer that delays the others or uses up this gateway's memory. A peer that never
+/// reads fills only its own outbox, loses its connection and delays no other peer. A peer that
+/// sends one byte at a time and one that sends nothing lose their connections too.
 #[test]
 fn a_peer_that_stalls_or_sends_slowly_loses_only_its_own_connection() {
     run(async {
@@ -121,7 +122,7 @@
         let local = transport("a", &[("b", other.address)]).await;
         let codec = local.transport.codec;
         let _never_reads = connect(local.address, codec, "n", "a").await;
-        wait_for("its connection", || {
+        wait_for("the connection of the peer that never reads", || {
             local.outbound() == 0 && local.inbound() == 1
         })
         .await;
@@ -131,40 +132,44 @@
             rejected += u32::from(
                 local
                     .transport
-                    .send("n", None, Lane::Replication, FrameKind::Compare, &big)
+                    .send("n", None, Lane::Replication, FrameKind::AntiEntropy, &big)
                     .is_err(),
             );
             assert_eq!(
-                local
-                    .transport
-                    .send("b", None, Lane::Replication, FrameKind::Compare, b"small"),
+                local.transport.send(
+                    "b",
+                    None,
+                    Lane::Replication,
+                    FrameKind::AntiEntropy,
+                    b"small"
+                ),
                 Ok(())
             );
             tokio::task::yield_now().await;
         }
-        assert!(rejected > 0, "no limit was reached");
+        assert!(rejected > 0, "the outbox never became full");
         wait_for("all frames at the other peer", || {
             other.received.borrow().len() == 100
         })
         .await;
-        wait_for("the end of the stalled connection", || {
+        wait_for("the close of the stalled connection", || {
             local.counters().timed_out >= 1
         })
         .await;
 
         let mut slow = connect(local.address, codec, "d", "a").await;
         let frame = codec
-            .encode(FrameKind::Compare, &[0; 1000])
+            .encode(FrameKind::AntiEntropy, &[0; 1000])
             .expect("it fits");
         let before = local.counters().timed_out;
         for byte in &frame {
-            // It writes until its connection ends, and never a complete frame in time.
+            // The peer writes until its connection closes, and never completes a frame in time.
             if slow.write_all(&[*byte]).await.is_err() {
                 break;
             }
             sleep(Duration::from_millis(5)).await;
         }
-        wait_for("the end of the slow connection", || {
+        wait_for("the close of the slow connection", || {
             local.counters().timed_out > before
         })
         .await;
@@ -181,17 +186,17 @@
     });
 }
 
-/// Guards the handshake, and versions side by side: a hello that is for, or from, another front
-/// door leads to no connection; one of the next version does, and its frames of an unknown kind are
-/// ignored.
+/// Guards the handshake and the compatibility of versions. A hello that is for or from another
+/// gateway leads to no connection. A hello of the next version does, and frames of an unknown kind
+/// on that connection are ignored.
 #[test]
 fn a_handshake_with_the_wrong_name_fails_and_the_next_version_connects() {
     run(async {
         let other = transport("b", &[]).await;
-        // The address of `x` is now that of `b`.
+        // Gateway `b` now listens at the address that is configured for `x`.
         let local = transport("a", &[("x", other.address)]).await;
         assert_eq!(local.send("x", Some(other.address), b"for x"), Ok(()));
-        wait_for("a hello for another gateway", || {
+        wait_for("the rejection of a hello for another gateway", || {
             other.counters().wrong_name >= 1
         })
         .await;
@@ -209,16 +214,16 @@
         for (kind, content) in [
             (FrameKind::Hello as u16, &hello[..]),
             (999, b"?"),
-            (FrameKind::Compare as u16, b"good"),
+            (FrameKind::AntiEntropy as u16, b"good"),
         ] {
             let frame = local
                 .transport
                 .codec
                 .encode_as(VERSION + 1, kind, content)
                 .expect("it fits");
-            next.write_all(&frame).await.expect("room");
+            next.write_all(&frame).await.expect("the write succeeds");
         }
-        wait_for("its frame", || {
+        wait_for("the frame of the next version", || {
             local
                 .received
                 .borrow()
@@ -230,8 +235,9 @@
     });
 }
 
-/// Guards the number of connections: no more are dialed or accepted than the section allows, the
-/// least recently used one is closed, and two gateways that dial each other keep one.
+/// Guards the limits on connections. No more are dialed or accepted than the configuration allows,
+/// the least recently used one is closed to make room, and two gateways that dial each other at the
+/// same time keep one connection.
 #[test]
 fn connections_stay_within_their_limits_and_simultaneous_dials_keep_one() {
     run(async {
@@ -244,12 +250,12 @@
             wait_for("a frame", || !peer.received.borrow().is_empty()).await;
             assert!(local.outbound() <= 2);
         }
-        wait_for("the end of the least recently used one", || {
+        wait_for("the close of the least recently used connection", || {
             b.transport.connection_counts() == ConnectionCounts::default()
         })
         .await;
-        // Both dial at once: whichever connection is open first, one is left, and frames pass in
-        // both directions.
+        // Both gateways dial at the same time. Whichever connection opens first, one remains, and
+        // frames pass in both directions.
         assert_eq!(local.send("b", Some(b.address), b"1"), Ok(()));
         assert_eq!(b.send("a", Some(local.address), b"2"), Ok(()));
         wait_for("both frames", || {
@@ -263,19 +269,23 @@
         .await;
         wait_for("one connection", || b.outbound() + b.inbound() == 1).await;
 
-        let mut strangers = Vec::new();
+        let mut connections_without_hello = Vec::new();
         for _ in 0..6 {
-            strangers.push(TcpStream::connect(local.address).await.expect("a listener"));
+            connections_without_hello
+                .push(TcpStream::connect(local.address).await.expect("a listener"));
         }
-        wait_for("connections beyond the limit", || {
+        wait_for("the rejection of connections beyond the limit", || {
             local.counters().over_limit >= 3
         })
         .await;
-        // A connection without a hello is sent nothing, and ends.
+        // A connection without a hello receives nothing and is closed.
         let mut rest = Vec::new();
-        let ended = timeout(LIMIT, strangers[0].read_to_end(&mut rest))
-            .await
-            .expect("an end");
+        let ended = timeout(
+            WAIT_TIMEOUT,
+            connections_without_hello[0].read_to_end(&mut rest),
+        )
+        .await
+        .expect("the connection closes");
         assert!(ended.is_err() || rest.is_empty());
     });
 }
@@ -284,7 +294,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Guards the bytes of a hello: gateways of two versions shake hands.
+/// Guards the bytes of a hello, because gateways of two versions have to complete a handshake.
 #[test]
 fn a_hello_keeps_its_bytes_on_the_connection() {
     let body = encode_body(&Hello {
@@ -297,10 +307,10 @@
         let local = transport("a", &[]).await;
         let mut stream = connect(local.address, local.transport.codec, "n", "a").await;
         let mut reply = [0; 29];
-        timeout(LIMIT, stream.read_exact(&mut reply))
+        timeout(WAIT_TIMEOUT, stream.read_exact(&mut reply))
             .await
-            .expect("an answer")
-            .expect("a complete one");
+            .expect("a reply in time")
+            .expect("a complete read");
         assert_eq!(
             hex(&reply),
             "4353000100010000151a27db0000000000000005e2637adc0161016e61"
@@ -308,8 +318,8 @@
     });
 }
 
-/// Guards the bytes of each lane on a connection: the lane decides when a frame goes, and leaves no
-/// mark on it.
+/// Guards the bytes of frames in each lane: the lane decides when a frame is sent, and does not
+/// change its bytes.
 #[test]
 fn a_frame_of_each_lane_keeps_its_bytes_on_the_connection() {
     for lane in [Lane::Consensus, Lane::Replication, Lane::BestEffort] {
@@ -317,22 +327,22 @@
             let local = transport("a", &[]).await;
             let mut stream = connect(local.address, local.transport.codec, "n", "a").await;
             let mut reply = [0; 29];
-            timeout(LIMIT, stream.read_exact(&mut reply))
+            timeout(WAIT_TIMEOUT, stream.read_exact(&mut reply))
                 .await
-                .expect("an answer")
-                .expect("a complete one");
+                .expect("a reply in time")
+                .expect("a complete read");
             let sent = local
                 .transport
-                .send("n", None, lane, FrameKind::Compare, b"body");
+                .send("n", None, lane, FrameKind::AntiEntropy, b"body");
             assert_eq!(sent, Ok(()));
             let mut frame = [0; 28];
-            // Heartbeats have no body and may come before.
+            // Heartbeats have no body and may arrive before the frame.
             loop {
                 let head = &mut frame[..24];
-                timeout(LIMIT, stream.read_exact(head))
+                timeout(WAIT_TIMEOUT, stream.read_exact(head))
                     .await
-                    .expect("a frame")
-                    .expect("a complete one");
+                    .expect("a frame in time")
+                    .expect("a complete read");
                 if head[5] != 2 {
                     break;
                 }
@@ -342,10 +352,10 @@
                 );
             }
             let body = &mut frame[24..];
-            timeout(LIMIT, stream.read_exact(body))
+            timeout(WAIT_TIMEOUT, stream.read_exact(body))
                 .await
-                .expect("a body")
-                .expect("a complete one");
+                .expect("a body in time")
+                .expect("a complete read");
             assert_eq!(
                 hex(&frame),
                 "4353000100110000151a27db0000000000000004641051da626f6479",
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -19,22 +19,22 @@
     cluster.wait_for("all four taken in", |_| {
         (load.gateways_in_rotation() == 4).then_some(())
     });
-    let more = |cluster: &mut Cluster, count: u64| {
+    let wait_for_requests = |cluster: &mut Cluster, count: u64| {
         let until = load.sent() + count;
         cluster.wait_for("more requests", |_| (load.sent() >= until).then_some(()));
     };
-    more(&mut cluster, 50);
+    wait_for_requests(&mut cluster, 50);
     cluster.processes[0].kill();
-    more(&mut cluster, 50);
+    wait_for_requests(&mut cluster, 50);
     cluster.processes[1].signal(Signal::SIGSTOP);
     cluster.start_process(0).expect("a start");
-    more(&mut cluster, 50);
+    wait_for_requests(&mut cluster, 50);
     cluster.processes[1].signal(Signal::SIGCONT);
     cluster.processes[2].signal(Signal::SIGTERM);
     cluster.processes[2].wait_for_exit();
     cluster.start_process(2).expect("a start");
     cluster.wait_until_serving();
-    more(&mut cluster, 50);
+    wait_for_requests(&mut cluster, 50);
     cluster.finish_load(&load);
     let events = cluster.history.events();
     assert_eq!(check::check_all(&events), []);
@@ -52,37 +52,37 @@
 /// again once there is space, and what its predecessor has run is not run again.
 #[test]
 fn a_full_disk_and_a_clock_step_do_not_interrupt_service() {
-    let plan = ClusterConfig {
+    let cluster_config = ClusterConfig {
         processes: 2,
         fleet: None,
         handover: true,
         ..ClusterConfig::default()
     };
-    let mut cluster = Cluster::start(&plan).expect("a cluster");
+    let mut cluster = Cluster::start(&cluster_config).expect("a cluster");
     let load = cluster.start_load(LoadProfile::default());
     cluster.wait_for("both taken in", |_| {
         (load.gateways_in_rotation() == 2).then_some(())
     });
-    let said = |cluster: &mut Cluster, text: &str| {
+    let wait_for_log_line = |cluster: &mut Cluster, text: &str| {
         cluster.wait_for(text, |cluster| {
-            let says = |event: &cometspool_fault_injection::history::Event| {
+            let is_expected_line = |event: &cometspool_fault_injection::history::Event| {
                 event.source == "n0" && event.is_log_line(text)
             };
             cluster
                 .history
-                .read(|events| events.iter().any(says).then_some(()))
+                .read(|events| events.iter().any(is_expected_line).then_some(()))
         });
     };
     cluster.processes[0]
         .reload(|config| config["clock"] = serde_json::json!({"ahead_ms": -3_600_000}))
         .expect("told");
-    said(&mut cluster, "configuration reloaded");
+    wait_for_log_line(&mut cluster, "configuration reloaded");
     cluster.processes[0].set_disk_full(true).expect("a limit");
-    said(&mut cluster, "hand-over suspended");
+    wait_for_log_line(&mut cluster, "hand-over suspended");
     let until = load.sent() + 100;
     cluster.wait_for("more requests", |_| (load.sent() >= until).then_some(()));
     cluster.processes[0].set_disk_full(false).expect("no limit");
-    said(&mut cluster, "hand-over resumed");
+    wait_for_log_line(&mut cluster, "hand-over resumed");
     let file = std::fs::read_to_string(cluster.processes[0].data_folder().join("handover"))
         .expect("the file");
     let ends: Vec<f64> = file
@@ -94,8 +94,11 @@
         .expect("a clock")
         .as_millis();
     // The clock was set back an hour while it ran: its times did not move.
-    let late = |end: &f64| *end > now as f64 - 1_800_000.0;
-    assert!(!ends.is_empty() && ends.iter().all(late), "{file}");
+    let is_not_set_back = |end: &f64| *end > now as f64 - 1_800_000.0;
+    assert!(
+        !ends.is_empty() && ends.iter().all(is_not_set_back),
+        "{file}"
+    );
     cluster.processes[0].kill();
     cluster.start_process(0).expect("a start");
     cluster.wait_until_serving();
@@ -117,12 +120,12 @@
 fn membership_converges_after_kill_pause_partition_and_leave() {
     // With everything enabled that is paced by the number of gateways present.
     let pace = serde_json::json!({"pace": {"discovery": true, "dials": true, "trials": true}});
-    let plan = ClusterConfig {
+    let cluster_config = ClusterConfig {
         processes: 6,
         fleet: Some(pace),
         ..ClusterConfig::default()
     };
-    let mut cluster = Cluster::start(&plan).expect("a cluster");
+    let mut cluster = Cluster::start(&cluster_config).expect("a cluster");
     let load = cluster.start_load(LoadProfile {
         requests_per_s: 40.0,
         ..LoadProfile::default()
@@ -159,7 +162,7 @@
     cluster.finish_load(&load);
     let events = cluster.history.events();
     assert_eq!(check::check_all(&events), []);
-    let saw = |by: &str, change: &str, member: &str| {
+    let count_changes = |by: &str, change: &str, member: &str| {
         let seen = |event: &&cometspool_fault_injection::history::Event| {
             event.source == by
                 && event.kind == "member"
@@ -171,7 +174,10 @@
     for i in 1..6 {
         let by = cometspool_fault_injection::cluster::process_name(i);
         assert_eq!(
-            (saw(&by, "left", "n0"), saw(&by, "failed", "n0") > 1),
+            (
+                count_changes(&by, "left", "n0"),
+                count_changes(&by, "failed", "n0") > 1
+            ),
             (1, false),
             "{by}: leaving is no failure"
         );
@@ -371,20 +377,20 @@
             ],
         ),
     ];
-    for (name, text, acts) in schedules {
+    for (name, text, expected_faults) in schedules {
         let schedule = Schedule::read(text).unwrap_or_else(|error| panic!("{name}: {error}"));
         let outcome = run(&schedule, None, None).expect("a cluster");
         assert_eq!(outcome.violations, [], "{name}");
-        let seen = |act: &&str| {
+        let count_seen = |fault: &&str| {
             let of = |map: &std::collections::BTreeMap<String, u64>| {
-                map.get(*act).copied().unwrap_or_default()
+                map.get(*fault).copied().unwrap_or_default()
             };
             of(&outcome.link_counters) + of(&outcome.event_counts)
         };
-        for act in acts {
+        for fault in expected_faults {
             assert!(
-                seen(act) > 0,
-                "{name}: {act} was not seen in {:?} and {:?}",
+                count_seen(fault) > 0,
+                "{name}: {fault} was not seen in {:?} and {:?}",
                 outcome.link_counters,
                 outcome.event_counts
             );
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -7,23 +7,23 @@
 use std::collections::BTreeSet;
 
 /// Gateways and backends that have to be supported at least.
-const REQUIRED: usize = 1_024;
+const REQUIRED_LENGTH: usize = 1_024;
 /// The length of the lists here.
-const LISTED: usize = 1_500;
+const LIST_LENGTH: usize = 1_500;
 
 /// One gateway accepts a list of 1,500 backends and serves from more than 1,024 of them.
 #[test]
 fn requests_are_spread_over_a_list_of_1500_backends() {
     let config = ClusterConfig {
         processes: 1,
-        backends: LISTED,
+        backends: LIST_LENGTH,
         fleet: None,
         ..ClusterConfig::default()
     };
     let mut cluster = Cluster::new(&config).expect("a cluster");
     // A backend starts up to a largest request behind the others: with small ones all get their turn soon.
     cluster.processes[0].config["settings"]["extra"]["max_units"] = 1.into();
-    for backend in 0..LISTED {
+    for backend in 0..LIST_LENGTH {
         let immediate = BackendBehavior {
             work_ms: 0.0,
             ..BackendBehavior::default()
@@ -37,7 +37,7 @@
         .and_then(|address| address.parse().ok())
         .expect("an address");
     let mut client = ScriptedConnection::connect(address);
-    for i in 0..LISTED + LISTED / 4 {
+    for i in 0..LIST_LENGTH + LIST_LENGTH / 4 {
         client.write(request_with(
             &format!("id-{i}"),
             "read",
@@ -53,7 +53,11 @@
             .map(|event| event.source.clone())
             .collect()
     });
-    assert!(served.len() > REQUIRED, "{} backends served", served.len());
+    assert!(
+        served.len() > REQUIRED_LENGTH,
+        "{} backends served",
+        served.len()
+    );
 }
 
 /// A gateway that is configured with 1,500 peers, and may connect to 1,024 of them, starts, serves, and is found by the
@@ -66,12 +70,12 @@
     };
     let mut cluster = Cluster::new(&cluster_config).expect("a cluster");
     let config = &mut cluster.processes[0].config;
-    config["limits"]["sockets"] = (4 * REQUIRED).into();
-    config["fleet"]["links"] = REQUIRED.into();
+    config["limits"]["sockets"] = (4 * REQUIRED_LENGTH).into();
+    config["fleet"]["links"] = REQUIRED_LENGTH.into();
     let peers = config["fleet"]["peers"].as_array_mut().expect("peers");
     let absent = |i| json!({"name": format!("absent-{i}"), "dial": "127.0.0.1:9"});
-    peers.extend((1..LISTED).map(absent));
-    assert_eq!(peers.len(), LISTED);
+    peers.extend((1..LIST_LENGTH).map(absent));
+    assert_eq!(peers.len(), LIST_LENGTH);
     for process in 0..cluster_config.processes {
         cluster.start_process(process).expect("a start");
     }
