--- a/crates/membership/src/effect.rs
+++ b/crates/membership/src/effect.rs
@@ -37,6 +37,6 @@
         /// The message.
         bytes: Vec<u8>,
     },
-    /// Take note of a change.
+    /// A change to take note of; there is nothing to send.
     Changed(Change),
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,11 @@
 //! Group membership for a fleet: which members appear to be alive.
 //!
-//! [`Membership`] implements SWIM with suspicion (by the `foca` crate), the local health score of
-//! Lifeguard, and anti-entropy. It has no sockets, clocks or threads: the caller passes in
-//! datagrams and the time, and gets back what has to be sent and what has changed. The view is only
-//! a hint: nothing that must not happen twice, or that has to add up across members, may depend on
-//! it. `docs/MEMBERSHIP.md` states the guarantees. [`simulation`] runs any number of members in one
-//! process.
+//! [`Membership`] implements SWIM with suspicion, the local health score of Lifeguard, and
+//! anti-entropy. The SWIM part is the `foca` crate, which comments call the protocol library. This
+//! crate has no sockets, clocks or threads: the caller passes in datagrams and the time, and gets
+//! back what has to be sent and what has changed. The view is only a hint: nothing that must not
+//! happen twice, or that has to add up across members, may depend on it. `docs/MEMBERSHIP.md`
+//! states the guarantees. [`simulation`] runs any number of members in one process.
 
 #![forbid(unsafe_code)]
 
--- a/crates/membership/src/tests.rs
+++ b/crates/membership/src/tests.rs
@@ -1,5 +1,6 @@
-//! The exact bytes of everything that a member sends. Members of different versions run side by
-//! side, so a change of these bytes is a change of the protocol and never a side effect.
+//! Tests of the exact bytes of everything that a member sends. Members of different versions run
+//! side by side, so a change of these bytes is a change of the protocol and must never be a side
+//! effect.
 
 use crate::load::LoadReport;
 use crate::wire::PostcardCodec;
@@ -9,7 +10,7 @@
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        write!(text, "{byte:02x}").expect("a string takes every character");
+        write!(text, "{byte:02x}").expect("writing to a string cannot fail");
         text
     })
 }
@@ -51,8 +52,8 @@
 /// `member("n3", 1)`.
 const MEMBER_N3: &str = "026e3301ef9bafcdf8acd19101000a0000048c470668616c6c2d61010100";
 
-/// Guards the header of a datagram: the sender, its incarnation, the receiver's name and
-/// generation, the message.
+/// Guards the bytes of a datagram's header: the sender, its incarnation, the receiver's name and
+/// generation, and the message.
 #[test]
 fn a_datagram_header_keeps_its_bytes_for_every_message() {
     let n3 = member("n3", 1);
@@ -97,7 +98,7 @@
         let mut bytes = Vec::new();
         PostcardCodec
             .encode_header(&header(message.clone()), &mut bytes)
-            .expect("a vector has room");
+            .expect("a vector has space left");
         assert_eq!(
             hex(&bytes),
             format!("{MEMBER_N1}05026e3207{kind}"),
@@ -112,8 +113,8 @@
     }
 }
 
-/// Guards the update on a member: its identity, its incarnation, and its state, for every state,
-/// flag and kind of address.
+/// Guards the bytes of a member update: the identity, the incarnation and the state, for every
+/// state, flag and kind of address.
 #[test]
 fn a_member_update_keeps_its_bytes_in_every_state() {
     let cases = [
@@ -126,7 +127,7 @@
         let known = foca::Member::new(member.clone(), incarnation, state);
         PostcardCodec
             .encode_member(&known, &mut bytes)
-            .expect("a vector has room");
+            .expect("a vector has space left");
         assert_eq!(hex(&bytes), expected, "{member:?}");
         let update = MemberUpdate {
             member: member.clone(),
@@ -146,7 +147,7 @@
     }
 }
 
-/// Guards the report of a load, which travels behind the updates of a datagram.
+/// Guards the bytes of a load report, which is sent behind the updates of a datagram.
 #[test]
 fn a_load_report_keeps_its_bytes() {
     let report = LoadReport {
@@ -161,7 +162,8 @@
     assert_eq!(read, report);
 }
 
-/// Guards the messages of a comparison, the digest's hash included: both sides compute it.
+/// Guards the bytes of the anti-entropy messages, including the hash of the digest, which both
+/// sides compute.
 #[test]
 fn an_anti_entropy_exchange_keeps_its_bytes_from_the_digest_to_the_last_reply() {
     let configured = vec![Member::at_address(
@@ -181,32 +183,32 @@
         Effect::SendAntiEntropy { bytes, .. } => Some(bytes.clone()),
         _ => None,
     });
-    let digest = digest.expect("it looks for the configured member at once");
+    let digest = digest.expect("the configured member is contacted at once");
     assert_eq!(hex(&digest), "00e5b79af699f58b8a9c01");
 
     let mut second = Membership::new(0.0, member("n3", 1), Vec::new(), Timing::for_size(3), 3, 2);
     let reply = second.handle_anti_entropy(1.0, &digest).reply;
-    let reply = reply.expect("another digest is answered with all that is known");
+    let reply = reply.expect("a differing digest is answered with all known updates");
     assert_eq!(hex(&reply), format!("0101{MEMBER_N3}000001"));
 
     let last = first.handle_anti_entropy(2.0, &reply).reply;
-    let last = last.expect("the other side wants this one's part");
+    let last = last.expect("the other side requested a reply");
     assert_eq!(hex(&last), format!("0102{MEMBER_N3}0000{MEMBER_N1}000000"));
     let outcome = second.handle_anti_entropy(3.0, &last);
     assert_eq!(outcome.reply, None);
-    // Both know the same now: a digest is answered with nothing.
+    // Both know the same members now, so a digest gets no reply.
     let outcome = second.handle_anti_entropy(4.0, &unhex("00a9c1a5dde5e8e6dc49"));
     assert_eq!(outcome.reply, None);
 }
 
-/// Guards a complete datagram as a peer of another version reads it: header, number of updates,
-/// updates, load report.
+/// Guards the bytes of a complete datagram, as a peer of another version decodes it: header, number
+/// of updates, updates, load report.
 #[test]
 fn a_complete_datagram_keeps_its_bytes() {
     let mut bytes = Vec::new();
     PostcardCodec
         .encode_header(&header(Message::Announce), &mut bytes)
-        .expect("a vector has room");
+        .expect("a vector has space left");
     let mut other = Membership::new(0.0, member("n2", 7), Vec::new(), Timing::for_size(3), 3, 2);
     other.report_load(0.0, 250);
     let sent: Vec<String> = other
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -19,7 +19,7 @@
 pub struct View {
     /// Increases by one with each change.
     pub revision: u64,
-    /// Members that are present, this process included, by name.
+    /// Members that are present, which means alive or suspected, by name. This process is included.
     pub present: BTreeMap<Name, Member>,
     /// Members that failed recently and have not rejoined, by name.
     pub failed: BTreeMap<Name, FailedMember>,
--- a/crates/membership/tests/replay.rs
+++ b/crates/membership/tests/replay.rs
@@ -1,10 +1,10 @@
-//! A seed replays the same run: the order of the random draws and of the events is part of what the
-//! figures and a failing seed rely on.
+//! Tests that a seed replays the same run. The published measurements and the replay of a failing
+//! seed rely on the order of the random draws and of the events.
 
 use cometspool_membership::simulation::{DelayRange, NetworkConditions, Simulation};
 use cometspool_membership::{Change, Timing};
 
-/// FNV-1a over 64-bit words.
+/// An FNV-1a hash over 64-bit words.
 struct Fingerprint(u64);
 
 impl Fingerprint {
@@ -15,9 +15,9 @@
     }
 }
 
-/// What a run came to.
+/// The summary of a run.
 #[derive(Debug, PartialEq)]
-struct Outcome {
+struct RunSummary {
     changes: usize,
     datagrams: u64,
     bytes: u64,
@@ -26,9 +26,9 @@
     fingerprint: u64,
 }
 
-fn outcome(sim: &Simulation) -> Outcome {
+fn summarize(simulation: &Simulation) -> RunSummary {
     let mut fingerprint = Fingerprint(0xcbf2_9ce4_8422_2325);
-    for observed in &sim.observed_changes {
+    for observed in &simulation.observed_changes {
         let (kind, member) = match &observed.change {
             Change::Joined(member) => (0, member),
             Change::Left(member) => (1, member),
@@ -46,7 +46,7 @@
             .bytes()
             .for_each(|byte| fingerprint.add(u64::from(byte)));
     }
-    for member in (0..10).filter_map(|index| sim.member(index)) {
+    for member in (0..10).filter_map(|index| simulation.member(index)) {
         let counters = member.counters();
         fingerprint.add(counters.received);
         fingerprint.add(counters.received_bytes);
@@ -58,18 +58,19 @@
         fingerprint.add(member.view().revision);
         fingerprint.add(member.view().failed.len() as u64);
     }
-    let traffic = sim.traffic();
-    Outcome {
-        changes: sim.observed_changes.len(),
+    let traffic = simulation.traffic();
+    RunSummary {
+        changes: simulation.observed_changes.len(),
         datagrams: traffic.datagrams,
         bytes: traffic.bytes,
-        anti_entropy_bytes: sim.anti_entropy_bytes,
-        corrupted: sim.corrupted_datagrams,
+        anti_entropy_bytes: simulation.anti_entropy_bytes,
+        corrupted: simulation.corrupted_datagrams,
         fingerprint: fingerprint.0,
     }
 }
 
-/// Guards the order of draws and events through every kind of fault that the simulation knows.
+/// Guards the order of random draws and of events, under every kind of fault that the simulation
+/// injects.
 #[test]
 fn a_seed_replays_the_same_run_event_by_event() {
     let network = NetworkConditions {
@@ -82,28 +83,28 @@
         corruption: 0.02,
         replay: 0.02,
     };
-    let mut sim = Simulation::new(10, 4, Timing::for_size(10), network, 42);
-    (0..10).for_each(|index| sim.start(index));
-    sim.run_until(30_000.0);
-    sim.report_load(2, 400);
-    sim.kill(3);
-    sim.pause(4, 15_000.0);
-    sim.run_until(70_000.0);
-    sim.start(3);
-    sim.leave(5);
-    sim.partition(&[vec![0, 1, 2], vec![3, 4, 6, 7, 8, 9]]);
-    sim.run_until(130_000.0);
-    sim.blocked_links.clear();
-    sim.set_name(5, "n8");
-    sim.start(5);
-    sim.report_load(7, 900);
-    sim.run_until(200_000.0);
-    sim.wall_clock_offset = -60_000.0;
-    sim.kill(1);
-    sim.start(1);
-    sim.take_over_address(0, 6);
-    sim.run_until(300_000.0);
-    let expected = Outcome {
+    let mut simulation = Simulation::new(10, 4, Timing::for_size(10), network, 42);
+    (0..10).for_each(|index| simulation.start(index));
+    simulation.run_until(30_000.0);
+    simulation.report_load(2, 400);
+    simulation.kill(3);
+    simulation.pause(4, 15_000.0);
+    simulation.run_until(70_000.0);
+    simulation.start(3);
+    simulation.leave(5);
+    simulation.partition(&[vec![0, 1, 2], vec![3, 4, 6, 7, 8, 9]]);
+    simulation.run_until(130_000.0);
+    simulation.blocked_links.clear();
+    simulation.set_name(5, "n8");
+    simulation.start(5);
+    simulation.report_load(7, 900);
+    simulation.run_until(200_000.0);
+    simulation.wall_clock_offset = -60_000.0;
+    simulation.kill(1);
+    simulation.start(1);
+    simulation.take_over_address(0, 6);
+    simulation.run_until(300_000.0);
+    let expected = RunSummary {
         changes: 365,
         datagrams: 14_552,
         bytes: 961_885,
@@ -111,5 +112,5 @@
         corrupted: 270,
         fingerprint: 6_133_508_839_526_921_070,
     };
-    assert_eq!(outcome(&sim), expected);
+    assert_eq!(summarize(&simulation), expected);
 }
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Membership under faults, in simulation. What must come about has a limit in simulated time, so
-//! the machine's speed does not matter.
+//! Tests of membership under faults, in simulation. All time limits are in simulated time, so the
+//! speed of the machine does not matter.
 
 use cometspool_membership::simulation::{DelayRange, Link, NetworkConditions, Simulation};
 use cometspool_membership::{Change, Member, Membership, Millis, Timing};
@@ -7,88 +7,102 @@
 
 const MINUTE: Millis = 60_000.0;
 
-/// A fleet whose members all know each other.
+/// Starts a fleet, and runs it until all members know each other.
 fn start_converged_fleet(
     count: usize,
     peers_each: usize,
     network: NetworkConditions,
     seed: u64,
 ) -> Simulation {
-    let mut sim = Simulation::new(
+    let mut simulation = Simulation::new(
         count,
         peers_each,
         Timing::for_size(count as u32),
         network,
         seed,
     );
-    (0..count).for_each(|node| sim.start(node));
+    (0..count).for_each(|node| simulation.start(node));
     await_convergence(
-        &mut sim,
+        &mut simulation,
         &(0..count).collect::<Vec<_>>(),
         2.0 * MINUTE,
         "after a start",
     );
-    sim
+    simulation
 }
 
-/// Runs until the members on these nodes know each other and nobody else, which has to come about
-/// within a time.
-fn await_convergence(sim: &mut Simulation, nodes: &[usize], within: Millis, when: &str) {
-    let converged = sim.run_while(sim.now + within, |sim| !sim.has_converged(nodes));
+/// Runs until the members on these nodes know each other and nobody else. Fails if that takes
+/// longer than `within`.
+fn await_convergence(simulation: &mut Simulation, nodes: &[usize], within: Millis, when: &str) {
+    let converged = simulation.run_while(simulation.now + within, |simulation| {
+        !simulation.has_converged(nodes)
+    });
     let known: Vec<usize> = nodes
         .iter()
         .map(|node| {
-            sim.member(*node)
+            simulation
+                .member(*node)
                 .map_or(0, |member| member.view().present.len())
         })
         .collect();
     assert!(
         converged,
-        "{when}: of {} members, known are {known:?}",
+        "{when}: of {} members, each has this many in its view: {known:?}",
         nodes.len()
     );
 }
 
-fn count_reported_failures(sim: &Simulation, since: Millis) -> usize {
-    sim.observed_changes
+fn count_reported_failures(simulation: &Simulation, since: Millis) -> usize {
+    simulation
+        .observed_changes
         .iter()
         .filter(|observed| observed.at >= since && matches!(observed.change, Change::Failed(_)))
         .count()
 }
 
-/// Guards the start of a whole fleet at once, the failure of most of it, and a rolling restart of a
-/// tenth at a time.
+/// Guards convergence after three events: a whole fleet starts at once, most of it fails, and a
+/// tenth of it at a time is restarted.
 #[test]
 fn a_fleet_of_300_converges_after_start_mass_failure_and_rolling_restart() {
-    let mut sim = start_converged_fleet(300, 5, NetworkConditions::default(), 1);
+    let mut simulation = start_converged_fleet(300, 5, NetworkConditions::default(), 1);
     let (killed, survivors): (Vec<usize>, Vec<usize>) = (0..300).partition(|node| node % 10 < 7);
-    killed.iter().for_each(|node| sim.kill(*node));
+    killed.iter().for_each(|node| simulation.kill(*node));
     await_convergence(
-        &mut sim,
+        &mut simulation,
         &survivors,
         3.0 * MINUTE,
-        "after seven in ten were killed",
+        "after seven in ten members were killed",
     );
-    killed.iter().for_each(|node| sim.start(*node));
+    killed.iter().for_each(|node| simulation.start(*node));
     let all: Vec<usize> = (0..300).collect();
-    await_convergence(&mut sim, &all, 3.0 * MINUTE, "after they were restarted");
+    await_convergence(
+        &mut simulation,
+        &all,
+        3.0 * MINUTE,
+        "after the killed members were restarted",
+    );
     for tenth in 0..10 {
-        let start = sim.now;
+        let start = simulation.now;
         let part: Vec<usize> = (0..300).filter(|node| node % 10 == tenth).collect();
-        part.iter().for_each(|node| sim.leave(*node));
-        sim.run_until(start + 2000.0);
-        part.iter().for_each(|node| sim.start(*node));
-        await_convergence(&mut sim, &all, 3.0 * MINUTE, "after a tenth was restarted");
-        let failed = count_reported_failures(&sim, start);
+        part.iter().for_each(|node| simulation.leave(*node));
+        simulation.run_until(start + 2000.0);
+        part.iter().for_each(|node| simulation.start(*node));
+        await_convergence(
+            &mut simulation,
+            &all,
+            3.0 * MINUTE,
+            "after a tenth of the members was restarted",
+        );
+        let failed = count_reported_failures(&simulation, start);
         assert!(
             failed <= 300,
-            "{failed} reports of a failure where 30 left and came back"
+            "{failed} reports of a failure, although 30 members left and came back"
         );
     }
 }
 
-/// Guards failure detection on bad links: no member that runs is declared failed, and one that was
-/// killed is.
+/// Guards failure detection on faulty links: no running member is declared failed, and a killed one
+/// is.
 #[test]
 fn loss_duplication_corruption_and_replay_cause_no_false_failure() {
     let network = NetworkConditions {
@@ -98,71 +112,89 @@
         replay: 0.05,
         ..NetworkConditions::default()
     };
-    let mut sim = start_converged_fleet(30, 29, network, 2);
+    let mut simulation = start_converged_fleet(30, 29, network, 2);
     let all: Vec<usize> = (0..30).collect();
-    let start = sim.now;
-    sim.run_until(start + 5.0 * MINUTE);
-    let wrong = count_reported_failures(&sim, start);
-    await_convergence(&mut sim, &all, 2.0 * MINUTE, "under bad links");
-    assert_eq!(wrong, 0, "reports of a failure where nobody failed");
+    let start = simulation.now;
+    simulation.run_until(start + 5.0 * MINUTE);
+    let false_failures = count_reported_failures(&simulation, start);
+    await_convergence(&mut simulation, &all, 2.0 * MINUTE, "on faulty links");
+    assert_eq!(
+        false_failures, 0,
+        "reports of a failure, although no member failed"
+    );
     assert!(
-        sim.corrupted_datagrams > 1000,
-        "only {} were corrupted",
-        sim.corrupted_datagrams
+        simulation.corrupted_datagrams > 1000,
+        "only {} datagrams were corrupted",
+        simulation.corrupted_datagrams
     );
-    sim.kill(7);
+    simulation.kill(7);
     await_convergence(
-        &mut sim,
+        &mut simulation,
         &(0..30).filter(|node| *node != 7).collect::<Vec<_>>(),
         2.0 * MINUTE,
-        "after one was killed",
+        "after one member was killed",
     );
 }
 
-/// Guards partial partitions: a member that receives nothing but is received, and two that reach
-/// each other only through others.
+/// Guards partial partitions. Two members that reach each other only through others are not
+/// declared failed. A member that sends but receives nothing leaves the views of the others, and
+/// rejoins once it receives again.
 #[test]
 fn members_rejoin_after_one_way_loss_and_a_blocked_pair_stays_connected() {
-    let mut sim = start_converged_fleet(12, 11, NetworkConditions::default(), 3);
+    let mut simulation = start_converged_fleet(12, 11, NetworkConditions::default(), 3);
     let all: Vec<usize> = (0..12).collect();
-    sim.blocked_links = [Link { from: 0, to: 2 }, Link { from: 2, to: 0 }].into();
-    let start = sim.now;
-    sim.run_until(start + 3.0 * MINUTE);
+    simulation.blocked_links = [Link { from: 0, to: 2 }, Link { from: 2, to: 0 }].into();
+    let start = simulation.now;
+    simulation.run_until(start + 3.0 * MINUTE);
     assert_eq!(
-        count_reported_failures(&sim, start),
+        count_reported_failures(&simulation, start),
         0,
-        "indirect probes vouch for both"
+        "indirect probes reach both members of the blocked pair"
+    );
+    await_convergence(
+        &mut simulation,
+        &all,
+        MINUTE,
+        "with a blocked pair of members",
     );
-    await_convergence(&mut sim, &all, MINUTE, "with a pair that is cut off");
-    sim.blocked_links = (1..12).map(|from| Link { from, to: 0 }).collect();
+    simulation.blocked_links = (1..12).map(|from| Link { from, to: 0 }).collect();
     let rest: Vec<usize> = (1..12).collect();
     await_convergence(
-        &mut sim,
+        &mut simulation,
         &rest,
         3.0 * MINUTE,
-        "without one that receives nothing",
+        "without the member that receives nothing",
+    );
+    simulation.blocked_links.clear();
+    await_convergence(
+        &mut simulation,
+        &all,
+        3.0 * MINUTE,
+        "after that member receives again",
     );
-    sim.blocked_links.clear();
-    await_convergence(&mut sim, &all, 3.0 * MINUTE, "after it receives again");
 }
 
-/// Guards a process that was paused: it wakes with all its timers due and must not declare the
-/// others failed.
+/// Guards against false failures after a pause. A paused process resumes with all its timers due,
+/// and must not declare the other members failed.
 #[test]
 fn a_paused_member_declares_no_other_member_failed() {
-    let mut sim = start_converged_fleet(10, 9, NetworkConditions::default(), 4);
+    let mut simulation = start_converged_fleet(10, 9, NetworkConditions::default(), 4);
     let all: Vec<usize> = (0..10).collect();
-    let start = sim.now;
-    sim.pause(4, 20_000.0);
-    sim.run_until(start + 20_000.0);
-    await_convergence(&mut sim, &all, 2.0 * MINUTE, "after a pause");
-    let by_it = sim.observed_changes.iter().filter(|observed| {
+    let start = simulation.now;
+    simulation.pause(4, 20_000.0);
+    simulation.run_until(start + 20_000.0);
+    await_convergence(&mut simulation, &all, 2.0 * MINUTE, "after a pause");
+    let failures_it_reported = simulation.observed_changes.iter().filter(|observed| {
         observed.observer == 4
             && observed.at >= start
             && matches!(&observed.change, Change::Failed(_))
     });
-    assert_eq!(by_it.count(), 0, "it declared others failed");
-    let member = sim.member(4).expect("it runs");
+    assert_eq!(
+        failures_it_reported.count(),
+        0,
+        "the paused member declared others failed"
+    );
+    let member = simulation.member(4).expect("the member runs");
     assert!(
         member.counters().stalls >= 1 && member.counters().rejoins >= 1,
         "{:?}",
@@ -170,136 +202,161 @@
     );
 }
 
-/// Guards recovery from a partition: thirds that declared each other failed find each other again
-/// without help.
+/// Guards recovery from a partition: three groups that declared each other failed rejoin without
+/// intervention.
 #[test]
 fn a_partition_into_thirds_heals() {
-    let mut sim = start_converged_fleet(30, 5, NetworkConditions::default(), 5);
+    let mut simulation = start_converged_fleet(30, 5, NetworkConditions::default(), 5);
     let third = |n: usize| (0..30).filter(|node| node % 3 == n).collect::<Vec<usize>>();
-    sim.partition(&[third(0), third(1), third(2)]);
+    simulation.partition(&[third(0), third(1), third(2)]);
     for n in 0..3 {
-        await_convergence(&mut sim, &third(n), 3.0 * MINUTE, "within a third");
+        await_convergence(
+            &mut simulation,
+            &third(n),
+            3.0 * MINUTE,
+            "within one group of the partition",
+        );
     }
-    let reachable = sim.member(0).expect("it runs").view().reachable_fraction();
+    let reachable = simulation
+        .member(0)
+        .expect("the member runs")
+        .view()
+        .reachable_fraction();
     assert!(
         (reachable - 1.0 / 3.0).abs() < 0.01,
         "{reachable} of the fleet is reachable"
     );
-    sim.blocked_links.clear();
+    simulation.blocked_links.clear();
     await_convergence(
-        &mut sim,
+        &mut simulation,
         &(0..30).collect::<Vec<_>>(),
         3.0 * MINUTE,
         "after the partition",
     );
 }
 
-/// Guards names: two processes under one name settle it in the same way everywhere, a restarted one
-/// takes its own name back even with a clock that is set back an hour, and `left` is not `failed`.
+/// Guards the ownership of names. Of two processes under one name, all members choose the same one.
+/// A restarted process takes its own name back, even if its clock was set back by an hour. A member
+/// that left is not reported as failed.
 #[test]
 fn a_name_has_one_holder_and_a_leave_is_not_a_failure() {
-    let mut sim = start_converged_fleet(8, 7, NetworkConditions::default(), 6);
-    sim.run_until(sim.now + 20_000.0);
-    // Node 7 leaves and starts again under the name of node 3, which runs: the later one has it.
-    sim.leave(7);
+    let mut simulation = start_converged_fleet(8, 7, NetworkConditions::default(), 6);
+    simulation.run_until(simulation.now + 20_000.0);
+    // Node 7 leaves and starts again under the name of node 3, which is running. The process that
+    // started later keeps the name.
+    simulation.leave(7);
     await_convergence(
-        &mut sim,
+        &mut simulation,
         &(0..7).collect::<Vec<_>>(),
         MINUTE,
-        "after one left",
+        "after one member left",
     );
-    let left = sim
+    let left = simulation
         .observed_changes
         .iter()
         .filter(|observed| matches!(observed.change, Change::Left(_)))
         .count();
     assert_eq!(
-        (left, count_reported_failures(&sim, 0.0)),
+        (left, count_reported_failures(&simulation, 0.0)),
         (7, 0),
-        "each reports that it left"
+        "each remaining member reports a leave and no failure"
     );
-    sim.set_name(7, "n3");
-    sim.start(7);
-    sim.run_until(sim.now + 2.0 * MINUTE);
+    simulation.set_name(7, "n3");
+    simulation.start(7);
+    simulation.run_until(simulation.now + 2.0 * MINUTE);
     let reported_holders: Vec<u64> = [0, 1, 2, 4, 5, 6, 7]
         .iter()
         .filter_map(|node| {
-            sim.member(*node)?
+            simulation
+                .member(*node)?
                 .view()
                 .present
                 .get("n3")
                 .map(|member| member.instance_id)
         })
         .collect();
-    let winner = sim.member(7).expect("it runs").local_member().instance_id;
-    assert_eq!(reported_holders, [winner; 7]);
+    let later_instance_id = simulation
+        .member(7)
+        .expect("the member runs")
+        .local_member()
+        .instance_id;
+    assert_eq!(reported_holders, [later_instance_id; 7]);
     assert!(
-        sim.member(3).expect("it runs").is_defunct(),
-        "the earlier one takes part no more"
+        simulation.member(3).expect("the member runs").is_defunct(),
+        "the earlier process no longer participates"
     );
-    assert!(sim
+    assert!(simulation
         .observed_changes
         .iter()
         .any(|observed| observed.observer == 3 && matches!(observed.change, Change::NameLost(_))));
-    // Killed and restarted at once, with its clock an hour back: its generation has to go above its
-    // predecessor's.
-    sim.wall_clock_offset = -3_600_000.0;
-    sim.kill(1);
-    sim.start(1);
+    // Node 1 is killed and restarted at once, with its clock set back by an hour. Its generation
+    // has to exceed its predecessor's.
+    simulation.wall_clock_offset = -3_600_000.0;
+    simulation.kill(1);
+    simulation.start(1);
     let rest = [0, 1, 2, 4, 5, 6, 7];
-    sim.run_until(sim.now + MINUTE);
-    let fresh = sim.member(1).expect("it runs").local_member().instance_id;
+    simulation.run_until(simulation.now + MINUTE);
+    let restarted_instance_id = simulation
+        .member(1)
+        .expect("the member runs")
+        .local_member()
+        .instance_id;
     for node in rest {
-        let known = sim.member(node).and_then(|member| {
+        let known = simulation.member(node).and_then(|member| {
             member
                 .view()
                 .present
                 .get("n1")
                 .map(|member| member.instance_id)
         });
-        assert_eq!(known, Some(fresh), "as node {node} knows it");
+        assert_eq!(
+            known,
+            Some(restarted_instance_id),
+            "in the view of node {node}"
+        );
     }
 }
 
-/// Guards addresses: a member that took over another's address does not count as that one. A list
-/// of peers that names only the process itself, or nobody, makes a fleet of one, which others still
-/// find.
+/// Guards against mistaken identity: a member that took over another's address does not count as
+/// that member. Also guards one-sided configurations: a process whose peers are only itself, or
+/// nobody, is a fleet of one that others still find.
 #[test]
 fn a_reused_address_does_not_stand_for_its_previous_member() {
-    let mut sim = start_converged_fleet(6, 5, NetworkConditions::default(), 7);
-    sim.kill(2);
-    sim.take_over_address(5, 2);
+    let mut simulation = start_converged_fleet(6, 5, NetworkConditions::default(), 7);
+    simulation.kill(2);
+    simulation.take_over_address(5, 2);
     await_convergence(
-        &mut sim,
+        &mut simulation,
         &[0, 1, 3, 4, 5],
         2.0 * MINUTE,
-        "without one whose address is another's",
+        "without the member whose address was taken over",
     );
-    assert!(sim
+    assert!(simulation
         .member(0)
-        .expect("it runs")
+        .expect("the member runs")
         .view()
         .failed
         .contains_key("n2"));
-    let mut sim = Simulation::new(4, 3, Timing::for_size(4), NetworkConditions::default(), 8);
-    sim.set_configured_peers(0, vec![]);
-    sim.set_configured_peers(1, vec![1]);
-    sim.set_configured_peers(2, vec![0, 1]);
-    sim.set_configured_peers(3, vec![2]);
-    (0..4).for_each(|node| sim.start(node));
+    let mut simulation =
+        Simulation::new(4, 3, Timing::for_size(4), NetworkConditions::default(), 8);
+    simulation.set_configured_peers(0, vec![]);
+    simulation.set_configured_peers(1, vec![1]);
+    simulation.set_configured_peers(2, vec![0, 1]);
+    simulation.set_configured_peers(3, vec![2]);
+    (0..4).for_each(|node| simulation.start(node));
     await_convergence(
-        &mut sim,
+        &mut simulation,
         &[0, 1, 2, 3],
         MINUTE,
         "with one-sided lists of peers",
     );
 }
 
-/// Guards load reports: repeated as a gateway does, they reach all members, and the latest one
-/// counts even where an earlier one arrives after it.
+/// Guards the dissemination of load reports. Repeated as a gateway does, they reach all members,
+/// and the latest report counts even if an earlier one arrives after it.
 #[test]
 fn load_reports_reach_all_members_and_the_latest_wins() {
-    let mut sim = start_converged_fleet(
+    let mut simulation = start_converged_fleet(
         10,
         9,
         NetworkConditions {
@@ -311,12 +368,16 @@
         },
         9,
     );
-    sim.report_load(2, 100);
+    simulation.report_load(2, 100);
     for _ in 0..30 {
-        sim.run_until(sim.now + 10_000.0);
-        sim.report_load(2, 700);
+        simulation.run_until(simulation.now + 10_000.0);
+        simulation.report_load(2, 700);
     }
-    let known = |node: usize| sim.member(node).and_then(|member| member.load_of("n2"));
+    let known = |node: usize| {
+        simulation
+            .member(node)
+            .and_then(|member| member.load_of("n2"))
+    };
     assert!(
         (0..10).all(|node| known(node) == Some(700)),
         "{:?}",
@@ -327,8 +388,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against arbitrary bytes: none end the process, and those that are not a message
-    /// change nothing.
+    /// Guards against arbitrary bytes: none of them ends the process, and those that are not a
+    /// message change nothing.
     #[test]
     fn arbitrary_bytes_are_dropped_and_counted(
         datagrams in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 1..40),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,12 +1,12 @@
-//! Several processes of the built program under injected faults.
+//! Tests of several gateway processes under injected faults.
 
 use cometspool_fault_injection::load_generator::LoadProfile;
 use cometspool_fault_injection::{check, Cluster, ClusterConfig};
 use nix::sys::signal::Signal;
 
-/// Guards the fault injection itself, on gateways that do not know each other: under load, a
-/// process that is killed, one that is paused and one that shuts down violate no invariant, and
-/// those that run on lose nothing.
+/// Guards the fault injection itself, on gateways that do not know each other. Under load, one
+/// process is killed, one is paused and one shuts down. No invariant is violated, and the processes
+/// that keep running lose no request.
 #[test]
 fn gateways_without_a_fleet_serve_through_kills_pauses_and_shutdowns() {
     let mut cluster = Cluster::start(&ClusterConfig {
@@ -16,7 +16,7 @@
     })
     .expect("a cluster");
     let load = cluster.start_load(LoadProfile::default());
-    cluster.wait_for("all four taken in", |_| {
+    cluster.wait_for("all four gateways in rotation", |_| {
         (load.gateways_in_rotation() == 4).then_some(())
     });
     let wait_for_requests = |cluster: &mut Cluster, count: u64| {
@@ -47,9 +47,9 @@
     );
 }
 
-/// Guards the hand-over file against a disk that is full for a while, and a running gateway
-/// against a clock step: it reports what it cannot hand over, goes on serving, writes the file
-/// again once there is space, and what its predecessor has run is not run again.
+/// Guards the hand-over file against a disk that is full for a while, and a running gateway against
+/// a clock step. The gateway reports that it cannot write the file, keeps serving, and writes the
+/// file again once there is space. Requests that its predecessor has run are not run again.
 #[test]
 fn a_full_disk_and_a_clock_step_do_not_interrupt_service() {
     let cluster_config = ClusterConfig {
@@ -60,7 +60,7 @@
     };
     let mut cluster = Cluster::start(&cluster_config).expect("a cluster");
     let load = cluster.start_load(LoadProfile::default());
-    cluster.wait_for("both taken in", |_| {
+    cluster.wait_for("both gateways in rotation", |_| {
         (load.gateways_in_rotation() == 2).then_some(())
     });
     let wait_for_log_line = |cluster: &mut Cluster, text: &str| {
@@ -75,16 +75,20 @@
     };
     cluster.processes[0]
         .reload(|config| config["clock"] = serde_json::json!({"ahead_ms": -3_600_000}))
-        .expect("told");
+        .expect("the configuration is reloaded");
     wait_for_log_line(&mut cluster, "configuration reloaded");
-    cluster.processes[0].set_disk_full(true).expect("a limit");
+    cluster.processes[0]
+        .set_disk_full(true)
+        .expect("the limit is set");
     wait_for_log_line(&mut cluster, "hand-over suspended");
     let until = load.sent() + 100;
     cluster.wait_for("more requests", |_| (load.sent() >= until).then_some(()));
-    cluster.processes[0].set_disk_full(false).expect("no limit");
+    cluster.processes[0]
+        .set_disk_full(false)
+        .expect("the limit is removed");
     wait_for_log_line(&mut cluster, "hand-over resumed");
     let file = std::fs::read_to_string(cluster.processes[0].data_folder().join("handover"))
-        .expect("the file");
+        .expect("the hand-over file is read");
     let ends: Vec<f64> = file
         .lines()
         .filter_map(|line| line.split(' ').nth(1)?.parse().ok())
@@ -93,7 +97,8 @@
         .duration_since(std::time::UNIX_EPOCH)
         .expect("a clock")
         .as_millis();
-    // The clock was set back an hour while it ran: its times did not move.
+    // The clock was set back by an hour while the gateway ran. The times in the file must not have
+    // moved with it.
     let is_not_set_back = |end: &f64| *end > now as f64 - 1_800_000.0;
     assert!(
         !ends.is_empty() && ends.iter().all(is_not_set_back),
@@ -106,19 +111,20 @@
     assert_eq!(check::check_all(&cluster.history.events()), []);
 }
 
-/// A counter of the transport that a process reported.
-fn transport_counter(cluster: &Cluster, i: usize, name: &str) -> u64 {
+/// Returns a counter of the transport from the last report of a process.
+fn transport_counter(cluster: &Cluster, process: usize, name: &str) -> u64 {
     cluster
-        .last_fleet_report(i)
+        .last_fleet_report(process)
         .and_then(|event| event.fields["way"][name].as_u64())
         .unwrap_or_default()
 }
 
-/// Guards membership on real processes: a start, a kill, a pause beyond all timeouts, a partition
-/// that heals, and a graceful shutdown, under load; requests are served by the rules throughout.
+/// Guards membership on real processes under load, through a start, a kill, a pause longer than all
+/// timeouts, a partition that heals, and a graceful shutdown. Requests are served without a
+/// violated invariant throughout.
 #[test]
 fn membership_converges_after_kill_pause_partition_and_leave() {
-    // With everything enabled that is paced by the number of gateways present.
+    // Enables everything whose rate depends on the number of present gateways.
     let pace = serde_json::json!({"pace": {"discovery": true, "dials": true, "trials": true}});
     let cluster_config = ClusterConfig {
         processes: 6,
@@ -131,8 +137,8 @@
         ..LoadProfile::default()
     });
     let all = [0, 1, 2, 3, 4, 5];
-    cluster.wait_for_agreement(&all, "six that know each other");
-    cluster.wait_for("the loads of all at each", |cluster| {
+    cluster.wait_for_agreement(&all, "six gateways that know each other");
+    cluster.wait_for("the loads of all gateways at each of them", |cluster| {
         let known = |i| {
             cluster.last_fleet_report(i).and_then(|event| {
                 event.fields["members"]["loads"]
@@ -143,28 +149,28 @@
         all.iter().all(|i| known(*i) == Some(6)).then_some(())
     });
     cluster.processes[5].kill();
-    cluster.wait_for_agreement(&all[..5], "five that miss one");
+    cluster.wait_for_agreement(&all[..5], "five gateways after one was killed");
     cluster.start_process(5).expect("a start");
-    cluster.wait_for_agreement(&all, "six again");
+    cluster.wait_for_agreement(&all, "six gateways after the restart");
     cluster.processes[4].signal(Signal::SIGSTOP);
-    cluster.wait_for_agreement(&[0, 1, 2, 3, 5], "five without the one that stands still");
+    cluster.wait_for_agreement(&[0, 1, 2, 3, 5], "five gateways without the paused one");
     cluster.processes[4].signal(Signal::SIGCONT);
-    cluster.wait_for_agreement(&all, "six after it woke");
+    cluster.wait_for_agreement(&all, "six gateways after the pause");
     cluster.partition(&[&[0, 1], &[2, 3], &[4, 5]]);
     for third in [[0, 1], [2, 3], [4, 5]] {
-        cluster.wait_for_agreement(&third, "a third on its own");
+        cluster.wait_for_agreement(&third, "one group of the partition");
     }
     cluster.heal_links();
-    cluster.wait_for_agreement(&all, "six after the split");
+    cluster.wait_for_agreement(&all, "six gateways after the partition");
     cluster.processes[0].signal(Signal::SIGTERM);
     cluster.processes[0].wait_for_exit();
-    cluster.wait_for_agreement(&all[1..], "five after one left");
+    cluster.wait_for_agreement(&all[1..], "five gateways after one left");
     cluster.finish_load(&load);
     let events = cluster.history.events();
     assert_eq!(check::check_all(&events), []);
-    let count_changes = |by: &str, change: &str, member: &str| {
+    let count_changes = |observer: &str, change: &str, member: &str| {
         let seen = |event: &&cometspool_fault_injection::history::Event| {
-            event.source == by
+            event.source == observer
                 && event.kind == "member"
                 && event.text("change") == change
                 && event.text("member") == member
@@ -172,25 +178,25 @@
         events.iter().filter(seen).count()
     };
     for i in 1..6 {
-        let by = cometspool_fault_injection::cluster::process_name(i);
+        let observer = cometspool_fault_injection::cluster::process_name(i);
         assert_eq!(
             (
-                count_changes(&by, "left", "n0"),
-                count_changes(&by, "failed", "n0") > 1
+                count_changes(&observer, "left", "n0"),
+                count_changes(&observer, "failed", "n0") > 1
             ),
             (1, false),
-            "{by}: leaving is no failure"
+            "{observer}: a leave is not a failure"
         );
     }
     assert!(
         cluster.link_counters()["lost"] > 100,
-        "the split acted: {:?}",
+        "the partition lost too few datagrams: {:?}",
         cluster.link_counters()
     );
 }
 
-/// Guards the transport against foreign bytes, and against peers whose frames are corrupted or cut
-/// off: each is counted, ends its connection, and membership goes on.
+/// Guards the transport against foreign bytes, and against peers whose frames are corrupted or
+/// truncated. Each fault is counted and closes its connection, and membership recovers.
 #[test]
 fn foreign_corrupted_and_truncated_frames_are_counted_and_close_their_connection() {
     use std::io::{Read, Write};
@@ -199,24 +205,24 @@
         ..ClusterConfig::default()
     })
     .expect("a cluster");
-    cluster.wait_for_agreement(&[0, 1], "two that know each other");
+    cluster.wait_for_agreement(&[0, 1], "two gateways that know each other");
     let at: std::net::SocketAddr = cluster.processes[0].config["fleet"]["listen"]
         .as_str()
         .unwrap()
         .parse()
         .unwrap();
-    let mut head = b"CS\0\x01\0\x01\0\0".to_vec();
-    head.extend([0; 16]);
+    let mut header = b"CS\0\x01\0\x01\0\0".to_vec();
+    header.extend([0; 16]);
     let foreign: [(&str, Vec<u8>); 3] = [
         ("mark", b"GET / HTTP/1.1\r\nHost: somebody\r\n\r\n".to_vec()),
-        ("fleet", head),
+        ("fleet", header),
         ("silent", b"CS".to_vec()),
     ];
     for (counter, bytes) in foreign {
         let mut stream = std::net::TcpStream::connect(at).expect("a listener");
-        stream.write_all(&bytes).expect("room");
+        stream.write_all(&bytes).expect("the write succeeds");
         let mut rest = Vec::new();
-        // The connection is closed, or reset for bytes that were not read.
+        // The connection is closed, or reset if some bytes were not read.
         let _ = stream.read_to_end(&mut rest);
         assert_eq!(rest, b"", "{counter}: a foreign connection is sent nothing");
         cluster.wait_for(counter, |cluster| {
@@ -226,27 +232,27 @@
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a socket");
     let before = transport_counter(&cluster, 0, "mark");
     socket.send_to(b"no frame", at).expect("sent");
-    cluster.wait_for("a counted datagram", |cluster| {
+    cluster.wait_for("a counter of the malformed datagram", |cluster| {
         (transport_counter(cluster, 0, "mark") > before).then_some(())
     });
-    // From now on one byte of each datagram is changed: checksums detect all of them, and each
-    // declares the other failed.
-    let damaged = cometspool_fault_injection::link::LinkConditions {
+    // From now on one byte of each datagram is changed. The checksums detect every change, so the
+    // two gateways declare each other failed.
+    let corrupting = cometspool_fault_injection::link::LinkConditions {
         corrupt: 1.0,
         ..Default::default()
     };
-    cluster.set_links_between(&[0], &[1], &damaged);
-    cluster.wait_for("damage found", |cluster| {
+    cluster.set_links_between(&[0], &[1], &corrupting);
+    cluster.wait_for("checksum mismatches", |cluster| {
         (transport_counter(cluster, 0, "checksum") + transport_counter(cluster, 1, "checksum") >= 5)
             .then_some(())
     });
-    cluster.wait_for_agreement(&[0], "one alone");
+    cluster.wait_for_agreement(&[0], "one gateway alone");
     cluster.heal_links();
-    cluster.wait_for_agreement(&[0, 1], "two again");
+    cluster.wait_for_agreement(&[0, 1], "two gateways again");
 }
 
-/// Guards a running fleet against an invalid section at SIGHUP: it is reported with its key, and
-/// the old one stays in force.
+/// Guards a running fleet against an invalid fleet section at SIGHUP: the error is reported with
+/// its key, and the previous configuration stays in force.
 #[test]
 fn an_invalid_section_at_sighup_keeps_the_old_configuration() {
     let mut cluster = Cluster::start(&ClusterConfig {
@@ -254,11 +260,11 @@
         ..ClusterConfig::default()
     })
     .expect("a cluster");
-    cluster.wait_for_agreement(&[0, 1], "two that know each other");
+    cluster.wait_for_agreement(&[0, 1], "two gateways that know each other");
     cluster.processes[0]
         .reload(|config| config["fleet"]["links"] = 0.into())
-        .expect("a file");
-    cluster.wait_for("a line on the invalid key", |cluster| {
+        .expect("the configuration is written");
+    cluster.wait_for("a log line on the invalid key", |cluster| {
         let is_reported = |event: &cometspool_fault_injection::history::Event| {
             event.is_log_line("invalid configuration ignored")
                 && event.text("error").contains("fleet.links")
@@ -267,21 +273,21 @@
             .history
             .read(|events| events.iter().any(is_reported).then_some(()))
     });
-    // It still finds the other after that is restarted.
+    // The gateway still finds the other one after that is restarted.
     cluster.processes[1].kill();
-    cluster.wait_for_agreement(&[0], "one alone");
+    cluster.wait_for_agreement(&[0], "one gateway alone");
     cluster.start_process(1).expect("a start");
-    cluster.wait_for_agreement(&[0, 1], "two again");
+    cluster.wait_for_agreement(&[0, 1], "two gateways again");
     assert_eq!(check::no_crash(&cluster.history.events()), []);
 }
 
-/// Guards the start: a fault in the section is reported with its key, on one line, with exit code
-/// 2. A simulated clock error is rejected outside a test.
+/// Guards the check of the configuration at the start: an error in the fleet section is reported
+/// with its key, on one line, with exit code 2. A simulated clock error is rejected outside a test.
 #[test]
 fn an_invalid_fleet_section_at_start_names_its_key() {
     use cometspool_fault_injection::scripted_peers::{default_settings, spawn_with_configuration};
     use serde_json::json;
-    let good = json!({"name": "f", "listen": "127.0.0.1:9", "peers": []});
+    let valid = json!({"name": "f", "listen": "127.0.0.1:9", "peers": []});
     let cases = [
         ("fleet.listen", json!({"listen": "nowhere"})),
         ("fleet.listen", json!({"listen": "127.0.0.1:0"})),
@@ -300,7 +306,7 @@
         ("lnks", json!({"lnks": 3})),
     ];
     for (key, change) in cases {
-        let mut fleet = good.clone();
+        let mut fleet = valid.clone();
         fleet
             .as_object_mut()
             .unwrap()
@@ -333,12 +339,12 @@
     );
 }
 
-/// Guards the invariants under the fixed fault schedules, each of which has to act: the faults that
-/// it names must show in its history.
+/// Guards the invariants under the fixed fault schedules. The faults that a schedule names must
+/// show in its history, so that no schedule passes without having injected them.
 #[test]
 fn fixed_fault_schedules_inject_their_faults_and_violate_no_invariant() {
     use cometspool_fault_injection::schedule::{run, Schedule};
-    // The faults that must show of each schedule: in the counters of the links, or among the
+    // The faults that must show for each schedule, in the counters of the links or among the
     // events.
     let schedules: [(&str, &str, &[&str]); 3] = [
         (
@@ -382,10 +388,10 @@
         let outcome = run(&schedule, None, None).expect("a cluster");
         assert_eq!(outcome.violations, [], "{name}");
         let count_seen = |fault: &&str| {
-            let of = |map: &std::collections::BTreeMap<String, u64>| {
+            let count_in = |map: &std::collections::BTreeMap<String, u64>| {
                 map.get(*fault).copied().unwrap_or_default()
             };
-            of(&outcome.link_counters) + of(&outcome.event_counts)
+            count_in(&outcome.link_counters) + count_in(&outcome.event_counts)
         };
         for fault in expected_faults {
             assert!(
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of many gateways and many backends: neither has a limit below 1,024.
+//! Tests of lists with many gateways and many backends: neither kind has a limit below 1,024.
 
 use cometspool_fault_injection::scripted_peers::*;
 use cometspool_fault_injection::stub_services::BackendBehavior;
@@ -6,12 +6,13 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 
-/// Gateways and backends that have to be supported at least.
+/// Number of gateways and of backends that have to be supported at least.
 const REQUIRED_LENGTH: usize = 1_024;
-/// The length of the lists here.
+/// Length of the lists in these tests.
 const LIST_LENGTH: usize = 1_500;
 
-/// One gateway accepts a list of 1,500 backends and serves from more than 1,024 of them.
+/// Guards against a limit on backends: a gateway accepts a list of 1,500 of them and serves from
+/// more than 1,024.
 #[test]
 fn requests_are_spread_over_a_list_of_1500_backends() {
     let config = ClusterConfig {
@@ -21,7 +22,8 @@
         ..ClusterConfig::default()
     };
     let mut cluster = Cluster::new(&config).expect("a cluster");
-    // A backend starts up to a largest request behind the others: with small ones all get their turn soon.
+    // A backend may start up to one largest request behind the others. With small requests, all
+    // backends soon get their turn.
     cluster.processes[0].config["settings"]["extra"]["max_units"] = 1.into();
     for backend in 0..LIST_LENGTH {
         let immediate = BackendBehavior {
@@ -60,8 +62,8 @@
     );
 }
 
-/// A gateway that is configured with 1,500 peers, and may connect to 1,024 of them, starts, serves, and is found by the
-/// one of them that is running.
+/// Guards against a limit on peers: a gateway that is configured with 1,500 peers, and may connect
+/// to 1,024 of them, starts, serves, and is found by the only one of them that is running.
 #[test]
 fn a_fleet_section_with_1500_peers_is_accepted() {
     let cluster_config = ClusterConfig {
@@ -80,5 +82,5 @@
         cluster.start_process(process).expect("a start");
     }
     cluster.wait_until_serving();
-    cluster.wait_for_agreement(&[0, 1], "agreement of the two");
+    cluster.wait_for_agreement(&[0, 1], "two gateways that know each other");
 }
