--- a/crates/replicated-log/src/client.rs
+++ b/crates/replicated-log/src/client.rs
@@ -1,5 +1,5 @@
-//! A client of the log: numbers its writes, retries them until they are answered, and reports the
-//! result of each.
+//! A client of the log: assigns sequence numbers to its writes, retries them until they are
+//! answered, and reports the result of each.
 
 use crate::entry::Command;
 use crate::message::{Outcome, Request, Response};
@@ -9,33 +9,33 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Replicas that a client remembers at most.
+/// Maximum number of replica names that a client keeps.
 const MAX_REPLICAS: usize = 1_024;
 
 /// The result of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It is acknowledged; this is the state machine's answer.
+    /// The write was applied, with the state machine's answer.
     Acknowledged(Vec<u8>),
-    /// It may have been applied, and will not be from here on.
+    /// The write may have been applied. If it was not applied by now, it never will be.
     Unknown,
 }
 
-/// What the caller has to do for a client.
+/// An action that the caller has to execute for a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientEffect {
-    /// Send a request.
+    /// Send a request to a replica.
     Send {
-        /// The name of the replica.
+        /// The name of the receiving replica.
         replica: String,
-        /// The request.
+        /// The request to send.
         request: Request,
     },
-    /// A write has ended.
+    /// Report the result of a write, which is now complete.
     Ended {
-        /// Its number, as [`Client::write`] returned it.
+        /// The write's sequence number, as [`Client::write`] returned it.
         sequence: u64,
-        /// Its result.
+        /// Whether the write was acknowledged.
         result: WriteResult,
     },
 }
@@ -43,32 +43,33 @@
 /// A write that has been accepted by [`Client::write`].
 #[derive(Debug)]
 pub struct StartedWrite {
-    /// The client's number for it.
+    /// The sequence number that the client assigned to the write.
     pub sequence: u64,
-    /// What has to be done.
+    /// The effects to execute.
     pub effects: Vec<ClientEffect>,
 }
 
 struct PendingWrite {
     payload: Vec<u8>,
-    /// When it was last sent; negative infinity if it is due at once.
+    /// When the write was last sent; negative infinity if it is due at once.
     last_sent: Millis,
-    /// How often it was sent in this session.
+    /// How often the write was sent in this session.
     attempts: u32,
 }
 
-/// A client. It has one session at a time, and opens another when that one expires.
+/// A client of the log. It has one session at a time, and opens a new one when that session
+/// expires.
 pub struct Client {
     replicas: Vec<String>,
-    /// Counts up to the replica that is asked now, modulo the number of replicas.
+    /// Index, modulo the number of replicas, of the replica that currently gets the requests.
     target: usize,
     /// A request without a response for this long is sent to another replica.
     response_timeout: Millis,
     session: Option<u64>,
     session_nonce: u64,
-    /// When it last asked for a session; negative infinity if it may ask at once.
+    /// When a session was last requested; negative infinity if a request may be sent at once.
     session_requested: Millis,
-    /// When it last followed a response that named another leader.
+    /// When the client last followed a `NotLeader` response to another replica.
     last_redirect: Millis,
     next_sequence: u64,
     pending: BTreeMap<u64, PendingWrite>,
@@ -76,7 +77,7 @@
 }
 
 impl Client {
-    /// A client of the replicas of these names. `seed` determines its random choices.
+    /// Creates a client of the replicas with these names. `seed` determines its random choices.
     pub fn new(replicas: Vec<String>, response_timeout: Millis, seed: u64) -> Client {
         let mut rng = StdRng::seed_from_u64(seed);
         let target = rng.random_range(0..replicas.len().max(1));
@@ -94,12 +95,13 @@
         }
     }
 
-    /// The number of writes that have not ended.
+    /// The number of writes whose result is not yet known.
     pub fn pending_writes(&self) -> usize {
         self.pending.len()
     }
 
-    /// Starts a write at `now`; `None` if as many are pending as a session takes.
+    /// Starts a write at `now`. Returns `None` if the client already has as many writes pending as
+    /// the session allows.
     pub fn write(&mut self, now: Millis, payload: Vec<u8>) -> Option<StartedWrite> {
         let span = self.next_sequence - self.answered_below();
         if self.pending.len() as u64 >= SESSION_WINDOW / 2 || span >= SESSION_WINDOW {
@@ -121,12 +123,12 @@
         })
     }
 
-    /// Abandons a write: its result stays unknown.
+    /// Abandons a write, whose result then stays unknown.
     pub fn abandon(&mut self, sequence: u64) {
         self.pending.remove(&sequence);
     }
 
-    /// Replaces the names of the replicas.
+    /// Replaces the list of replica names.
     pub fn set_replicas(&mut self, replicas: Vec<String>) {
         if replicas != self.replicas {
             self.replicas = replicas;
@@ -140,7 +142,7 @@
             .map_or(self.next_sequence, |(sequence, _)| *sequence)
     }
 
-    /// Sends what is due at `now`.
+    /// Sends or retries all requests that are due at `now`.
     pub fn tick(&mut self, now: Millis) -> Vec<ClientEffect> {
         if self.replicas.is_empty() || self.pending.is_empty() {
             return Vec::new();
@@ -158,8 +160,8 @@
         if self.session_requested.is_finite() {
             self.target += 1;
         }
-        // Each request has a nonce of its own: a late response to an earlier one opens a session
-        // that nobody uses, and that expires.
+        // Each request has its own nonce. A late response to an earlier request opens a session
+        // that remains unused and expires.
         self.session_nonce = self.rng.random_range(1..=u64::MAX);
         self.session_requested = now;
         Some(ClientEffect::Send {
@@ -199,7 +201,7 @@
         effects
     }
 
-    /// When [`Client::tick`] is to be called next; `None` while nothing is pending.
+    /// The time at which the caller calls [`Client::tick`] next; `None` while no write is pending.
     pub fn next_tick(&self) -> Option<Millis> {
         if self.session.is_none() {
             let due = self.session_requested + self.response_timeout;
@@ -245,38 +247,44 @@
     fn handle_outcome(&mut self, sequence: u64, outcome: Outcome, effects: &mut Vec<ClientEffect>) {
         match outcome {
             Outcome::Applied(answer) => {
-                self.end(sequence, WriteResult::Acknowledged(answer), effects);
+                self.complete_write(sequence, WriteResult::Acknowledged(answer), effects);
             }
-            Outcome::SessionExpired => self.leave_session(sequence, effects),
-            // Too many are open, or it was answered long ago and the answer was discarded.
-            Outcome::Rejected => self.end(sequence, WriteResult::Unknown, effects),
+            Outcome::SessionExpired => self.handle_session_expired(sequence, effects),
+            // The session has too many writes in flight, or the answer to this write was already
+            // discarded.
+            Outcome::Rejected => self.complete_write(sequence, WriteResult::Unknown, effects),
         }
     }
 
-    fn end(&mut self, sequence: u64, result: WriteResult, effects: &mut Vec<ClientEffect>) {
+    fn complete_write(
+        &mut self,
+        sequence: u64,
+        result: WriteResult,
+        effects: &mut Vec<ClientEffect>,
+    ) {
         if self.pending.remove(&sequence).is_some() {
             effects.push(ClientEffect::Ended { sequence, result });
         }
     }
 
-    /// The session has expired, as the response to the write `answered` reports.
-    fn leave_session(&mut self, answered: u64, effects: &mut Vec<ClientEffect>) {
+    /// Handles the expiry of the session, which the response to the write `answered` reported.
+    fn handle_session_expired(&mut self, answered: u64, effects: &mut Vec<ClientEffect>) {
         self.session = None;
         self.session_requested = f64::NEG_INFINITY;
-        // A write that was sent once, and reported as expired, was not applied: it goes into the
-        // next session. Of one that was sent more often, or has no response yet, an earlier attempt
-        // may have been applied.
-        let may_be_applied = |sequence: u64, write: &PendingWrite| {
+        // A write that was sent once and reported as expired was not applied, so it is sent again
+        // in the next session. An earlier attempt may have been applied if the write was sent more
+        // than once, or if it has no response yet.
+        let may_have_been_applied = |sequence: u64, write: &PendingWrite| {
             write.attempts > 1 || (write.attempts == 1 && sequence != answered)
         };
         let unknown: Vec<u64> = self
             .pending
             .iter()
-            .filter(|(sequence, write)| may_be_applied(**sequence, write))
+            .filter(|(sequence, write)| may_have_been_applied(**sequence, write))
             .map(|(sequence, _)| *sequence)
             .collect();
         for sequence in unknown {
-            self.end(sequence, WriteResult::Unknown, effects);
+            self.complete_write(sequence, WriteResult::Unknown, effects);
         }
         for write in self.pending.values_mut() {
             write.last_sent = f64::NEG_INFINITY;
@@ -285,24 +293,24 @@
     }
 
     fn follow_redirect(&mut self, now: Millis, leader: String) {
-        // Each of many writes brings such a response, and two replicas may each take the other for
-        // the leader: only one is followed in a while, or all pending writes would go to and fro
-        // without end.
+        // Each pending write may cause such a response, and two replicas may each name the other as
+        // leader. Redirects are therefore rate-limited; otherwise all pending writes would bounce
+        // between the two replicas endlessly.
         let is_too_soon = now - self.last_redirect < self.response_timeout / 3.0;
         if !self.replicas.contains(&leader) && self.replicas.len() < MAX_REPLICAS {
-            // The group has changed since this client learned of it.
+            // The group has changed since the client got its list of replicas.
             self.replicas.push(leader.clone());
         }
-        let Some(place) = self.replicas.iter().position(|name| *name == leader) else {
+        let Some(index) = self.replicas.iter().position(|name| *name == leader) else {
             return;
         };
-        if is_too_soon || place == self.target % self.replicas.len() {
+        if is_too_soon || index == self.target % self.replicas.len() {
             return;
         }
         self.last_redirect = now;
-        // What went to another replica is sent to the leader at once. It counts as sent again,
-        // which can only make a result unknown, and never wrong.
-        self.target = place;
+        // Requests that were sent to another replica are sent to the leader at once. Each counts as
+        // a further attempt, which can only make a result unknown, and never wrong.
+        self.target = index;
         self.session_requested = f64::NEG_INFINITY;
         for write in self.pending.values_mut() {
             write.last_sent = f64::NEG_INFINITY;
--- a/crates/replicated-log/src/fault.rs
+++ b/crates/replicated-log/src/fault.rs
@@ -1,12 +1,12 @@
-//! Deliberate faults, with which tests show that the checkers find them. Without the feature
-//! `faults`, which only tests enable, none of them is in the program.
+//! Deliberate faults, with which tests show that the checker finds violations. They are compiled in
+//! only with the feature `faults`, which only tests enable.
 
-/// A rule that is left out.
+/// A deliberate fault: one rule of the protocol that is not followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A leader applies and answers what no majority has accepted.
+    /// A leader applies and answers writes that no majority has accepted.
     RespondBeforeMajority,
-    /// Messages do not wait for the disk writes that they rest on.
+    /// Messages do not wait until the disk writes that they depend on are durable.
     SendBeforeDurable,
     /// A retried write is applied again.
     NoDeduplication,
@@ -14,20 +14,21 @@
     WriteAfterExpiry,
     /// A replica that lost its disk keeps its old identity.
     VoteAfterDataLoss,
-    /// Entries are accepted at any position.
+    /// Fetched entries are accepted at any position.
     EntriesAtAnyPosition,
-    /// A log is founded with any replicas that were heard from, empty or not.
+    /// A log is bootstrapped with any replicas that sent a message, whether their stores are empty
+    /// or not.
     BootstrapWithNonEmpty,
-    /// A replica that lacks compacted entries is sent only what is left.
+    /// A replica that needs compacted entries is sent only the entries that remain.
     SendCompactedEntries,
-    /// The end of a configuration is sent without its last entry.
+    /// The last entry is omitted when the end of a configuration is sent.
     DropLastEntry,
-    /// A snapshot lacks the answers of its sessions.
+    /// A snapshot omits the answers of its sessions.
     SnapshotWithoutSessions,
 }
 
 impl Fault {
-    /// All faults.
+    /// All deliberate faults.
     pub const ALL: [Fault; 10] = [
         Fault::RespondBeforeMajority,
         Fault::SendBeforeDurable,
@@ -41,13 +42,13 @@
         Fault::SnapshotWithoutSessions,
     ];
 
-    /// Whether it is enabled in this thread.
+    /// Whether this fault is enabled in this thread.
     #[cfg(feature = "faults")]
     pub(crate) fn is_enabled(self) -> bool {
         ENABLED.with(|fault| fault.get() == Some(self))
     }
 
-    /// Whether it is enabled: never.
+    /// Always false: faults are not compiled in.
     #[cfg(not(feature = "faults"))]
     pub(crate) fn is_enabled(self) -> bool {
         false
--- a/crates/replicated-log/src/identity.rs
+++ b/crates/replicated-log/src/identity.rs
@@ -1,43 +1,45 @@
-//! Who replicates a log, and the coordinates within it: configurations, positions and leader terms.
+//! The identity of replicas, and the coordinates within a log: configurations, positions and leader
+//! terms.
 
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::ClusterConfig;
 use serde::{Deserialize, Serialize};
 
 /// The identity of a replica: its name and the incarnation of its store. A replica that lost its
-/// store must rejoin under a new identity, because it no longer knows which ballots it promised.
+/// store must rejoin under a new identity, because it no longer knows which ballots it has
+/// promised.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId {
-    /// The name of its gateway.
+    /// The name of the gateway that runs the replica.
     pub name: String,
-    /// Drawn at random when its empty store was created.
+    /// Random number that was chosen when the empty store was created.
     pub incarnation: u64,
 }
 
-/// The voters of a log from one reconfiguration to the next.
+/// The voters of a log between two reconfigurations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Counts the configurations of a log, from one.
+    /// The number of this configuration. Configurations of a log are numbered from one.
     pub number: u32,
-    /// The voters; a voter's id is its place in this list, counted from one.
+    /// The voters. A voter's id is its one-based index in this list.
     pub voters: Vec<ReplicaId>,
 }
 
 impl Configuration {
-    /// The voter id of a replica, or `None` if it has no vote here.
+    /// The voter id of a replica, or `None` if it has no vote in this configuration.
     pub fn voter_id(&self, replica: &ReplicaId) -> Option<u64> {
         self.voters
             .iter()
             .position(|voter| voter == replica)
-            .map(|place| place as u64 + 1)
+            .map(|index| index as u64 + 1)
     }
 
-    /// Whether a replica has a vote here.
+    /// Whether a replica has a vote in this configuration.
     pub fn has_voter(&self, replica: &ReplicaId) -> bool {
         self.voters.contains(replica)
     }
 
-    /// The voter with an id.
+    /// The voter with this voter id, or `None` if there is none.
     pub fn voter(&self, voter_id: u64) -> Option<&ReplicaId> {
         self.voters
             .get(usize::try_from(voter_id).ok()?.checked_sub(1)?)
@@ -48,7 +50,7 @@
         self.voters.len() / 2 + 1
     }
 
-    /// The same configuration as the agreement library describes it.
+    /// The configuration in the consensus library's form.
     pub(crate) fn to_cluster(&self) -> ClusterConfig {
         ClusterConfig {
             configuration_id: self.number,
@@ -58,23 +60,24 @@
     }
 }
 
-/// A position in the log: a configuration, and the number of its entries that come before.
+/// A position in the log: a configuration, and the number of its entries that precede the position.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// The configuration's number.
+    /// The number of the configuration.
     pub configuration: u32,
-    /// Entries of that configuration before this position.
+    /// The number of entries of that configuration before this position.
     pub index: u64,
 }
 
-/// A term of leadership. Only the leader of the current term advances the log's time.
+/// A leader's term, identified by its ballot. Only the leader of the current term advances the
+/// log's time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaderTerm {
-    /// The configuration's number.
+    /// The number of the configuration.
     pub configuration: u32,
-    /// The number of the leader's ballot.
+    /// The number of the leader's ballot within the configuration.
     pub ballot: u32,
     /// The leader's voter id.
     pub voter_id: u64,
--- a/crates/replicated-log/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -1,13 +1,14 @@
-//! A replicated, ordered log: a group of replicas agrees on the order of its entries, and each
-//! applies them to a state machine.
+//! A replicated log: a group of replicas reaches consensus on the order of its entries, and each
+//! replica applies the decided entries to a state machine.
 //!
-//! The crate is sans-I/O: messages, completed disk writes and the time go in; records to write,
-//! messages to send and responses come out as effects. The caller owns sockets, disks and clocks.
-//! `docs/REPLICATED_LOG.md` states what is guaranteed and what is not.
+//! The crate is sans-I/O. The caller passes in messages, completed disk writes and the current
+//! time; the crate returns effects: records to write, messages to send and responses to clients.
+//! The caller owns sockets, disks and clocks. `docs/REPLICATED_LOG.md` states what is guaranteed
+//! and what is not.
 
 mod client;
 mod entry;
-// Public for tests, which enable faults.
+// Public so that tests can enable faults.
 pub mod fault;
 mod identity;
 mod log;
@@ -15,7 +16,7 @@
 mod replica;
 mod replicated_state;
 mod settings;
-// Public for tests, and for the binary that measures figures.
+// Public for tests and for the binary that measures latencies.
 pub mod simulation;
 mod state_machine;
 mod store;
--- a/crates/replicated-log/src/log/mod.rs
+++ b/crates/replicated-log/src/log/mod.rs
@@ -1,4 +1,4 @@
-//! The log of one configuration, in memory. Each change is also kept as a record for the disk.
+//! The in-memory log of one configuration. Each change is also queued as a record for the disk.
 
 mod record;
 mod storage;
@@ -10,32 +10,32 @@
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::StopSign;
 
-/// The log of one configuration.
+/// The log of one configuration: ballots, entries and the stop sign.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
-    /// The highest ballot that this replica promised to follow.
+    /// The highest ballot that this replica has promised.
     pub highest_ballot: Option<Ballot>,
-    /// The ballot of the latest accepted entries.
+    /// The ballot in which entries were last accepted.
     pub accepted_ballot: Option<Ballot>,
-    /// The number of decided entries, the stop sign counted.
+    /// The number of decided entries, including the stop sign.
     pub decided: u64,
-    /// The index of the first entry that is still here; the ones before it were compacted.
+    /// The index of the first entry that is not compacted.
     pub first_index: u64,
     /// The entries from `first_index` on.
     pub entries: Vec<Entry>,
-    /// The entry that ends the configuration, if it was accepted.
+    /// The stop sign that ends the configuration, if one was accepted.
     pub stop_sign: Option<StopSign>,
-    /// What has changed since this was last taken for the disk.
+    /// Records of changes that have not yet been issued to the disk.
     pub unwritten: Vec<LogRecord>,
 }
 
 impl Log {
-    /// The index after the last entry, the stop sign not counted.
+    /// The index after the last entry, excluding the stop sign.
     pub(crate) fn end_index(&self) -> u64 {
         self.first_index + self.entries.len() as u64
     }
 
-    /// The number of accepted entries, the stop sign counted.
+    /// The number of accepted entries, including the stop sign.
     pub(crate) fn accepted_index(&self) -> u64 {
         self.end_index() + u64::from(self.stop_sign.is_some())
     }
@@ -47,7 +47,7 @@
             .filter(|_| self.decided > self.end_index())
     }
 
-    /// The decided entries from an index on; none if that index was compacted.
+    /// The decided entries from an index on. Empty if that index is already compacted.
     pub(crate) fn decided_from(&self, from: u64) -> &[Entry] {
         let end = self.decided.min(self.end_index());
         if from < self.first_index || from >= end {
@@ -69,7 +69,7 @@
             return;
         }
         if index > self.end_index() {
-            // Something else was decided in place of the end that this log accepted.
+            // Other entries were decided in place of the suffix that this log had accepted.
             self.stop_sign = None;
         }
         let discarded = ((index - self.first_index) as usize).min(self.entries.len());
@@ -77,24 +77,25 @@
         self.first_index = index;
     }
 
-    /// Marks the whole log as part of a state that was fetched, of which nothing was accepted from
-    /// a leader. It counts as accepted in a ballot below those of all leaders, the same on every
-    /// replica: so it is no leader's claim, and of two such logs the longer is the later.
+    /// Marks the whole log as fetched: it was taken from a peer's decided state, and was not
+    /// accepted from a leader. The log counts as accepted in a ballot that is lower than that of
+    /// any leader and the same on every replica. It therefore supports no leader's proposal, and of
+    /// two such logs the longer one is the later one.
     ///
-    /// Why no acknowledged write is lost by it: the entry before the first index is decided, by a
-    /// majority without this replica, as its log was shorter. So of any majority that includes this
-    /// replica, another member has all entries up to the first index, in a leader's ballot or in
-    /// this one.
-    pub(crate) fn accept_fetched_state(&mut self) {
+    /// No acknowledged write is lost by this. The entry before the first index was decided by a
+    /// majority without this replica, because this replica's log was shorter. So any majority that
+    /// includes this replica has another member with all entries up to the first index, accepted in
+    /// a leader's ballot or in this lowest ballot.
+    pub(crate) fn mark_as_fetched(&mut self) {
         let lowest = Ballot::with(0, 0, 1, 0);
         self.accepted_ballot = Some(lowest);
         self.unwritten.push(LogRecord::AcceptedBallot(lowest));
     }
 
-    /// Inserts decided entries that were fetched. They begin within the log or at its end.
+    /// Inserts decided entries that were fetched. They must begin within the log or at its end.
     pub(crate) fn insert_decided(&mut self, from: u64, entries: Vec<Entry>) {
         let to = from + entries.len() as u64;
-        // Entries beyond them that this replica accepted stay.
+        // Accepted entries after the inserted ones are kept.
         let beyond = self
             .entries
             .get(to.saturating_sub(self.first_index) as usize..)
@@ -102,7 +103,7 @@
             .to_vec();
         if to > self.end_index() {
             self.record(LogRecord::StopSign(None));
-            self.accept_fetched_state();
+            self.mark_as_fetched();
         }
         self.record(LogRecord::Entries {
             from,
@@ -112,7 +113,8 @@
     }
 
     fn replace_from(&mut self, from: u64, mut entries: Vec<Entry>) {
-        // Compacted entries are decided, and the same on every replica.
+        // Compacted entries are decided and therefore the same on every replica, so they are
+        // skipped.
         let compacted = self
             .first_index
             .saturating_sub(from)
@@ -123,7 +125,7 @@
         self.entries.extend(entries);
     }
 
-    /// Applies a record as when it was made.
+    /// Applies a record to this log without queueing it for the disk.
     pub(crate) fn replay(&mut self, record: LogRecord) {
         match record {
             LogRecord::Checkpoint(checkpoint) => {
@@ -142,13 +144,13 @@
         }
     }
 
-    /// Applies a record, and keeps it for the disk.
+    /// Applies a record and queues it for the disk.
     fn record(&mut self, record: LogRecord) {
         self.unwritten.push(record.clone());
         self.replay(record);
     }
 
-    /// The records that make up this log, for a store that is rewritten.
+    /// The records that reproduce this log when a store is rewritten.
     pub(crate) fn to_records(&self) -> Vec<LogRecord> {
         let mut records = Vec::new();
         records.extend(self.highest_ballot.map(LogRecord::HighestBallot));
--- a/crates/replicated-log/src/log/record.rs
+++ b/crates/replicated-log/src/log/record.rs
@@ -1,4 +1,4 @@
-//! The records of which a store consists.
+//! The records that a store consists of.
 
 use crate::entry::Entry;
 use crate::identity::{Configuration, Position};
@@ -6,40 +6,40 @@
 use omnipaxos::storage::StopSign;
 use serde::{Deserialize, Serialize};
 
-/// The state at which a log begins, in place of all entries before it.
+/// A snapshot of the state at which a log begins. It replaces all earlier entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// Identifies the log.
+    /// The id of the log.
     pub log_id: u64,
-    /// The configuration.
+    /// The configuration at `position`.
     pub configuration: Configuration,
-    /// The position of the state.
+    /// The position up to which entries are applied to the state.
     pub position: Position,
-    /// A snapshot of the state.
+    /// The encoded [`ReplicatedState`](crate::ReplicatedState).
     pub state: Vec<u8>,
 }
 
 /// One change of a replica's durable state. Records that are written together become durable
-/// together or not at all.
+/// atomically.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LogRecord {
-    /// A configuration begins, or the log was compacted: earlier records no longer count.
+    /// A configuration begins, or the log was compacted. This record supersedes all earlier ones.
     Checkpoint(Checkpoint),
-    /// The replica has started; starts are counted.
+    /// The replica has started, for the given number of times.
     Started(u64),
-    /// The highest ballot that this replica promised to follow.
+    /// The highest ballot that this replica has promised.
     HighestBallot(Ballot),
-    /// The ballot of the latest accepted entries.
+    /// The ballot in which entries were last accepted.
     AcceptedBallot(Ballot),
-    /// The number of decided entries.
+    /// The number of decided entries, including the stop sign.
     Decided(u64),
-    /// The entries from an index on; any that were there before are replaced.
+    /// Entries from an index on. They replace all entries that were there before.
     Entries {
-        /// The index of the first.
+        /// The index of the first entry.
         from: u64,
         /// The entries, in order.
         entries: Vec<Entry>,
     },
-    /// The entry that ends the configuration, if there is one.
+    /// The stop sign that ends the configuration; `None` if there is none any more.
     StopSign(Option<StopSign>),
 }
--- a/crates/replicated-log/src/log/storage.rs
+++ b/crates/replicated-log/src/log/storage.rs
@@ -1,4 +1,4 @@
-//! The log as the agreement library's storage.
+//! Implements the consensus library's `Storage` trait for the log.
 
 use super::{Log, LogRecord};
 use crate::entry::{EmptySnapshot, Entry};
@@ -7,7 +7,7 @@
 use std::cell::{Ref, RefCell, RefMut};
 use std::rc::Rc;
 
-/// The log, shared between the agreement library and its replica.
+/// The log, shared between the consensus library and its replica.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedLog(Rc<RefCell<Log>>);
 
@@ -30,8 +30,8 @@
     }
 }
 
-// Nothing here can fail: whether the disk accepts a record is known later, and no message that
-// rests on it is sent before.
+// No operation here can fail. The disk reports the result of a write later, and no message that
+// depends on a record is sent before the record is durable.
 impl Storage<Entry> for SharedLog {
     fn write_atomically(&mut self, operations: Vec<StorageOp<Entry>>) -> StorageResult<()> {
         operations
@@ -124,8 +124,8 @@
         Ok(self.borrow().stop_sign.clone())
     }
 
-    // The replica itself records a compaction, together with the state that replaces the discarded
-    // entries.
+    // The replica records a compaction itself, together with the snapshot that replaces the
+    // discarded entries.
     fn trim(&mut self, index: usize) -> StorageResult<()> {
         self.borrow_mut().discard_before(index as u64);
         Ok(())
--- a/crates/replicated-log/src/message.rs
+++ b/crates/replicated-log/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between replicas, and between clients and replicas. They are encoded with postcard, by
-//! the order of fields and variants.
+//! Messages between replicas, and between clients and replicas. They are encoded with postcard,
+//! which depends on the order of fields and variants.
 
 use crate::entry::{Command, Entry};
 use crate::identity::{Configuration, Position, ReplicaId};
@@ -7,15 +7,16 @@
 use omnipaxos::messages::Message;
 use serde::{Deserialize, Serialize};
 
-/// What came of a write.
+/// The outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was applied and is acknowledged; this is the state machine's answer.
+    /// The write was applied and is acknowledged, with the state machine's answer.
     Applied(Vec<u8>),
-    /// Its session has expired: this attempt was not applied and will not be. An earlier attempt
-    /// may have been.
+    /// The session has expired. This attempt was not applied and never will be; an earlier attempt
+    /// may have been applied.
     SessionExpired,
-    /// Not applied: the session has too many writes open, or this one was answered long ago.
+    /// The write was not applied: the session has too many writes in flight, or the answer to this
+    /// write has already been discarded.
     Rejected,
 }
 
@@ -24,64 +25,64 @@
 pub enum Request {
     /// Opens a session.
     OpenSession {
-        /// Drawn by the client, so that it recognises the response.
+        /// Random number chosen by the client, by which it recognises the response.
         nonce: u64,
     },
-    /// Writes.
+    /// Submits a write.
     Write(Command),
 }
 
 /// A response from a replica to a client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
-    /// A request for a session was handled.
+    /// The outcome of a request for a session.
     SessionOpened {
-        /// The number that the client drew.
+        /// The nonce of the request.
         nonce: u64,
-        /// The session; `None` if too many are open.
+        /// The number of the new session; `None` if too many sessions are open.
         session: Option<u64>,
     },
-    /// A write was handled.
+    /// The outcome of a write.
     Written {
-        /// Its session.
+        /// The session of the write.
         session: u64,
-        /// Its number in the session.
+        /// The write's sequence number.
         sequence: u64,
-        /// What came of it.
+        /// Whether the write was applied, with its answer.
         outcome: Outcome,
     },
-    /// The replica does not lead.
+    /// The replica is not the leader; the request was not accepted.
     NotLeader {
         /// The name of the leader, if one is known.
         leader: Option<String>,
     },
-    /// The replica leads and has as many undecided entries as it allows; the request was not
-    /// accepted.
+    /// The replica is the leader and has reached its limit of undecided entries or waiting
+    /// requests. The request was not accepted.
     Busy,
 }
 
-/// How much of the log a voter has accepted, and in which ballot.
+/// The prefix of the log that a voter has accepted, and the ballot in which it accepted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AcceptedPrefix {
-    /// The highest ballot in which it accepted.
+    /// The highest ballot in which the voter accepted entries.
     pub ballot: Ballot,
-    /// The number of entries that it accepted.
+    /// The number of accepted entries.
     pub length: u64,
 }
 
-/// The most that is known of what a voter promised and accepted, from its own messages.
+/// The latest known promises and accepted entries of a voter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct VoterProgress {
-    /// The number of the configuration that the rest refers to.
+    /// The number of the configuration that the ballots and entries belong to.
     pub configuration: u32,
-    /// The highest ballot that it promised to follow.
+    /// The highest ballot that the voter has promised.
     pub highest_ballot: Ballot,
-    /// What it accepted.
+    /// The entries that the voter has accepted.
     pub accepted: AcceptedPrefix,
 }
 
 impl VoterProgress {
-    /// The later of both in each part. Both must be of one configuration.
+    /// Merges two reports of one configuration: keeps the higher value of each field.
     pub(crate) fn merge(self, other: VoterProgress) -> VoterProgress {
         VoterProgress {
             configuration: self.configuration.max(other.configuration),
@@ -91,102 +92,106 @@
     }
 }
 
-/// A snapshot that a replica can send.
+/// Describes a snapshot that the sender can transfer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SnapshotOffer {
-    /// Where its state stands.
+    /// The position up to which entries are applied to the snapshot.
     pub position: Position,
-    /// Its length in bytes.
+    /// The length of the encoded snapshot in bytes.
     pub length: u64,
-    /// The CRC-32C of its bytes.
+    /// The CRC-32C of the encoded snapshot.
     pub checksum: u32,
-    /// The configuration at its position.
+    /// The configuration at the snapshot's position.
     pub configuration: Configuration,
 }
 
-/// A part of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// The position of the snapshot.
+    /// The position of the snapshot that the chunk belongs to.
     pub position: Position,
-    /// Where in the snapshot these bytes begin.
+    /// The offset of the chunk in the encoded snapshot, in bytes.
     pub offset: u64,
-    /// The bytes.
+    /// The bytes of the chunk.
     pub bytes: Vec<u8>,
 }
 
 /// A message between replicas.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A message of the agreement library, for the envelope's configuration.
+    /// A message of the consensus library. It belongs to the configuration that the envelope names.
     Paxos(Message<Entry>),
-    /// The sender has restarted and asks what the receiver knows of it, before it takes part again.
+    /// The sender has restarted and queries what the receiver knows of its promises, before it
+    /// votes again.
     RecoveryQuery,
-    /// What the sender knows of the receiver.
+    /// The sender's answer to a recovery query: what it knows of the receiver's promises.
     RecoveryReply(VoterProgress),
-    /// The sender's store is empty; it may found a log with the replicas of these names, if all of
-    /// them are empty too.
+    /// The sender's store is empty. It may bootstrap a log together with these founders if all of
+    /// their stores are empty.
     Uninitialized {
-        /// The names of all founders, the sender's among them.
+        /// The names of all founders, including the sender.
         founders: Vec<String>,
     },
-    /// The first configuration, from the founder whose name sorts first.
+    /// The first configuration of a new log, sent by the founder whose name sorts first, or by
+    /// another voter that has it.
     Bootstrap(Configuration),
-    /// Asks for the entries after a position.
+    /// Requests the decided entries after a position.
     FetchEntries {
-        /// The position; `None` from a replica that has no state yet.
+        /// The receiver sends the entries after this position; `None` from a replica that has no
+        /// state yet.
         after: Option<Position>,
     },
-    /// Decided entries.
+    /// Decided entries that follow a position.
     Entries {
-        /// The position that was asked for; the entries follow it.
+        /// The requested position, directly before the first of these entries.
         after: Position,
-        /// The entries, in order.
+        /// The entries in log order.
         entries: Vec<Entry>,
-        /// The next configuration, if this one ends after these entries.
+        /// The next configuration, if the current one ends after these entries.
         next_configuration: Option<Configuration>,
     },
-    /// The entries are no longer there; a snapshot is.
+    /// The requested entries are compacted; a snapshot is available instead.
     SnapshotOffer(SnapshotOffer),
-    /// Asks for a chunk of a snapshot.
+    /// Requests a chunk of a snapshot.
     SnapshotRequest {
-        /// The position of the snapshot.
+        /// The position of the snapshot that the chunk belongs to.
         position: Position,
-        /// Where the chunk begins, in bytes.
+        /// The offset at which the chunk begins, in bytes.
         offset: u64,
     },
-    /// That chunk.
+    /// The requested chunk of a snapshot.
     SnapshotChunk(SnapshotChunk),
-    /// How far the sender's log is, for a receiver that lags or has no vote.
+    /// The sender's position, for a receiver that lags or has no vote.
     PositionNotice(Position),
-    /// The sender has no vote, has this much of the log, and is ready to become a voter.
+    /// The sender has no vote, has applied entries up to this position, and is ready to become a
+    /// voter.
     Standby(Position),
 }
 
-/// The order of a replica's messages. A message that is not above the last one from its sender is
-/// stale.
+/// Orders the messages of one replica. A message whose number is not higher than that of the last
+/// message from its sender is stale.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MessageNumber {
-    /// How often the sender has started with its store.
+    /// How often the sender has started with its store, the current start included.
     pub start: u64,
-    /// Counts its messages since that start.
+    /// The number of the message, counted from one since that start.
     pub sequence: u64,
 }
 
-/// A message with what the receiver checks before it handles it.
+/// A message between replicas, with the header fields that the receiver checks first.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Identifies the log; zero from a sender that belongs to none yet.
+    /// The id of the log; zero if the sender belongs to no log yet.
     pub log_id: u64,
     /// The number of the sender's configuration.
     pub configuration: u32,
-    /// Who sends it.
+    /// The identity of the sender.
     pub sender: ReplicaId,
-    /// Its place among the sender's messages.
+    /// The number that orders this message among the sender's messages.
     pub number: MessageNumber,
-    /// The first entry that the sender's log still holds: a receiver that has not decided all
-    /// before it must fetch them.
+    /// The index of the first entry that is not compacted in the sender's log. A receiver that has
+    /// not decided all entries before this index must fetch them.
     pub first_index: u64,
-    /// The message.
+    /// The content of the envelope.
     pub message: PeerMessage,
 }
--- a/crates/replicated-log/src/replica/agreement.rs
+++ b/crates/replicated-log/src/replica/agreement.rs
@@ -1,5 +1,4 @@
-//! Messages of the agreement library: which are handed to it, and what is corrected in them on the
-//! way.
+//! Filters and corrects incoming messages before they reach the consensus library.
 
 use super::{Phase, Replica};
 use crate::entry::Entry;
@@ -14,7 +13,7 @@
 use omnipaxos::OmniPaxos;
 
 impl<M: StateMachine> Replica<M> {
-    pub(super) fn handle_agreement(
+    pub(super) fn handle_paxos_message(
         &mut self,
         sender: &ReplicaId,
         configuration: u32,
@@ -27,8 +26,8 @@
         let Phase::Voter(paxos) = &mut self.phase else {
             return;
         };
-        if lacks_compacted_entries(&self.log.borrow(), &message) {
-            // Compacted entries cannot be sent: the sender fetches a snapshot first, and then
+        if needs_compacted_entries(&self.log.borrow(), &message) {
+            // Compacted entries cannot be sent. The sender first fetches a snapshot, and then
             // repeats this message.
             self.send_position(sender);
             return;
@@ -43,9 +42,10 @@
                         return;
                     }
                 }
-                // The library ignores a stop sign that it has accepted and receives again, so that
-                // a lost acknowledgement is never repeated (0.2.4, `handle_accept_stopsign` and its
-                // sequence numbers). Synchronizing with the leader anew repeats it.
+                // The library ignores a stop sign that it has already accepted and receives again,
+                // so a lost acknowledgement is never repeated (0.2.4, `handle_accept_stopsign` and
+                // its sequence numbers). A new synchronization with the leader repeats the
+                // acknowledgement.
                 PaxosMsg::AcceptStopSign(accept)
                     if is_accepted_in(&self.log.borrow(), accept.n) =>
                 {
@@ -58,8 +58,8 @@
         paxos.handle_incoming(message);
     }
 
-    /// Whether a message is of the own configuration, and its voter ids are those of its sender and
-    /// of this replica.
+    /// Whether a message belongs to the current configuration, and its voter ids match its sender
+    /// and this replica.
     fn is_between_voters(
         &self,
         sender: &ReplicaId,
@@ -74,7 +74,7 @@
             && own.voter_id(&self.id) == Some(message.get_receiver())
     }
 
-    /// Records what a message tells of its sender's promises.
+    /// Records what a message reveals of its sender's promises and accepted entries.
     fn record_progress_in(&mut self, sender: &ReplicaId, message: &Message<Entry>) {
         let Message::SequencePaxos(message) = message else {
             return;
@@ -98,8 +98,8 @@
     }
 }
 
-/// Whether the sender of a message would have to be sent entries that are compacted here.
-fn lacks_compacted_entries(log: &Log, message: &Message<Entry>) -> bool {
+/// Whether the sender of a message needs entries that are already compacted here.
+fn needs_compacted_entries(log: &Log, message: &Message<Entry>) -> bool {
     let Message::SequencePaxos(message) = message else {
         return false;
     };
@@ -111,11 +111,12 @@
     (decided as u64) < log.first_index && !Fault::SendCompactedEntries.is_enabled()
 }
 
-/// Corrects the promise of a voter that comes after the majority's. If the voter last accepted in
-/// the same ballot as the majority's longest log, the library would send it entries from the end of
-/// that log on. But its state may have been fetched and reach further, and this log be compacted
-/// beyond: so the voter is made to look as if it had accepted in another ballot, and is sent what
-/// follows its decided entries.
+/// Corrects a promise that arrives after a majority has already promised. If the voter last
+/// accepted entries in the same ballot as the longest log of that majority, the library would send
+/// it entries only from the end of that log on. But the leader's state may have been fetched and
+/// reach further, with the log compacted beyond that point. The promise is therefore changed to
+/// name another accepted ballot, so that the library sends all entries after the voter's decided
+/// index.
 fn sync_from_decided_index(paxos: &OmniPaxos<Entry, SharedLog>, promise: &mut Promise<Entry>) {
     let ballot = paxos.get_promise();
     let is_leader = paxos.get_current_leader() == Some((paxos.get_pid(), true));
@@ -124,17 +125,17 @@
     }
 }
 
-/// Corrects the log that a leader sends. Returns whether there is anything in it to accept.
+/// Corrects the log suffix that a leader sends. Returns whether it contains anything to accept.
 fn correct_accept_sync(log: &Log, sync: &mut AcceptSync<Entry>) -> bool {
     let log_sync = &mut sync.log_sync;
-    // The library counts an accepted stop sign as an entry, and begins the next one after it: the
-    // stop sign is counted twice, and the accepted log seems one entry longer than it is (0.2.4,
-    // `send_accsync`), so that it could never be decided.
+    // The library counts an accepted stop sign as an entry, and starts the next suffix after it.
+    // The stop sign is then counted twice, and the accepted log appears one entry longer than it is
+    // (0.2.4, `send_accsync`), so that the stop sign could never be decided.
     if log_sync.suffix.is_empty() {
         log_sync.sync_idx = log_sync.sync_idx.min(log.end_index() as usize);
     }
-    // Entries that were fetched meanwhile are not written again, and an answer to what is no longer
-    // missing is of no use.
+    // Entries that were fetched in the meantime are not written again. If all entries of the suffix
+    // and more are already decided here, the message is outdated.
     let decided = log.decided.min(log.end_index()) as usize;
     let known = decided.saturating_sub(log_sync.sync_idx);
     if known > log_sync.suffix.len() {
@@ -145,7 +146,7 @@
     true
 }
 
-/// Whether a stop sign has been accepted in this ballot.
+/// Whether a stop sign has been accepted and `ballot` is the accepted ballot.
 fn is_accepted_in(log: &Log, ballot: Ballot) -> bool {
     log.stop_sign.is_some() && log.accepted_ballot == Some(ballot)
 }
--- a/crates/replicated-log/src/replica/bootstrap.rs
+++ b/crates/replicated-log/src/replica/bootstrap.rs
@@ -1,4 +1,4 @@
-//! How a log is founded, and how a replica becomes a voter of a configuration.
+//! Bootstrap of a new log, and the entry of a replica into a configuration as a voter.
 
 use super::{Phase, Replica};
 use crate::fault::Fault;
@@ -17,7 +17,8 @@
             if *name == self.id.name {
                 continue;
             }
-            // Messages are addressed by name: whichever incarnation runs under it receives them.
+            // Messages are addressed by name only: the incarnation that currently runs under the
+            // name receives them.
             let to = ReplicaId {
                 name: name.clone(),
                 incarnation: 0,
@@ -29,8 +30,9 @@
         }
     }
 
-    /// A peer has an empty store. A log is founded only where all founders are known to be empty;
-    /// it is never founded again for a replica that lost its store.
+    /// Handles the announcement of a peer whose store is empty. A log is bootstrapped only if all
+    /// founders are known to be empty. It is never bootstrapped again for a replica that lost its
+    /// store.
     pub(super) fn handle_uninitialized(&mut self, sender: &ReplicaId, founders: &[String]) {
         match (&self.phase, &self.configuration) {
             (Phase::Empty, _) => {
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Founds a log once all founders are known to be empty, if this replica's name sorts first
+    /// Bootstraps a log once all founders are known to be empty, if this replica's name sorts first
     /// among them.
     fn found_log_if_ready(&mut self) {
         let voters = self.uninitialized_founders();
@@ -57,10 +59,9 @@
         }
     }
 
-    /// The founders that are known to be empty, this replica among them, in the order of their
-    /// names.
+    /// The founders that are known to be empty, including this replica, sorted by name.
     fn uninitialized_founders(&self) -> Vec<ReplicaId> {
-        // A peer whose last message was of another kind has a log, or knows of one.
+        // A peer whose last message was of another kind already has a log or knows of one.
         let accepts_all = Fault::BootstrapWithNonEmpty.is_enabled();
         let mut peers: Vec<_> = self
             .peers
@@ -68,7 +69,8 @@
             .filter(|(_, peer)| peer.is_uninitialized || accepts_all)
             .filter(|(id, _)| self.founders.contains(&id.name))
             .collect();
-        // Of several incarnations under one name, the one whose message came last is the one that runs.
+        // Of several incarnations under one name, only the one with the latest message is still
+        // running.
         peers.sort_by(|a, b| b.1.last_received.total_cmp(&a.1.last_received));
         let mut founders = vec![self.id.clone()];
         for (id, _) in peers {
@@ -80,7 +82,7 @@
         founders
     }
 
-    /// Another founder has founded the log.
+    /// Handles the first configuration, sent by the founder that bootstrapped the log.
     pub(super) fn handle_bootstrap(&mut self, log_id: u64, configuration: Configuration) {
         let is_founder = configuration.number == 1 && configuration.has_voter(&self.id);
         if matches!(self.phase, Phase::Empty) && is_founder && log_id != 0 {
@@ -89,8 +91,8 @@
         }
     }
 
-    /// Becomes a voter of a configuration in which it has never voted, from the index on at which
-    /// its state stands.
+    /// Becomes a voter of a configuration in which this replica has never voted. Its state contains
+    /// all entries before `index`.
     pub(super) fn enter_configuration(&mut self, configuration: Configuration, index: u64) {
         let position = Position {
             configuration: configuration.number,
@@ -105,11 +107,11 @@
         });
         {
             let mut log = self.log.borrow_mut();
-            // Records of the previous configuration no longer count.
+            // The checkpoint supersedes the records of the previous configuration.
             log.replay(checkpoint.clone());
             log.unwritten = vec![checkpoint, LogRecord::Started(self.start_count)];
             if index > 0 {
-                log.accept_fetched_state();
+                log.mark_as_fetched();
             }
         }
         self.snapshot = Some(Snapshot::new(position, configuration.clone(), state));
@@ -120,7 +122,7 @@
         self.start_voting();
     }
 
-    /// Takes part in the agreement, from what the log holds.
+    /// Starts to vote, with the log as it stands.
     pub(super) fn start_voting(&mut self) {
         let Some(configuration) = &self.configuration else {
             return;
@@ -135,7 +137,8 @@
             ..ServerConfig::default()
         };
         self.led_term = None;
-        // The library rejects only a configuration of a single voter, which is never created.
+        // The consensus library rejects only a configuration of a single voter, which is never
+        // created.
         let cluster = configuration.to_cluster();
         if let Ok(paxos) = cluster.build_for_server(server, self.log.clone()) {
             self.phase = Phase::Voter(Box::new(paxos));
--- a/crates/replicated-log/src/replica/catch_up.rs
+++ b/crates/replicated-log/src/replica/catch_up.rs
@@ -1,5 +1,5 @@
-//! How a replica that lags, or has no vote, gets the entries that it lacks, and how it serves
-//! others.
+//! Catching up: how a replica that lags or has no vote fetches the entries that it lacks, and how
+//! other replicas serve it.
 
 use super::{Phase, Replica};
 use crate::entry::Entry;
@@ -12,13 +12,13 @@
 use crate::transfer::{CatchUp, CatchUpSource, PreviousConfiguration, Snapshot};
 use rand::RngExt;
 
-/// Bytes that an entry counts for in a reply, beside its payload.
+/// Estimated size of an entry in a reply without its payload, in bytes.
 const ENTRY_OVERHEAD: usize = 32;
-/// Response timeouts after which a snapshot counts as stalled if none of it has arrived.
+/// A snapshot transfer counts as stalled after this many response timeouts without progress.
 const STALL_FACTOR: f64 = 4.0;
 
 impl<M: StateMachine> Replica<M> {
-    /// Begins to catch up from a peer, unless it already does so from another.
+    /// Starts to catch up from a peer, unless another source is already chosen.
     pub(super) fn catch_up_from(&mut self, now: Millis, source: &ReplicaId) {
         if self.catch_up.source.is_none() {
             self.set_source(now, source.clone());
@@ -33,12 +33,12 @@
         });
     }
 
-    /// The time between two requests, as long as they are answered.
+    /// The interval between two requests while the source answers.
     fn request_interval(&self) -> Millis {
         self.settings.timing.response_timeout / 2.0
     }
 
-    /// Asks for what is missing, a chunk at a time.
+    /// Requests the next missing entries or the next chunk of a snapshot.
     pub(super) fn request_missing(&mut self, now: Millis) {
         self.drop_silent_source(now);
         self.choose_source(now);
@@ -62,7 +62,8 @@
         self.send(&to, message);
     }
 
-    /// Gives up a source that no longer answers. What has arrived of a snapshot stays.
+    /// Drops a source that made no progress within the response timeout. The chunks of a snapshot
+    /// that have already arrived are kept.
     fn drop_silent_source(&mut self, now: Millis) {
         let timeout = self.settings.timing.response_timeout;
         self.catch_up
@@ -70,15 +71,15 @@
             .take_if(|source| now - source.last_progress > timeout);
     }
 
-    /// Chooses a random voter to catch up from, if this replica is a learner and has no source.
+    /// If this replica is a learner without a source, chooses a random voter to catch up from.
     fn choose_source(&mut self, now: Millis) {
         let is_learner = matches!(self.phase, Phase::Learner);
         if self.catch_up.source.is_some() || !is_learner || now < self.catch_up.next_request {
             return;
         }
         let voters = self.other_voters();
-        let place = self.rng.random_range(0..voters.len().max(1));
-        match voters.get(place) {
+        let index = self.rng.random_range(0..voters.len().max(1));
+        match voters.get(index) {
             Some(voter) => self.set_source(now, voter.clone()),
             None => {
                 self.catch_up.next_request = now + self.request_interval();
@@ -87,8 +88,9 @@
         }
     }
 
-    /// Sends entries after a position if they are here, else an offer of a snapshot.
-    pub(super) fn answer_fetch(&mut self, to: &ReplicaId, after: Option<Position>) {
+    /// Answers with the entries after a position if this replica still has them, and otherwise with
+    /// an offer of a snapshot.
+    pub(super) fn handle_fetch_entries(&mut self, to: &ReplicaId, after: Option<Position>) {
         let Some(configuration) = &self.configuration else {
             return;
         };
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Entries of the own configuration.
+    /// Entries of this replica's current configuration after a position.
     fn entries_after(&self, after: Position, configuration: u32) -> Option<PeerMessage> {
         let log = self.log.borrow();
         let is_voter = matches!(self.phase, Phase::Voter(_));
@@ -118,12 +120,15 @@
         }
         Some(PeerMessage::Entries {
             after,
-            entries: self.limit_to_reply(log.decided_from(after.index)).to_vec(),
+            entries: self
+                .limit_to_reply_size(log.decided_from(after.index))
+                .to_vec(),
             next_configuration: None,
         })
     }
 
-    /// Entries of the previous configuration, with the one that follows it if they reach its end.
+    /// Entries of the previous configuration after a position. If they reach its end, the reply
+    /// also has the configuration that follows.
     fn previous_entries_after(&self, after: Position) -> Option<PeerMessage> {
         let previous = self.previous_configuration.as_ref()?;
         if after.configuration != previous.number || after.index < previous.first_index {
@@ -133,7 +138,7 @@
             .entries
             .get((after.index - previous.first_index) as usize..)
             .unwrap_or_default();
-        let entries = self.limit_to_reply(rest);
+        let entries = self.limit_to_reply_size(rest);
         let reaches_end = entries.len() == rest.len();
         Some(PeerMessage::Entries {
             after,
@@ -142,8 +147,9 @@
         })
     }
 
-    /// As many entries from the front as one reply holds; at least one, however large it is.
-    fn limit_to_reply<'a>(&self, entries: &'a [Entry]) -> &'a [Entry] {
+    /// The longest prefix of `entries` that fits into one reply. It has at least one entry, however
+    /// large that entry is.
+    fn limit_to_reply_size<'a>(&self, entries: &'a [Entry]) -> &'a [Entry] {
         let mut remaining = self.settings.limits.chunk_bytes;
         let mut count = 0;
         for entry in entries {
@@ -161,7 +167,7 @@
         &entries[..count.max(1).min(entries.len())]
     }
 
-    pub(super) fn answer_snapshot_request(
+    pub(super) fn handle_snapshot_request(
         &mut self,
         to: &ReplicaId,
         position: Position,
@@ -179,17 +185,22 @@
         self.send(to, message);
     }
 
-    pub(super) fn handle_offer(&mut self, now: Millis, sender: ReplicaId, offer: SnapshotOffer) {
+    pub(super) fn handle_snapshot_offer(
+        &mut self,
+        now: Millis,
+        sender: ReplicaId,
+        offer: SnapshotOffer,
+    ) {
         if self.configuration.is_some() && offer.position <= self.position() {
             return;
         }
         let stalled_since = now - STALL_FACTOR * self.settings.timing.response_timeout;
-        self.catch_up.offered(now, stalled_since, offer);
+        self.catch_up.consider_offer(now, stalled_since, offer);
         self.set_source(now, sender);
         self.catch_up.next_request = now + self.settings.timing.chunk_interval;
     }
 
-    pub(super) fn handle_chunk(&mut self, now: Millis, chunk: &SnapshotChunk) {
+    pub(super) fn handle_snapshot_chunk(&mut self, now: Millis, chunk: &SnapshotChunk) {
         if let Some(source) = &mut self.catch_up.source {
             source.last_progress = now;
         }
@@ -205,7 +216,7 @@
         }
     }
 
-    /// Applies decided entries that a peer has sent.
+    /// Applies decided entries that a peer has sent for this replica's position.
     pub(super) fn handle_entries(
         &mut self,
         now: Millis,
@@ -214,8 +225,9 @@
         entries: Vec<Entry>,
         next_configuration: Option<Configuration>,
     ) {
-        let is_elsewhere = after != self.position() && !Fault::EntriesAtAnyPosition.is_enabled();
-        if is_elsewhere || matches!(self.phase, Phase::Empty | Phase::Recovering(_)) {
+        let is_other_position =
+            after != self.position() && !Fault::EntriesAtAnyPosition.is_enabled();
+        if is_other_position || matches!(self.phase, Phase::Empty | Phase::Recovering(_)) {
             return;
         }
         self.catch_up = CatchUp {
@@ -230,20 +242,21 @@
         if matches!(self.phase, Phase::Voter(_)) && has_entries {
             self.log.borrow_mut().insert_decided(after.index, entries);
             if next_configuration.is_none() {
-                // The agreement continues from there, with what this replica has accepted beyond.
+                // Consensus resumes after the fetched entries, and keeps the entries beyond them
+                // that this replica has accepted.
                 self.start_voting();
             }
         }
         if let Some(next) = next_configuration {
             self.leave_configuration(next);
         } else if has_entries {
-            // A peer that had some may have more.
+            // A peer that sent entries may have more.
             self.set_source(now, sender);
             self.catch_up.next_request = now;
         }
     }
 
-    /// Replaces the own state by that of a snapshot, if it is later.
+    /// Replaces this replica's state by that of a snapshot, if the snapshot is later.
     fn install(&mut self, snapshot: Snapshot, state: ReplicatedState<M>) {
         let is_same_configuration = self
             .configuration
@@ -254,13 +267,13 @@
         }
         let is_voter = snapshot.configuration.has_voter(&self.id);
         if is_voter && matches!(self.phase, Phase::Recovering(_)) {
-            // It first has to learn what its peers know of it.
+            // A recovering replica first has to learn from its peers what it has promised.
             return;
         }
         self.state = state;
         self.applied = snapshot.position.index;
         match &self.phase {
-            Phase::Voter(_) if is_same_configuration => self.skip_to(snapshot),
+            Phase::Voter(_) if is_same_configuration => self.install_as_voter(snapshot),
             _ if is_voter => {
                 self.enter_configuration(snapshot.configuration, snapshot.position.index);
             }
@@ -268,14 +281,15 @@
         }
     }
 
-    /// Keeps the vote and its promises, and of the log what the snapshot does not cover.
-    fn skip_to(&mut self, snapshot: Snapshot) {
+    /// Installs a snapshot of the current configuration as a voter. The vote, its promises and the
+    /// entries after the snapshot are kept.
+    fn install_as_voter(&mut self, snapshot: Snapshot) {
         let index = snapshot.position.index;
         {
             let mut log = self.log.borrow_mut();
             log.unwritten.clear();
             if index > log.end_index() {
-                log.accept_fetched_state();
+                log.mark_as_fetched();
             }
             log.discard_before(index);
             log.decided = log.decided.max(index);
@@ -285,14 +299,15 @@
         self.start_voting();
     }
 
-    /// Goes on without a vote, from the state of a snapshot.
+    /// Continues as a learner, from the state of a snapshot.
     fn become_learner(&mut self, snapshot: Snapshot) {
         self.configuration = Some(snapshot.configuration.clone());
         self.snapshot = Some(snapshot);
         self.phase = Phase::Learner;
     }
 
-    /// The configuration has ended, and all of it is applied to the state.
+    /// Moves to the next configuration, once all entries of the current one are applied to the
+    /// state.
     pub(super) fn leave_configuration(&mut self, next: Configuration) {
         self.keep_previous_configuration(&next);
         if next.has_voter(&self.id) {
@@ -308,7 +323,7 @@
         self.log.borrow_mut().unwritten.clear();
     }
 
-    /// Keeps the end of the configuration for voters that missed it.
+    /// Keeps the last entries of the configuration, for voters that missed its end.
     fn keep_previous_configuration(&mut self, next: &Configuration) {
         let Some(configuration) = &self.configuration else {
             return;
--- a/crates/replicated-log/src/replica/client_requests.rs
+++ b/crates/replicated-log/src/replica/client_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients.
+//! Handling of client requests.
 
 use super::{Effect, Phase, Replica};
 use crate::entry::Entry;
@@ -6,7 +6,7 @@
 use crate::settings::Millis;
 use crate::state_machine::StateMachine;
 
-/// Identifies a request that clients wait for.
+/// Identifies a request for which clients wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RequestKey {
     session: u64,
@@ -18,7 +18,8 @@
         RequestKey { session, sequence }
     }
 
-    /// The key of a request for a session. No session has the number zero.
+    /// The key of a request for a session. Session numbers start at one, so the key uses session
+    /// zero.
     pub(super) fn open_session(nonce: u64) -> RequestKey {
         RequestKey {
             session: 0,
@@ -28,19 +29,19 @@
 }
 
 impl<M: StateMachine> Replica<M> {
-    /// Handles a request from a client that arrived at `now`.
+    /// Handles a client's request that arrived at `now`.
     pub fn request(&mut self, now: Millis, client: &str, request: Request) -> Vec<Effect> {
         let mut effects = Vec::new();
         if let Some(response) = self.accept_request(client, request) {
             self.respond(client.to_owned(), response);
         }
-        self.settle(now, &mut effects);
+        self.process_ready(now, &mut effects);
         effects
     }
 
-    /// Appends a request to the log, or returns the response to it.
+    /// Proposes a request to the log, or returns an immediate response to it.
     fn accept_request(&mut self, client: &str, request: Request) -> Option<Response> {
-        if let Some(response) = self.known_response(&request) {
+        if let Some(response) = self.cached_response(&request) {
             return Some(response);
         }
         let not_leader = Response::NotLeader {
@@ -67,7 +68,8 @@
                 Entry::Write(command),
             ),
         };
-        // A reconfiguration is under way: it is over soon, and the next leader accepts the request.
+        // The library rejects entries only during a reconfiguration. The client retries, and the
+        // next leader accepts the request.
         if paxos.append(entry).is_err() {
             return Some(not_leader);
         }
@@ -78,8 +80,8 @@
         None
     }
 
-    /// The response to a write whose outcome is already known.
-    fn known_response(&self, request: &Request) -> Option<Response> {
+    /// The response to a write whose outcome is already known from the state.
+    fn cached_response(&self, request: &Request) -> Option<Response> {
         let Request::Write(command) = request else {
             return None;
         };
@@ -91,7 +93,7 @@
         })
     }
 
-    /// Whether as many entries are undecided, or as many requests waited for, as the limits allow.
+    /// Whether the number of undecided entries or of waiting requests has reached its limit.
     fn is_busy(&self) -> bool {
         let limit = self.settings.limits.undecided_entries;
         self.undecided_entries() >= limit || self.waiting_clients.len() as u64 >= 2 * limit
--- a/crates/replicated-log/src/replica/compaction.rs
+++ b/crates/replicated-log/src/replica/compaction.rs
@@ -1,4 +1,4 @@
-//! Compaction: a snapshot of the state takes the place of old entries.
+//! Log compaction: a snapshot of the state replaces the oldest entries.
 
 use super::{Phase, Replica};
 use crate::identity::Position;
@@ -7,7 +7,7 @@
 use crate::transfer::Snapshot;
 
 impl<M: StateMachine> Replica<M> {
-    /// Compacts the log if it has grown to its limit.
+    /// Compacts the log if it has reached `Limits::log_entries`.
     pub(super) fn compact(&mut self) {
         let (first_index, end_index) = {
             let log = self.log.borrow();
@@ -22,7 +22,7 @@
         if end_index - first_index < limits.log_entries || compact_to <= first_index {
             return;
         }
-        // The library refuses only what is not decided, and this is.
+        // The library rejects compaction only of undecided entries, and these are decided.
         if paxos.snapshot(Some(compact_to as usize), true).is_err() {
             return;
         }
@@ -35,7 +35,7 @@
         self.rewrite_store();
     }
 
-    /// Records the latest snapshot and the log as a store that is written anew.
+    /// Queues records that rewrite the store with the latest snapshot and the current log.
     pub(super) fn rewrite_store(&mut self) {
         let Some(snapshot) = &self.snapshot else {
             return;
--- a/crates/replicated-log/src/replica/effect.rs
+++ b/crates/replicated-log/src/replica/effect.rs
@@ -1,34 +1,36 @@
-//! What a replica starts with, what it asks its caller to do, and the roles that it can have.
+//! The input with which a replica starts, the effects that it asks its caller to execute, and its
+//! roles.
 
 use crate::identity::ReplicaId;
 use crate::log::LogRecord;
 use crate::message::{Envelope, Response};
 use crate::store::LoadedStore;
 
-/// What a replica starts with.
+/// What a replica starts with: an empty store or a loaded one.
 #[derive(Debug)]
 pub enum Start {
-    /// An empty store, or none: a new identity.
+    /// An empty store or no store at all, under a new identity.
     Empty {
-        /// The new identity.
+        /// The identity of the replica, with an incarnation that was never used before.
         id: ReplicaId,
-        /// The names of the replicas with which it may found a log, its own among them. It looks
-        /// for an existing log among them in any case.
+        /// The names of the replicas, this one included, that may bootstrap a log together. The
+        /// replica first looks for an existing log among them.
         founders: Vec<String>,
     },
-    /// A store that was read.
+    /// A store that was read from the disk.
     Stored {
-        /// Its content.
+        /// The decoded store.
         store: Box<LoadedStore>,
-        /// As for an empty store.
+        /// The names of the replicas that may bootstrap a log together, as for an empty store.
         founders: Vec<String>,
     },
 }
 
-/// What the caller has to do for a replica, in the order in which it is returned.
+/// An action that the caller has to execute for a replica. Effects are executed in the order in
+/// which they are returned.
 #[derive(Debug)]
 pub enum Effect {
-    /// Append records to the store and flush them to the disk; then call
+    /// Append records to the store, flush them to the disk, and then call
     /// [`Replica::written`](super::Replica::written).
     Append {
         /// The number to report.
@@ -36,8 +38,8 @@
         /// The records, to become durable together.
         records: Vec<LogRecord>,
     },
-    /// Write a new store that holds only these records, and atomically replace the old one by it;
-    /// then report as for an append.
+    /// Write a new store that holds only these records, atomically replace the old store with it,
+    /// and then call [`Replica::written`](super::Replica::written).
     Rewrite {
         /// The number to report.
         write: u64,
@@ -58,22 +60,23 @@
         /// The response.
         response: Response,
     },
-    /// The store is older than what its replica has sent, or cannot be used: discard it and start
-    /// empty, under a new identity.
+    /// The store cannot be used, or lacks something that its replica has already promised or
+    /// accepted. The caller discards it and starts an empty replica under a new identity.
     DiscardStore,
 }
 
 /// The role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It has no state.
+    /// The replica has no state and no vote.
     Empty,
-    /// It follows the log and has no vote.
+    /// The replica applies the log and has no vote.
     Learner,
-    /// It restarted with its store, and asks its peers what they know of it before it votes again.
+    /// The replica restarted with its store. Before it votes again, it queries its peers for what
+    /// they know of its promises.
     Recovering,
-    /// It has a vote.
+    /// The replica votes and is not the leader.
     Follower,
-    /// It has a vote, and leads.
+    /// The replica votes and is the leader.
     Leader,
 }
--- a/crates/replicated-log/src/replica/leadership.rs
+++ b/crates/replicated-log/src/replica/leadership.rs
@@ -1,5 +1,5 @@
-//! What a leader does beside the agreement: it begins its term in the log, advances the log's time,
-//! and replaces lost voters.
+//! A leader's duties beyond consensus: it appends the entry that begins its term, advances the
+//! log's time, and replaces lost voters.
 
 use super::peers::Peer;
 use super::{Phase, Replica};
@@ -8,35 +8,36 @@
 use crate::settings::Millis;
 use crate::state_machine::StateMachine;
 
-/// A voter that is to lose its vote, and the replica that is to get it.
+/// A lost voter and the standby that takes over its vote.
 struct Replacement<'a> {
     lost: &'a ReplicaId,
     successor: &'a ReplicaId,
 }
 
 impl<M: StateMachine> Replica<M> {
-    pub(super) fn lead(&mut self, now: Millis) {
+    pub(super) fn tick_leader(&mut self, now: Millis) {
         if !self.is_leader() {
             self.led_term = None;
             return;
         }
         self.append_own_entries(now);
-        if self.is_new_round() {
+        if self.is_new_heartbeat_round() {
             self.replace_lost_voter(now);
         }
     }
 
-    /// Appends the entry that begins the term, and those that advance the log's time. The library
-    /// rejects entries while a reconfiguration is under way: then there is nothing to do but wait.
+    /// Appends the `LeaderElected` entry of the term, and the entries that advance the log's time.
+    /// The consensus library rejects entries during a reconfiguration; the leader then retries at a
+    /// later tick.
     fn append_own_entries(&mut self, now: Millis) {
         let is_full = self.undecided_entries() >= self.settings.limits.undecided_entries;
         let Phase::Voter(paxos) = &mut self.phase else {
             return;
         };
         let term = LeaderTerm::from_ballot(&paxos.get_promise());
-        if self.requested_term != term {
+        if self.proposed_term != term {
             if paxos.append(Entry::LeaderElected(term)).is_ok() {
-                self.requested_term = term;
+                self.proposed_term = term;
             }
             return;
         }
@@ -47,7 +48,7 @@
         let is_due = elapsed >= self.settings.timing.clock_interval;
         if led.term == term && is_due && !is_full {
             led.measured_until += elapsed;
-            // If this entry is not decided, the log's time stands still for that long: whatever
+            // If this entry is never decided, the log's time lags by that much, and whatever
             // depends on it expires later.
             let _ = paxos.append(Entry::AdvanceTime {
                 term,
@@ -56,8 +57,9 @@
         }
     }
 
-    /// Gives the vote of a lost voter to a standby that has caught up. One reconfiguration at a
-    /// time: the log accepts no second one before the first is done.
+    /// Proposes a reconfiguration that gives the vote of a lost voter to a standby that has caught
+    /// up. Only one reconfiguration runs at a time: the log accepts no second one before the first
+    /// is complete.
     fn replace_lost_voter(&mut self, now: Millis) {
         let Some(next) = self.next_configuration(now) else {
             return;
@@ -66,13 +68,13 @@
             return;
         };
         if let Ok(metadata) = postcard::to_stdvec(&next) {
-            // The library rejects it if another reconfiguration is under way.
+            // The consensus library rejects the proposal if another reconfiguration is in progress.
             let _ = paxos.reconfigure(next.to_cluster(), Some(metadata));
         }
     }
 
-    /// The configuration in which one lost voter is replaced; `None` if none is lost, no standby is
-    /// ready, or no majority of the new configuration is connected.
+    /// The next configuration, in which one lost voter is replaced. `None` if no voter is lost, if
+    /// no standby is ready, or if this replica is not connected to a majority of the new voters.
     fn next_configuration(&self, now: Millis) -> Option<Configuration> {
         let configuration = self.configuration.as_ref()?;
         let ready = self.ready_standbys(now, configuration);
@@ -80,8 +82,8 @@
             return None;
         }
         let replacement = self
-            .successor_by_name(configuration, &ready)
-            .or_else(|| self.successor_of_silent(now, configuration, &ready))?;
+            .successor_with_same_name(configuration, &ready)
+            .or_else(|| self.successor_of_silent_voter(now, configuration, &ready))?;
         let replace = |voter: &ReplicaId| {
             if voter == replacement.lost {
                 replacement.successor.clone()
@@ -93,7 +95,7 @@
             number: configuration.number + 1,
             voters: configuration.voters.iter().map(replace).collect(),
         };
-        // Without a majority of the new voters the reconfiguration would stop a group that still
+        // A reconfiguration to voters without a connected majority would stop a group that still
         // works.
         let connected = next
             .voters
@@ -103,19 +105,19 @@
         (connected >= configuration.majority()).then_some(next)
     }
 
-    /// The connected replicas without a vote that are ready to become voters, and are close to this
-    /// log's end.
+    /// The connected standbys that are ready to become voters and lag behind this replica's log by
+    /// no more than half of the retained entries.
     fn ready_standbys(&self, now: Millis, configuration: &Configuration) -> Vec<&ReplicaId> {
         let own = self.position();
         let max_lag = self.settings.limits.retained_entries / 2;
-        let is_near = |position: &Position| {
+        let has_caught_up = |position: &Position| {
             position.configuration == own.configuration && position.index + max_lag >= own.index
         };
         self.peers
             .iter()
             .filter(|(id, _)| !configuration.has_voter(id))
             .filter(|(_, peer)| self.is_recently_active(now, peer))
-            .filter(|(_, peer)| peer.standby.as_ref().is_some_and(is_near))
+            .filter(|(_, peer)| peer.standby.as_ref().is_some_and(has_caught_up))
             .map(|(id, _)| id)
             .collect()
     }
@@ -130,9 +132,9 @@
             .is_some_and(|peer| self.is_recently_active(now, peer))
     }
 
-    /// A standby under the name of a voter: the voter has lost its store, or runs on another
-    /// machine now.
-    fn successor_by_name<'a>(
+    /// Finds a standby with the same name as a voter. Such a voter has lost its store, or now runs
+    /// on another machine.
+    fn successor_with_same_name<'a>(
         &self,
         configuration: &'a Configuration,
         ready: &[&'a ReplicaId],
@@ -150,9 +152,9 @@
             })
     }
 
-    /// A standby for a voter that has been silent for too long, preferably in a zone without
-    /// another voter.
-    fn successor_of_silent<'a>(
+    /// Finds a standby for a voter that has been silent for longer than the replacement delay. A
+    /// standby in a zone without another voter is preferred.
+    fn successor_of_silent_voter<'a>(
         &self,
         now: Millis,
         configuration: &'a Configuration,
--- a/crates/replicated-log/src/replica/mod.rs
+++ b/crates/replicated-log/src/replica/mod.rs
@@ -1,10 +1,10 @@
-//! A replica: a voter of a group that agrees on a log, or one that could become a voter.
+//! A replica of the log: a voter of the group, or a candidate for a vote.
 //!
-//! Beside the rules of the agreement library it follows three of its own. No message leaves before
-//! the disk writes that it rests on are durable (see `output`). A replica that restarts with its
-//! store first asks its peers what they know of it, and one that lost data must rejoin under a new
-//! identity (see `recovery`). A voter is replaced by a reconfiguration that the log itself holds
-//! (see `leadership`).
+//! On top of the consensus library's protocol, a replica follows three rules of its own. No message
+//! leaves before the disk writes that it depends on are durable (see `output`). A replica that
+//! restarts with its store first queries its peers for what they know of its promises; if its store
+//! has lost data, it must rejoin under a new identity (see `recovery`). A voter is replaced by a
+//! reconfiguration that is itself an entry of the log (see `leadership`).
 
 mod agreement;
 mod bootstrap;
@@ -36,28 +36,28 @@
 use rand::SeedableRng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a replica takes part in.
+/// The part that a replica takes in the protocol, with the state that belongs to it.
 enum Phase {
-    /// It has no state.
+    /// The replica has no state.
     Empty,
-    /// It has the state as of its position, in memory only, and no vote.
+    /// The replica has no vote. It keeps the state up to its position in memory only.
     Learner,
-    /// It restarted and asks its peers what they know of it. Holds the ids of the voters that have
-    /// replied.
+    /// The replica restarted with its store and queries the other voters. Holds the voter ids of
+    /// those that have replied.
     Recovering(BTreeSet<u64>),
-    /// It votes.
+    /// The replica votes.
     Voter(Box<OmniPaxos<Entry, SharedLog>>),
 }
 
-/// How far the disk is with the writes that were issued to it.
+/// Progress of the writes that were issued to the disk.
 struct WriteProgress {
-    /// Whether records are written to a disk at all; otherwise every write counts as durable.
+    /// Whether records are written to a disk at all. If not, every write counts as durable.
     is_durable: bool,
-    /// The number of the last write that was issued.
+    /// The number of the last issued write.
     issued: u64,
-    /// The number up to which all writes are durable.
+    /// All writes up to this number are durable.
     durable: u64,
-    /// The number of decided entries when all that was issued was last durable.
+    /// The number of decided entries at the last time when every issued write was durable.
     decided_when_durable: u64,
 }
 
@@ -72,40 +72,40 @@
     }
 }
 
-/// The term that a replica leads, as the log has confirmed it.
+/// A term that this replica leads and whose `LeaderElected` entry is decided.
 struct LedTerm {
     term: LeaderTerm,
-    /// The time up to which the log's time has been advanced.
+    /// The local time that the log's time already accounts for.
     measured_until: Millis,
 }
 
-/// A replica with its copy of the log's state.
+/// A replica and its copy of the replicated state.
 pub struct Replica<M> {
     id: ReplicaId,
-    /// The names of the replicas that may found a log together.
+    /// The names of the replicas that may bootstrap a log together.
     founders: Vec<String>,
     /// The zone of each replica, by name.
     zones: BTreeMap<String, String>,
     settings: Settings,
     rng: StdRng,
     phase: Phase,
-    /// Zero while it belongs to no log.
+    /// Zero while the replica belongs to no log.
     log_id: u64,
     configuration: Option<Configuration>,
     log: SharedLog,
     state: ReplicatedState<M>,
-    /// Entries of the configuration that are applied to the state.
+    /// The number of entries of this configuration that are applied to the state.
     applied: u64,
-    /// The latest snapshot that it can send.
+    /// The latest snapshot that this replica can send.
     snapshot: Option<Snapshot>,
     previous_configuration: Option<PreviousConfiguration>,
     catch_up: CatchUp,
     peers: BTreeMap<ReplicaId, Peer>,
-    /// The clients that wait for each request.
+    /// The names of the clients that wait for each request.
     waiting_clients: BTreeMap<RequestKey, Vec<String>>,
-    /// How often it has started with its store.
+    /// How often the replica has started with this store, the current start included.
     start_count: u64,
-    /// Voters that have not replied yet what they knew of it before this start.
+    /// Voters that have not yet answered a recovery query since this start.
     recovery_queries: BTreeSet<ReplicaId>,
     messages_sent: u64,
     writes: WriteProgress,
@@ -113,26 +113,27 @@
     ticks: u64,
     next_tick: Millis,
     led_term: Option<LedTerm>,
-    /// The latest term for which it has appended an entry that begins it.
-    requested_term: LeaderTerm,
-    /// Its store is older than what it has sent: it does nothing more.
+    /// The latest term for which this replica has proposed a `LeaderElected` entry.
+    proposed_term: LeaderTerm,
+    /// The store lacks something that this replica has already promised or accepted, so the replica
+    /// takes no further action.
     has_lost_data: bool,
-    /// The group has moved on to a later configuration than its own.
+    /// The group has a later configuration than this replica.
     is_superseded: bool,
     started_at: Millis,
-    /// Messages that were ignored because they belong to another log.
+    /// Number of ignored messages that belong to another log.
     pub foreign_messages: u64,
-    /// Messages that were ignored because a later one from the same sender had arrived.
+    /// Number of ignored messages whose sender had already sent a later one that arrived.
     pub stale_messages: u64,
 }
 
 impl<M: StateMachine> Replica<M> {
-    /// A replica that starts at `now`. If `is_durable`, the caller writes its records to a disk and
-    /// reports when they are durable; otherwise everything is in memory, and the replica must start
-    /// empty. `zones` has the zone of each replica that may vote, by name. `seed` determines its
-    /// random choices.
+    /// Creates a replica that starts at `now`. If `is_durable` is set, the caller writes the
+    /// replica's records to a disk and reports when they are durable. Otherwise everything is kept
+    /// in memory, and the replica must start empty. `zones` maps the name of each replica that may
+    /// vote to its zone. `seed` determines the random choices.
     ///
-    /// Returns the effects to carry out, beside the replica.
+    /// Returns the replica and the first effects to execute.
     pub fn new(
         now: Millis,
         start: Start,
@@ -172,7 +173,7 @@
             ticks: 0,
             next_tick: now,
             led_term: None,
-            requested_term: LeaderTerm::default(),
+            proposed_term: LeaderTerm::default(),
             has_lost_data: false,
             is_superseded: false,
             started_at: now,
@@ -191,16 +192,16 @@
         }
         let started = LogRecord::Started(self.start_count);
         self.log.borrow_mut().unwritten.push(started);
-        self.settle(now, &mut effects);
+        self.process_ready(now, &mut effects);
         effects
     }
 
-    /// Its identity.
+    /// The name of this replica and the incarnation of its store.
     pub fn id(&self) -> &ReplicaId {
         &self.id
     }
 
-    /// Its role.
+    /// The current role: voter and leader, voter only, or without a vote.
     pub fn role(&self) -> Role {
         match &self.phase {
             Phase::Empty => Role::Empty,
@@ -211,17 +212,17 @@
         }
     }
 
-    /// Identifies its log; zero if it belongs to none.
+    /// The id of the log that this replica belongs to; zero if it belongs to none.
     pub fn log_id(&self) -> u64 {
         self.log_id
     }
 
-    /// The latest configuration that it knows.
+    /// The latest configuration that this replica knows; `None` without a log.
     pub fn configuration(&self) -> Option<&Configuration> {
         self.configuration.as_ref()
     }
 
-    /// The position up to which its state is applied.
+    /// The position up to which entries are applied to the state.
     pub fn position(&self) -> Position {
         Position {
             configuration: self.configuration_number(),
@@ -229,12 +230,12 @@
         }
     }
 
-    /// Its copy of the state, as of its position.
+    /// This replica's copy of the state at [`Replica::position`].
     pub fn state(&self) -> &ReplicatedState<M> {
         &self.state
     }
 
-    /// The name of the leader, as far as it knows.
+    /// The name of the current leader, if this replica votes and knows of one.
     pub fn leader(&self) -> Option<&str> {
         let Phase::Voter(paxos) = &self.phase else {
             return None;
@@ -244,7 +245,7 @@
         Some(&leader.name)
     }
 
-    /// When [`Replica::tick`] is to be called next.
+    /// The time at which the caller calls [`Replica::tick`] next.
     pub fn next_tick(&self) -> Millis {
         self.next_tick
     }
@@ -256,7 +257,7 @@
         paxos.get_current_leader() == Some((paxos.get_pid(), true))
     }
 
-    /// The number of its configuration; zero without one.
+    /// The number of the current configuration; zero without one.
     fn configuration_number(&self) -> u32 {
         self.configuration
             .as_ref()
@@ -267,7 +268,7 @@
         self.configuration.as_ref()?.voter_id(replica)
     }
 
-    /// The voters of its configuration, itself excepted.
+    /// The voters of the current configuration except this replica.
     fn other_voters(&self) -> Vec<ReplicaId> {
         self.configuration
             .iter()
--- a/crates/replicated-log/src/replica/output.rs
+++ b/crates/replicated-log/src/replica/output.rs
@@ -1,5 +1,5 @@
-//! What leaves a replica: records for the disk, messages and responses that wait until the records
-//! are durable, and decided entries for the state.
+//! The output of a replica: records for the disk, messages and responses that are held back until
+//! those records are durable, and decided entries that are applied to the state.
 
 use super::client_requests::RequestKey;
 use super::{Effect, LedTerm, Phase, Replica};
@@ -15,11 +15,11 @@
 use omnipaxos::messages::Message;
 use omnipaxos::storage::StopSign;
 
-/// A message or response.
+/// A message to a replica or a response to a client.
 pub(super) enum Output {
     Send {
         to: ReplicaId,
-        /// The number of the sender's configuration when the message was made.
+        /// The number of the sender's configuration at the time the message was created.
         configuration: u32,
         message: PeerMessage,
     },
@@ -29,15 +29,15 @@
     },
 }
 
-/// Output that waits until the writes it rests on are durable.
+/// Output that is held back until the writes it depends on are durable.
 pub(super) struct PendingOutput {
-    /// The number of the last of these writes.
+    /// The number of the last write that must be durable first.
     after_write: u64,
     output: Output,
 }
 
 impl<M: StateMachine> Replica<M> {
-    /// Sends a message once all that was issued to the disk before it is durable.
+    /// Queues a message, to be sent once every write issued so far is durable.
     pub(super) fn send(&mut self, to: &ReplicaId, message: PeerMessage) {
         let output = Output::Send {
             to: to.clone(),
@@ -47,7 +47,7 @@
         self.queue(self.writes.issued, output);
     }
 
-    /// Responds to a client once all that was issued to the disk before it is durable.
+    /// Queues a response, to be sent once every write issued so far is durable.
     pub(super) fn respond(&mut self, client: String, response: Response) {
         self.queue(self.writes.issued, Output::Respond { client, response });
     }
@@ -59,23 +59,23 @@
         });
     }
 
-    /// Tells a peer that lags, or has no vote, how far the log is here.
+    /// Notifies a peer that lags or has no vote of this replica's position.
     pub(super) fn send_position(&mut self, to: &ReplicaId) {
         let position = self.position();
         self.send(to, PeerMessage::PositionNotice(position));
     }
 
-    /// Issues records to the disk, applies what is decided, and releases what rests on durable
-    /// writes.
-    pub(super) fn settle(&mut self, now: Millis, effects: &mut Vec<Effect>) {
+    /// Issues records to the disk, applies decided entries, and releases the output whose writes
+    /// are durable.
+    pub(super) fn process_ready(&mut self, now: Millis, effects: &mut Vec<Effect>) {
         if self.has_lost_data {
             return;
         }
         self.issue_records(effects);
-        self.collect_agreement_messages();
+        self.collect_paxos_messages();
         while self.apply_decided(now) {
             self.issue_records(effects);
-            self.collect_agreement_messages();
+            self.collect_paxos_messages();
         }
         self.compact();
         self.issue_records(effects);
@@ -86,7 +86,7 @@
     }
 
     fn issue_records(&mut self, effects: &mut Vec<Effect>) {
-        let Some(records) = self.take_records() else {
+        let Some(records) = self.take_unwritten_records() else {
             return;
         };
         if !self.writes.is_durable {
@@ -94,21 +94,21 @@
         }
         self.writes.issued += 1;
         let write = self.writes.issued;
-        // A store that begins with a new checkpoint is rewritten.
-        let begins_anew = records
+        // A checkpoint replaces all earlier records, so the store is rewritten.
+        let has_checkpoint = records
             .iter()
             .any(|record| matches!(record, LogRecord::Checkpoint(_)));
-        effects.push(if begins_anew {
+        effects.push(if has_checkpoint {
             Effect::Rewrite { write, records }
         } else {
             Effect::Append { write, records }
         });
     }
 
-    /// Takes the records that have to be written now. The number of decided entries alone is no
-    /// reason to write: it can be learned again from others, nothing waits for it, and it goes with
-    /// the next write.
-    fn take_records(&mut self) -> Option<Vec<LogRecord>> {
+    /// Takes the records that have to be written now. A change of the decided index alone does not
+    /// cause a write: the index can be learned again from other replicas, no output waits for it,
+    /// and it is written together with the next records.
+    fn take_unwritten_records(&mut self) -> Option<Vec<LogRecord>> {
         let mut log = self.log.borrow_mut();
         let mut records = std::mem::take(&mut log.unwritten);
         let only_decided = records
@@ -121,8 +121,8 @@
         Some(records)
     }
 
-    /// Queues the agreement library's messages.
-    fn collect_agreement_messages(&mut self) {
+    /// Queues the outgoing messages of the consensus library.
+    fn collect_paxos_messages(&mut self) {
         let Phase::Voter(paxos) = &mut self.phase else {
             return;
         };
@@ -135,7 +135,7 @@
             let Some(to) = configuration.voter(message.get_receiver()) else {
                 continue;
             };
-            let after_write = if self.may_send_early(to, &message) {
+            let after_write = if self.may_send_before_durable(to, &message) {
                 self.writes.durable
             } else {
                 self.writes.issued
@@ -151,37 +151,39 @@
         }
     }
 
-    /// Whether a message need not wait for the disk.
-    fn may_send_early(&self, to: &ReplicaId, message: &Message<Entry>) -> bool {
+    /// Whether a message may be sent before the issued writes are durable.
+    fn may_send_before_durable(&self, to: &ReplicaId, message: &Message<Entry>) -> bool {
         let Message::SequencePaxos(message) = message else {
-            // Heartbeats promise nothing.
+            // Heartbeats carry no promise.
             return true;
         };
-        // New entries are sent while this disk still writes them, so that all disks write at the
-        // same time: a leader may lose what it has only proposed. What it counts itself for is sent
-        // once it is durable.
+        // The leader sends new entries while its own disk still writes them, so that all disks
+        // write in parallel. This is safe because a leader may lose entries that it has only
+        // proposed. A message with a decision that depends on the leader's own acceptance waits
+        // until that write is durable.
         let PaxosMsg::AcceptDecide(accept) = &message.msg else {
             return false;
         };
         let rests_on_durable = accept.decided_idx as u64 <= self.writes.decided_when_durable;
-        rests_on_durable && !self.has_waiting_message(to)
+        rests_on_durable && !self.has_pending_message(to)
     }
 
-    /// Whether an earlier message to this replica waits for the disk. Messages must not overtake
-    /// each other.
-    fn has_waiting_message(&self, replica: &ReplicaId) -> bool {
+    /// Whether an earlier message to this replica still waits for the disk. Messages to one replica
+    /// must not be reordered.
+    fn has_pending_message(&self, replica: &ReplicaId) -> bool {
         self.pending_output.iter().any(|pending| {
             let is_to_replica = matches!(&pending.output, Output::Send { to, .. } if to == replica);
             is_to_replica && pending.after_write > self.writes.durable
         })
     }
 
-    /// Applies what is decided. Returns whether the configuration has ended with it.
+    /// Applies the decided entries. Returns whether a stop sign among them has ended the
+    /// configuration.
     fn apply_decided(&mut self, now: Millis) -> bool {
         if !matches!(self.phase, Phase::Voter(_)) {
             return false;
         }
-        let (entries, stop_sign) = self.decided_but_not_applied();
+        let (entries, stop_sign) = self.unapplied_decided_entries();
         for entry in entries {
             let applied = self.state.apply(&entry);
             self.applied += 1;
@@ -194,9 +196,9 @@
         true
     }
 
-    /// The decided entries that are not applied yet, and the stop sign that ends the configuration
-    /// if it is decided.
-    fn decided_but_not_applied(&self) -> (Vec<Entry>, Option<StopSign>) {
+    /// The decided entries that are not applied yet, and the decided stop sign, if there is one,
+    /// that ends the configuration.
+    fn unapplied_decided_entries(&self) -> (Vec<Entry>, Option<StopSign>) {
         let log = self.log.borrow();
         let entries = if self.is_leader() && Fault::RespondBeforeMajority.is_enabled() {
             let first = self.applied.saturating_sub(log.first_index);
@@ -207,7 +209,7 @@
         (entries.to_vec(), log.decided_stop_sign().cloned())
     }
 
-    /// Tells those who wait for an entry what it led to.
+    /// Sends the result of an applied entry to the clients that wait for it.
     fn handle_applied(&mut self, now: Millis, applied: Applied) {
         match applied {
             Applied::SessionOpened { nonce, session } => {
@@ -237,16 +239,17 @@
         }
     }
 
-    /// A term has begun in the log: this replica measures time in it if it is its own.
+    /// Handles a decided `LeaderElected` entry. If the term is this replica's own, the replica
+    /// advances the log's time from now on.
     fn confirm_term(&mut self, now: Millis, term: LeaderTerm) {
-        let is_own = self.is_leader() && self.requested_term == term;
+        let is_own = self.is_leader() && self.proposed_term == term;
         self.led_term = is_own.then_some(LedTerm {
             term,
             measured_until: now,
         });
     }
 
-    /// Releases the output that rests on durable writes.
+    /// Releases the output whose writes are durable.
     fn release_output(&mut self, effects: &mut Vec<Effect>) {
         let releases_all = Fault::SendBeforeDurable.is_enabled();
         let pending = std::mem::take(&mut self.pending_output);
@@ -288,7 +291,8 @@
     }
 }
 
-/// The configuration that follows a stop sign, as the leader of the previous one encoded it.
+/// Decodes the next configuration, which the leader of the previous one stored in the stop sign's
+/// metadata.
 fn decode_configuration(stop_sign: &StopSign) -> Option<Configuration> {
     let metadata = stop_sign.metadata.as_ref()?;
     postcard::from_bytes(metadata).ok()
--- a/crates/replicated-log/src/replica/peers.rs
+++ b/crates/replicated-log/src/replica/peers.rs
@@ -1,4 +1,4 @@
-//! What a replica knows of its peers.
+//! The state that a replica keeps for each of its peers.
 
 use super::Replica;
 use crate::identity::{Position, ReplicaId};
@@ -6,28 +6,29 @@
 use crate::settings::Millis;
 use crate::state_machine::StateMachine;
 
-/// Peers that a replica remembers, beside the voters of its configuration.
+/// Maximum number of peers that a replica keeps. Voters of its configuration are never evicted,
+/// even above this limit.
 const MAX_PEERS: usize = 1_024;
 
-/// What is known of one peer.
+/// The state of one peer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peer {
-    /// When a message from it last arrived.
+    /// When the last message from the peer arrived.
     pub(super) last_received: Millis,
     /// The number of that message.
     pub(super) last_number: MessageNumber,
-    /// What it promised and accepted.
+    /// The highest ballot that the peer promised and the entries that it accepted, as far as known.
     pub(super) progress: VoterProgress,
-    /// Its position, if it is ready to become a voter.
+    /// The peer's position, if it is a standby that is ready to become a voter.
     pub(super) standby: Option<Position>,
-    /// Its last message said that its store is empty, and that it would found a log with the same
-    /// replicas.
+    /// Whether the peer's last message announced an empty store and the same founders as this
+    /// replica's.
     pub(super) is_uninitialized: bool,
 }
 
 impl<M: StateMachine> Replica<M> {
-    /// Removes the peers without a vote that were silent for longest: names come from outside, and
-    /// the number of incarnations has no bound.
+    /// Evicts the peers without a vote that have been silent for longest. Names come from outside,
+    /// and the number of incarnations is unbounded.
     pub(super) fn evict_peers(&mut self) {
         while self.peers.len() > MAX_PEERS {
             let configuration = self.configuration.as_ref();
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Records what a peer has promised and accepted.
+    /// Merges new information on what a peer has promised and accepted.
     pub(super) fn record_progress(&mut self, of: &ReplicaId, progress: VoterProgress) {
         let Some(peer) = self.peers.get_mut(of) else {
             return;
--- a/crates/replicated-log/src/replica/receive.rs
+++ b/crates/replicated-log/src/replica/receive.rs
@@ -1,4 +1,4 @@
-//! What drives a replica: completed disk writes, the passing of time, and messages from peers.
+//! The inputs of a replica: completed disk writes, the passing of time, and messages from peers.
 
 use super::{Effect, Phase, Replica};
 use crate::identity::{Position, ReplicaId};
@@ -6,7 +6,7 @@
 use crate::settings::Millis;
 use crate::state_machine::StateMachine;
 
-/// What an envelope tells of its sender.
+/// The parts of an envelope that describe its sender.
 struct Sender {
     id: ReplicaId,
     log_id: u64,
@@ -14,52 +14,53 @@
 }
 
 impl<M: StateMachine> Replica<M> {
-    /// All writes up to this number have become durable, at `now`.
+    /// Handles the completion of disk writes: all writes up to the number `write` have become
+    /// durable at `now`.
     pub fn written(&mut self, now: Millis, write: u64) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.writes.durable = self.writes.durable.max(write);
-        self.settle(now, &mut effects);
+        self.process_ready(now, &mut effects);
         effects
     }
 
-    /// Does what is due at `now`. To be called when [`Replica::next_tick`] is reached; an earlier
-    /// call does nothing.
+    /// Runs the periodic work that is due at `now`. The caller calls this when
+    /// [`Replica::next_tick`] is reached; an earlier call has no effect.
     pub fn tick(&mut self, now: Millis) -> Vec<Effect> {
         let mut effects = Vec::new();
         if now < self.next_tick || self.has_lost_data {
             return effects;
         }
-        // Missed ticks are not made up for: a process that was stopped has not waited for anybody
-        // meanwhile.
+        // Missed ticks are not made up for: a process that was paused did not wait for anyone
+        // during the pause.
         self.next_tick = now + self.settings.timing.tick_interval;
         self.ticks += 1;
-        let is_new_round = self.is_new_round();
+        let is_new_heartbeat_round = self.is_new_heartbeat_round();
         match self.phase {
             Phase::Voter(ref mut paxos) => {
                 paxos.tick();
-                self.lead(now);
+                self.tick_leader(now);
             }
-            Phase::Recovering(_) if self.is_beyond_recovery(now) => {
+            Phase::Recovering(_) if self.recovery_is_impossible(now) => {
                 self.discard_store(&mut effects);
                 return effects;
             }
-            Phase::Empty if is_new_round => self.announce_uninitialized(),
-            Phase::Learner if is_new_round && self.configuration.is_some() => {
+            Phase::Empty if is_new_heartbeat_round => self.announce_uninitialized(),
+            Phase::Learner if is_new_heartbeat_round && self.configuration.is_some() => {
                 self.announce_standby();
             }
             Phase::Recovering(_) | Phase::Empty | Phase::Learner => {}
         }
         self.finish_recovery(now);
-        if is_new_round {
+        if is_new_heartbeat_round {
             self.send_recovery_queries();
         }
         self.request_missing(now);
-        self.settle(now, &mut effects);
+        self.process_ready(now, &mut effects);
         effects
     }
 
-    /// Whether this tick begins a heartbeat round.
-    pub(super) fn is_new_round(&self) -> bool {
+    /// Whether this tick starts a heartbeat round.
+    pub(super) fn is_new_heartbeat_round(&self) -> bool {
         self.ticks
             .is_multiple_of(self.settings.timing.election_ticks)
     }
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Handles a message that arrived at `now`. Messages of other logs and stale ones are counted
-    /// and ignored.
+    /// Handles a message that arrived at `now`. Messages of other logs and stale messages are
+    /// counted and ignored.
     pub fn receive(&mut self, now: Millis, envelope: Envelope) -> Vec<Effect> {
         let mut effects = Vec::new();
         let Envelope {
@@ -111,12 +112,12 @@
             configuration,
         };
         self.handle_message(now, sender, message, &mut effects);
-        self.settle(now, &mut effects);
+        self.process_ready(now, &mut effects);
         effects
     }
 
-    /// Finds out from an agreement message whether its sender has a later configuration, or has
-    /// compacted entries that are not decided here.
+    /// Checks a consensus message for signs that one side lags: the sender may have a later or
+    /// earlier configuration, or may have compacted entries that are not decided here.
     fn compare_progress(
         &mut self,
         now: Millis,
@@ -145,10 +146,10 @@
     ) {
         match message {
             PeerMessage::Paxos(message) => {
-                self.handle_agreement(&sender.id, sender.configuration, message);
+                self.handle_paxos_message(&sender.id, sender.configuration, message);
             }
             PeerMessage::RecoveryQuery => {
-                self.answer_recovery_query(&sender.id, sender.configuration);
+                self.handle_recovery_query(&sender.id, sender.configuration);
             }
             PeerMessage::RecoveryReply(progress) => {
                 self.handle_recovery_reply(now, &sender.id, progress, effects);
@@ -162,22 +163,22 @@
             PeerMessage::PositionNotice(position) => {
                 self.handle_position_notice(now, &sender, position);
             }
-            PeerMessage::FetchEntries { after } => self.answer_fetch(&sender.id, after),
+            PeerMessage::FetchEntries { after } => self.handle_fetch_entries(&sender.id, after),
             PeerMessage::Standby(position) => {
                 if let Some(peer) = self.peers.get_mut(&sender.id) {
                     peer.standby = Some(position);
                 }
             }
             PeerMessage::SnapshotRequest { position, offset } => {
-                self.answer_snapshot_request(&sender.id, position, offset);
+                self.handle_snapshot_request(&sender.id, position, offset);
             }
             PeerMessage::Entries {
                 after,
                 entries,
                 next_configuration,
             } => self.handle_entries(now, sender.id, after, entries, next_configuration),
-            PeerMessage::SnapshotOffer(offer) => self.handle_offer(now, sender.id, offer),
-            PeerMessage::SnapshotChunk(chunk) => self.handle_chunk(now, &chunk),
+            PeerMessage::SnapshotOffer(offer) => self.handle_snapshot_offer(now, sender.id, offer),
+            PeerMessage::SnapshotChunk(chunk) => self.handle_snapshot_chunk(now, &chunk),
         }
     }
 
--- a/crates/replicated-log/src/replica/recovery.rs
+++ b/crates/replicated-log/src/replica/recovery.rs
@@ -1,9 +1,9 @@
-//! The restart of a replica with its store.
+//! Recovery of a replica that restarts with its store.
 //!
 //! The store may be older than the replica's last messages, for example if the disk was restored
-//! from a backup. So before it votes again, the replica asks the other voters what they know of its
-//! promises. If they know more than the store holds, the replica has lost data and must rejoin
-//! under a new identity.
+//! from a backup. Before it votes again, the replica therefore queries the other voters for what
+//! they know of its promises. If they know of more than the store holds, the replica has lost data
+//! and must rejoin under a new identity.
 
 use super::{Effect, Phase, Replica};
 use crate::identity::ReplicaId;
@@ -16,7 +16,7 @@
 use std::collections::BTreeSet;
 
 impl<M: StateMachine> Replica<M> {
-    /// Takes over what a store holds, if it holds a log.
+    /// Loads the state, the log and the configuration from a store, if the store holds a log.
     pub(super) fn load(&mut self, store: LoadedStore, effects: &mut Vec<Effect>) {
         let Some(checkpoint) = store.checkpoint else {
             return;
@@ -38,7 +38,8 @@
                 self.phase = Phase::Recovering(BTreeSet::new());
                 self.recovery_queries = self.other_voters().into_iter().collect();
             }
-            // The checksum is right and the state is not: another program wrote it.
+            // The checksum matches and the state cannot be decoded: another program wrote the
+            // store.
             _ => effects.push(Effect::DiscardStore),
         }
     }
@@ -49,7 +50,7 @@
         }
     }
 
-    pub(super) fn answer_recovery_query(&mut self, sender: &ReplicaId, configuration: u32) {
+    pub(super) fn handle_recovery_query(&mut self, sender: &ReplicaId, configuration: u32) {
         let progress = self.known_progress(sender);
         self.send(sender, PeerMessage::RecoveryReply(progress));
         let has_later = self
@@ -61,7 +62,7 @@
         }
     }
 
-    /// What this replica itself has promised and accepted.
+    /// The highest ballot that this replica has promised, and the entries that it has accepted.
     fn own_progress(&self) -> VoterProgress {
         let log = self.log.borrow();
         VoterProgress {
@@ -74,8 +75,9 @@
         }
     }
 
-    /// What is known here of another voter's promises: what it has sent, and what follows from this
-    /// log, as a leader has accepted all that is decided in its ballot.
+    /// What this replica knows of another voter's promises. Part of it comes from that voter's own
+    /// messages. Part follows from this replica's log: a leader has accepted every entry that was
+    /// decided in its ballot.
     fn known_progress(&self, other: &ReplicaId) -> VoterProgress {
         let sent = self
             .peers
@@ -89,7 +91,8 @@
         if !was_leader || sent.configuration > own.configuration {
             return sent;
         }
-        // A leader sends entries before it has written them itself, but a decision only after that.
+        // A leader may send entries before its own write of them is durable, but sends a decision
+        // only afterwards. So only the decided entries imply that the leader has them.
         let implied = VoterProgress {
             configuration: own.configuration,
             highest_ballot: own.accepted.ballot,
@@ -105,25 +108,26 @@
         }
     }
 
-    /// Votes again once all other voters have replied; or, after a while, once as many have as make
-    /// a majority together with this replica. Without that many it could do nothing, and waiting
-    /// for all would stop a group that has lost one voter. The remaining voters are still asked.
+    /// Starts to vote once all other voters have replied. After the response timeout, replies from
+    /// enough voters to form a majority together with this replica are sufficient: with fewer
+    /// voters no progress is possible anyway, and waiting for all of them would stop a group that
+    /// has lost one voter. The remaining voters are still queried.
     pub(super) fn finish_recovery(&mut self, now: Millis) {
         let (Phase::Recovering(replied), Some(configuration)) = (&self.phase, &self.configuration)
         else {
             return;
         };
         let known = replied.len() + 1;
-        let has_waited = now - self.started_at >= self.settings.timing.response_timeout;
+        let has_timed_out = now - self.started_at >= self.settings.timing.response_timeout;
         let is_majority = known >= configuration.majority();
-        if known >= configuration.voters.len() || (has_waited && is_majority) {
+        if known >= configuration.voters.len() || (has_timed_out && is_majority) {
             self.start_voting();
         }
     }
 
-    /// Whether recovery cannot succeed: the group has moved on to other voters, and those of the
-    /// own configuration that would have to reply have been silent for too long.
-    pub(super) fn is_beyond_recovery(&self, now: Millis) -> bool {
+    /// Whether recovery can no longer succeed: the group has moved to a later configuration, and
+    /// too few voters of this replica's configuration have replied within the replacement delay.
+    pub(super) fn recovery_is_impossible(&self, now: Millis) -> bool {
         self.is_superseded && now - self.started_at > self.settings.timing.replacement_delay
     }
 
@@ -138,7 +142,7 @@
             return;
         };
         self.recovery_queries.remove(sender);
-        if self.is_older_than(known) {
+        if self.store_is_behind(known) {
             self.discard_store(effects);
             return;
         }
@@ -149,20 +153,21 @@
         self.finish_recovery(now);
     }
 
-    /// Whether this replica once promised or accepted more than its store holds.
-    fn is_older_than(&self, known: VoterProgress) -> bool {
+    /// Whether this replica has promised or accepted more than its store holds, by what a peer
+    /// knows of it.
+    fn store_is_behind(&self, known: VoterProgress) -> bool {
         let own = self.own_progress();
         if known.configuration != own.configuration {
             return known.configuration > own.configuration;
         }
-        // Entries that are decided here are not lost, whatever the ballot in which they were
+        // Entries that are decided in this log are not lost, whatever the ballot in which they were
         // accepted.
         let is_undecided = known.accepted.length > self.log.borrow().decided;
         let lost_entries = known.accepted > own.accepted && is_undecided;
         known.highest_ballot > own.highest_ballot || lost_entries
     }
 
-    /// This replica has lost data: it does nothing more, and must rejoin under a new identity.
+    /// Stops this replica because it has lost data. It must rejoin under a new identity.
     pub(super) fn discard_store(&mut self, effects: &mut Vec<Effect>) {
         self.has_lost_data = true;
         effects.push(Effect::DiscardStore);
--- a/crates/replicated-log/src/replicated_state.rs
+++ b/crates/replicated-log/src/replicated_state.rs
@@ -1,5 +1,5 @@
-//! The state that every replica derives from the log: the users' state machine, and around it the
-//! client sessions and the log's time.
+//! The state that every replica derives from the log: the users' state machine, the client sessions
+//! and the log's time.
 
 use crate::entry::{Command, Entry};
 use crate::fault::Fault;
@@ -9,22 +9,22 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Sessions that may be open at a time: more than there are gateways.
+/// Maximum number of open sessions; larger than the number of gateways.
 const MAX_SESSIONS: usize = 4096;
-/// Answers that a session keeps; writes beyond this are rejected until the client reports which
-/// answers it has.
+/// Maximum number of answers that a session keeps. Writes beyond this window are rejected until the
+/// client reports which answers it has received.
 pub(crate) const SESSION_WINDOW: u64 = 256;
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Session {
-    /// The log's time of its client's last write, in milliseconds.
+    /// The log's time of the client's last write, in milliseconds.
     last_active_ms: u64,
-    /// The client has the answers to all writes below this number.
+    /// The client has received the answers to all writes below this sequence number.
     answered_below: u64,
     answers: BTreeMap<u64, Vec<u8>>,
 }
 
-/// Everything but the users' state.
+/// The part of the state that does not belong to the users' state machine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct SystemState {
     now_ms: u64,
@@ -32,53 +32,53 @@
     next_session: u64,
     sessions: BTreeMap<u64, Session>,
     session_timeout_ms: u64,
-    /// Always `None`: it keeps its place in the encoding of a snapshot.
+    /// Unused and always `None`; reserves its field in the encoding of a snapshot.
     configuration: Option<Configuration>,
 }
 
-/// A snapshot as it is encoded.
+/// The encoded form of a snapshot.
 #[derive(Serialize, Deserialize)]
 struct EncodedState<S> {
     system: S,
     state_machine: Vec<u8>,
 }
 
-/// A replica's copy of the state that its log leads to.
+/// A replica's copy of the state that results from applying the log.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicatedState<M> {
     system: SystemState,
-    /// The users' state.
+    /// The users' state machine.
     pub state_machine: M,
 }
 
-/// What applying an entry led to, for the clients that wait for it.
+/// The result of applying an entry, for the clients that wait for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// A client's request for a session was handled.
+    /// A session was requested.
     SessionOpened {
-        /// The number that the client drew.
+        /// The nonce of the client's request.
         nonce: u64,
-        /// The session; `None` if too many are open.
+        /// The number of the new session; `None` if too many sessions are open.
         session: Option<u64>,
     },
-    /// A write was handled.
+    /// A write was applied, rejected, or found to belong to an expired session.
     Written {
-        /// Its session.
+        /// The session of the write.
         session: u64,
-        /// Its number in the session.
+        /// The write's sequence number.
         sequence: u64,
-        /// What came of it.
+        /// The outcome that the client is sent.
         outcome: Outcome,
     },
     /// A leader began its term.
     LeaderElected(LeaderTerm),
-    /// Nobody waits for this entry.
+    /// No client waits for this entry.
     Nothing,
 }
 
 impl<M: StateMachine> ReplicatedState<M> {
-    /// The state of an empty log. A session outlives its client's last write by
-    /// `session_timeout_ms` milliseconds of the log's time.
+    /// The state of an empty log. A session expires `session_timeout_ms` milliseconds of the log's
+    /// time after its client's last write.
     pub fn new(session_timeout_ms: u64) -> ReplicatedState<M> {
         ReplicatedState {
             system: SystemState {
@@ -90,8 +90,9 @@
         }
     }
 
-    /// The log's time in milliseconds: the sum of what leaders measured during their terms. It
-    /// never runs ahead of a steady clock by more than the drift of those leaders' clocks.
+    /// The log's time in milliseconds: the sum of the time that leaders measured during their
+    /// terms. It never runs ahead of a monotonic clock by more than the drift of those leaders'
+    /// clocks.
     pub fn now_ms(&self) -> u64 {
         self.system.now_ms
     }
@@ -106,10 +107,12 @@
         self.system.sessions.len()
     }
 
-    /// What came of a write, if this copy knows. An outcome that is known anywhere is final.
+    /// The outcome of a write, if this copy of the state knows it. An outcome that any replica
+    /// knows is final.
     pub fn outcome_of(&self, session: u64, sequence: u64) -> Option<Outcome> {
         let Some(open) = self.system.sessions.get(&session) else {
-            // Session numbers only grow: one below the next was assigned once and has expired.
+            // Session numbers only increase: a number below the next one was assigned before, so
+            // its session has expired.
             let has_expired = session != 0 && session < self.system.next_session;
             let is_known = has_expired && !Fault::WriteAfterExpiry.is_enabled();
             return is_known.then_some(Outcome::SessionExpired);
@@ -136,7 +139,7 @@
             }
             Entry::AdvanceTime { term, elapsed_ms } => {
                 // Time that a former leader measured overlaps the term of its successor and would
-                // count twice.
+                // be counted twice.
                 if *term == self.system.leader_term {
                     self.advance_time(*elapsed_ms);
                 }
@@ -193,7 +196,7 @@
         self.state_machine.advance_time(now_ms);
     }
 
-    /// The whole state as bytes.
+    /// Encodes the whole state as a snapshot.
     pub fn snapshot(&self) -> Vec<u8> {
         if Fault::SnapshotWithoutSessions.is_enabled() {
             let mut system = self.system.clone();
@@ -214,12 +217,12 @@
         postcard::to_stdvec(&encoded).unwrap_or_default()
     }
 
-    /// The state that a snapshot describes.
+    /// Decodes the state from a snapshot.
     ///
     /// # Errors
     ///
-    /// Returns a [`RestoreError`] if the bytes are not a snapshot, or if the state machine does not
-    /// accept its part of it.
+    /// Returns a [`RestoreError`] if the bytes are not a snapshot, or if the state machine rejects
+    /// its part of it.
     pub fn restore(bytes: &[u8]) -> Result<ReplicatedState<M>, RestoreError> {
         let encoded: EncodedState<SystemState> = postcard::from_bytes(bytes)?;
         Ok(ReplicatedState {
--- a/crates/replicated-log/src/settings.rs
+++ b/crates/replicated-log/src/settings.rs
@@ -1,29 +1,32 @@
-//! Intervals and limits of a replica.
+//! Timing and limits of a replica.
 
-/// A point in time or a span, in milliseconds of the caller's steady clock. The core never reads a
-/// clock itself. Fractions of a millisecond are allowed; no value that a caller passes may be
-/// negative.
+/// A point in time or a duration, in milliseconds of the caller's monotonic clock. The crate never
+/// reads a clock itself. Fractions of a millisecond are allowed. Values that a caller passes must
+/// not be negative.
 pub type Millis = f64;
 
-/// How often a replica acts and how long it waits.
+/// Intervals and timeouts of a replica.
 #[derive(Clone, Debug)]
 pub struct Timing {
-    /// Between two ticks of the agreement library.
+    /// Interval between two ticks of the consensus library, in milliseconds.
     pub tick_interval: Millis,
-    /// Ticks in one heartbeat round, by which voters find out who is connected to a majority.
+    /// Number of ticks in one heartbeat round, by which voters find out which of them are connected
+    /// to a majority.
     pub election_ticks: u64,
-    /// Ticks after which a message that may have been lost is sent again.
+    /// Number of ticks after which a message that may have been lost is sent again.
     pub resend_ticks: u64,
-    /// Between two entries that advance the log's time.
+    /// Interval between two entries that advance the log's time, in milliseconds.
     pub clock_interval: Millis,
-    /// Silence after which a voter is replaced, if a standby is ready.
+    /// Duration of silence after which a voter is replaced if a standby is ready, in milliseconds.
     pub replacement_delay: Millis,
-    /// How long a session outlives its client's last write, in milliseconds of the log's time.
+    /// How long a session stays open after its client's last write, in milliseconds of the log's
+    /// time.
     pub session_timeout_ms: u64,
-    /// How long a request to a peer may stay unanswered before another peer is asked.
+    /// How long a request to a peer may remain unanswered before another peer is asked, in
+    /// milliseconds.
     pub response_timeout: Millis,
-    /// Least time between two chunks of a snapshot: bounds the load that catching up puts on
-    /// others.
+    /// Minimum interval between two chunks of a snapshot, in milliseconds. Bounds the load that
+    /// catching up puts on other replicas.
     pub chunk_interval: Millis,
 }
 
@@ -42,16 +45,17 @@
     }
 }
 
-/// Bounds on what a replica holds and sends.
+/// Bounds on the memory of a replica and on the size of its messages.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Bytes of a snapshot chunk, and of the entries in one reply to a lagging replica.
+    /// Maximum size of a snapshot chunk, and of the entries in one reply to a lagging replica, in
+    /// bytes.
     pub chunk_bytes: usize,
-    /// Entries that the log holds before it is compacted.
+    /// Number of entries at which the log is compacted.
     pub log_entries: u64,
-    /// Entries that stay in the log when it is compacted, for replicas that lag a little.
+    /// Number of entries that compaction leaves in the log, for replicas that lag a little.
     pub retained_entries: u64,
-    /// Entries that may be proposed and undecided at a time.
+    /// Maximum number of proposed entries that are not yet decided.
     pub undecided_entries: u64,
 }
 
--- a/crates/replicated-log/src/simulation/append_list.rs
+++ b/crates/replicated-log/src/simulation/append_list.rs
@@ -9,9 +9,9 @@
 
 impl StateMachine for AppendList {
     fn apply(&mut self, _: u64, command: &[u8]) -> Vec<u8> {
-        let place = self.0.len() as u64;
+        let index = self.0.len() as u64;
         self.0.push(command.to_vec());
-        place.to_le_bytes().to_vec()
+        index.to_le_bytes().to_vec()
     }
 
     fn advance_time(&mut self, _: u64) {}
--- a/crates/replicated-log/src/simulation/checker.rs
+++ b/crates/replicated-log/src/simulation/checker.rs
@@ -11,20 +11,20 @@
 struct Acknowledged {
     started: Millis,
     ended: Millis,
-    /// The place in the list that the client was answered.
-    place: u64,
+    /// The index in the list that the client was answered.
+    index: u64,
 }
 
 impl Simulation {
     /// The violations that the run shows: every acknowledged write must be in the list, once, at
-    /// the place that its client was answered; no write may be there twice; no two replicas may
-    /// ever have had different items at one place; and a write that was started after another was
+    /// the index that its client was answered; no write may be there twice; no two replicas may
+    /// ever have had different items at one index; and a write that was started after another was
     /// acknowledged must come after it.
     pub fn violations(&self) -> Vec<String> {
         let mut violations = self.run_violations.clone();
         self.check_replicas(&mut violations);
-        let places = self.check_single_application(&mut violations);
-        let acknowledged = self.check_acknowledged(&places, &mut violations);
+        let indexes = self.check_single_application(&mut violations);
+        let acknowledged = self.check_acknowledged(&indexes, &mut violations);
         check_real_time_order(acknowledged, &mut violations);
         violations
     }
@@ -39,28 +39,28 @@
                 .iter()
                 .zip(&self.reference)
                 .position(|(item, reference)| item != reference);
-            if let Some(place) = difference {
+            if let Some(index) = difference {
                 let name = node_name(node);
-                violations.push(format!("{name} has another item at place {place}"));
+                violations.push(format!("{name} has another item at index {index}"));
             }
         }
     }
 
-    /// Returns the place of each write in the list.
+    /// Returns the index of each write in the list.
     fn check_single_application(&self, violations: &mut Vec<String>) -> BTreeMap<&[u8], usize> {
-        let mut places = BTreeMap::new();
-        for (place, bytes) in self.reference.iter().enumerate() {
-            if let Some(first) = places.insert(&bytes[..], place) {
-                violations.push(format!("one write at places {first} and {place}"));
+        let mut indexes = BTreeMap::new();
+        for (index, bytes) in self.reference.iter().enumerate() {
+            if let Some(first) = indexes.insert(&bytes[..], index) {
+                violations.push(format!("one write at indexes {first} and {index}"));
             }
         }
-        places
+        indexes
     }
 
     /// Returns the acknowledged writes.
     fn check_acknowledged(
         &self,
-        places: &BTreeMap<&[u8], usize>,
+        indexes: &BTreeMap<&[u8], usize>,
         violations: &mut Vec<String>,
     ) -> Vec<Acknowledged> {
         let mut acknowledged = Vec::new();
@@ -70,7 +70,7 @@
                 continue;
             };
             let bytes = payload(write.client, number);
-            let actual = places.get(&bytes[..]).map(|place| *place as u64);
+            let actual = indexes.get(&bytes[..]).map(|index| *index as u64);
             let answered = answer[..].try_into().map(u64::from_le_bytes).ok();
             if actual != answered {
                 violations.push(format!(
@@ -80,14 +80,14 @@
             acknowledged.push(Acknowledged {
                 started: write.started,
                 ended: ended.at,
-                place: answered.unwrap_or_default(),
+                index: answered.unwrap_or_default(),
             });
         }
         acknowledged
     }
 }
 
-/// Checks linearizability: no write may be at an earlier place than any that was acknowledged
+/// Checks linearizability: no write may be at an earlier index than any that was acknowledged
 /// before it was started.
 fn check_real_time_order(mut acknowledged: Vec<Acknowledged>, violations: &mut Vec<String>) {
     let mut by_end = acknowledged.clone();
@@ -97,12 +97,12 @@
     let mut highest = None;
     for write in acknowledged {
         while let Some(earlier) = ended_before.next_if(|earlier| earlier.ended < write.started) {
-            highest = highest.max(Some(earlier.place));
+            highest = highest.max(Some(earlier.index));
         }
-        if highest.is_some_and(|highest| write.place < highest) {
+        if highest.is_some_and(|highest| write.index < highest) {
             violations.push(format!(
-                "place {} was asked for after place {highest:?} was acknowledged",
-                write.place
+                "index {} was asked for after index {highest:?} was acknowledged",
+                write.index
             ));
         }
     }
--- a/crates/replicated-log/src/simulation/clients.rs
+++ b/crates/replicated-log/src/simulation/clients.rs
@@ -1,7 +1,7 @@
 //! The clients of a simulation.
 
 use super::events::Event;
-use super::{node_of, ClientWrite, EndedWrite, Simulation};
+use super::{parse_node_name, ClientWrite, EndedWrite, Simulation};
 use crate::client::{ClientEffect, WriteResult};
 use crate::message::Request;
 use crate::settings::Millis;
@@ -23,7 +23,7 @@
             started: self.now,
             ended: None,
         });
-        self.carry_out_client_effects(client, started.effects);
+        self.execute_client_effects(client, started.effects);
     }
 
     /// Lets the clients write in turn, once each `interval`, for a time.
@@ -40,17 +40,17 @@
             return;
         }
         let effects = self.clients[client].tick(self.now);
-        self.carry_out_client_effects(client, effects);
+        self.execute_client_effects(client, effects);
     }
 
-    pub(super) fn carry_out_client_effects(&mut self, client: usize, effects: Vec<ClientEffect>) {
+    pub(super) fn execute_client_effects(&mut self, client: usize, effects: Vec<ClientEffect>) {
         for effect in effects {
             match effect {
                 ClientEffect::Send { replica, request } => {
                     self.send_request(client, &replica, request);
                 }
                 ClientEffect::Ended { sequence, result } => {
-                    self.end_write(client, sequence, result);
+                    self.complete_write(client, sequence, result);
                 }
             }
         }
@@ -58,14 +58,14 @@
     }
 
     fn send_request(&mut self, client: usize, replica: &str, request: Request) {
-        let Some(node) = node_of(replica).filter(|node| *node < self.nodes.len()) else {
+        let Some(node) = parse_node_name(replica).filter(|node| *node < self.nodes.len()) else {
             return;
         };
-        let at = self.now + self.draw_delay();
-        if self.draw(self.link_conditions.loss) {
+        let at = self.now + self.sample_delay();
+        if self.sample_bool(self.link_conditions.loss) {
             return;
         }
-        if self.draw(self.link_conditions.duplication) {
+        if self.sample_bool(self.link_conditions.duplication) {
             let duplicate_at = at + self.rng.random_range(0.0..MAX_DUPLICATE_DELAY);
             let duplicate = Event::Request {
                 client,
@@ -76,7 +76,7 @@
         self.schedule(at, node, Event::Request { client, request });
     }
 
-    fn end_write(&mut self, client: usize, sequence: u64, result: WriteResult) {
+    fn complete_write(&mut self, client: usize, sequence: u64, result: WriteResult) {
         let at = self.now;
         let write = self
             .writes
--- a/crates/replicated-log/src/simulation/disk.rs
+++ b/crates/replicated-log/src/simulation/disk.rs
@@ -83,7 +83,7 @@
     }
 
     /// Leaves on the disk of a node that crashed a part of what was not flushed.
-    pub(super) fn lose_unflushed(&mut self, node: usize) {
+    pub(super) fn discard_unflushed(&mut self, node: usize) {
         let disk = &mut self.nodes[node].disk;
         let unflushed = std::mem::take(&mut disk.unflushed);
         let kept = self.rng.random_range(0..=unflushed.len());
--- a/crates/replicated-log/src/simulation/events.rs
+++ b/crates/replicated-log/src/simulation/events.rs
@@ -34,7 +34,7 @@
 struct EventKey {
     /// The bits of the time. No time is negative, so they are ordered as the times are.
     time_bits: u64,
-    order: u64,
+    sequence: u64,
 }
 
 /// An event with its time and the node to which it happens. Events of clients have node 0.
@@ -49,15 +49,15 @@
 pub(super) struct EventQueue {
     events: BTreeMap<EventKey, ScheduledEvent>,
     /// Counts the events that were scheduled.
-    order: u64,
+    sequence: u64,
 }
 
 impl EventQueue {
     fn push(&mut self, scheduled: ScheduledEvent) {
-        self.order += 1;
+        self.sequence += 1;
         let key = EventKey {
             time_bits: scheduled.at.to_bits(),
-            order: self.order,
+            sequence: self.sequence,
         };
         self.events.insert(key, scheduled);
     }
@@ -80,7 +80,7 @@
             Event::ClientTick { client } => self.tick_client(client),
             Event::Response { client, response } => {
                 let effects = self.clients[client].receive(self.now, response);
-                self.carry_out_client_effects(client, effects);
+                self.execute_client_effects(client, effects);
             }
             event => self.handle_node_event(target, event),
         }
--- a/crates/replicated-log/src/simulation/links.rs
+++ b/crates/replicated-log/src/simulation/links.rs
@@ -1,7 +1,7 @@
 //! The links between replicas.
 
 use super::events::Event;
-use super::{node_of, Simulation};
+use super::{parse_node_name, Simulation};
 use crate::message::Envelope;
 use crate::settings::Millis;
 use rand::RngExt;
@@ -28,9 +28,9 @@
     /// The probability that a message arrives twice.
     pub duplication: f64,
     /// The probability that a message is delayed further, so that later ones may overtake it.
-    pub straggling: f64,
+    pub reordering: f64,
     /// The longest further delay, drawn uniformly from zero.
-    pub max_straggling: Millis,
+    pub max_reordering_delay: Millis,
 }
 
 impl Default for LinkConditions {
@@ -39,8 +39,8 @@
             delay: DelayRange { min: 1.4, max: 2.6 },
             loss: 0.0,
             duplication: 0.0,
-            straggling: 0.0,
-            max_straggling: 0.0,
+            reordering: 0.0,
+            max_reordering_delay: 0.0,
         }
     }
 }
@@ -79,26 +79,26 @@
 
     /// Carries a message between replicas, as the conditions of the links have it.
     pub(super) fn send(&mut self, from: usize, to: &str, envelope: &Envelope) {
-        let Some(to) = node_of(to).filter(|to| *to < self.nodes.len()) else {
+        let Some(to) = parse_node_name(to).filter(|to| *to < self.nodes.len()) else {
             return;
         };
         let link = Link { from, to };
         if self.blocked_links.contains(&link) {
             return;
         }
-        if self.draw(self.link_conditions.loss) {
+        if self.sample_bool(self.link_conditions.loss) {
             self.statistics.lost += 1;
             return;
         }
         let Some(envelope) = self.encode_and_decode(envelope) else {
             return;
         };
-        let at = self.draw_arrival(link);
-        if self.draw(self.link_conditions.duplication) {
+        let at = self.sample_arrival_time(link);
+        if self.sample_bool(self.link_conditions.duplication) {
             self.statistics.duplicated += 1;
             let range = self
                 .link_conditions
-                .max_straggling
+                .max_reordering_delay
                 .max(MIN_DUPLICATE_DELAY_RANGE);
             let duplicate_at = at + self.rng.random_range(0.0..range);
             self.schedule(duplicate_at, to, Event::Message(envelope.clone()));
@@ -121,11 +121,11 @@
 
     /// When a message arrives. A connection keeps the order of messages; only stragglers are
     /// overtaken.
-    fn draw_arrival(&mut self, link: Link) -> Millis {
-        let at = self.now + self.draw_delay();
-        if self.draw(self.link_conditions.straggling) {
+    fn sample_arrival_time(&mut self, link: Link) -> Millis {
+        let at = self.now + self.sample_delay();
+        if self.sample_bool(self.link_conditions.reordering) {
             self.statistics.delayed += 1;
-            let max = self.link_conditions.max_straggling.max(1.0);
+            let max = self.link_conditions.max_reordering_delay.max(1.0);
             return at + self.rng.random_range(0.0..max);
         }
         let last = self.last_arrivals.entry(link).or_default();
--- a/crates/replicated-log/src/simulation/mod.rs
+++ b/crates/replicated-log/src/simulation/mod.rs
@@ -133,7 +133,7 @@
 }
 
 /// The node of a replica's name.
-fn node_of(name: &str) -> Option<usize> {
+fn parse_node_name(name: &str) -> Option<usize> {
     name.strip_prefix('r')?.parse().ok()
 }
 
@@ -232,13 +232,13 @@
         !condition(self)
     }
 
-    fn draw_delay(&mut self) -> Millis {
+    fn sample_delay(&mut self) -> Millis {
         let range = self.link_conditions.delay;
         self.rng.random_range(range.min..=range.max)
     }
 
     /// Draws whether something of this probability happens.
-    fn draw(&mut self, probability: f64) -> bool {
+    fn sample_bool(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.rng.random_bool(probability)
     }
 }
--- a/crates/replicated-log/src/simulation/node.rs
+++ b/crates/replicated-log/src/simulation/node.rs
@@ -75,7 +75,7 @@
         );
         self.nodes[node].replica = Some(replica);
         self.schedule(self.now, node, Event::Tick);
-        self.carry_out(node, effects);
+        self.execute_effects(node, effects);
     }
 
     /// Reads a node's store; one that cannot be used is replaced by an empty one under a new
@@ -123,7 +123,7 @@
         }
         own.run += 1;
         self.statistics.kills += 1;
-        self.lose_unflushed(node);
+        self.discard_unflushed(node);
     }
 
     /// Pauses a node; events that happen meanwhile wait for it.
@@ -149,10 +149,10 @@
                 self.handle_node_event(node, delayed);
             }
         }
-        self.pass_to_replica(node, event);
+        self.deliver_to_replica(node, event);
     }
 
-    fn pass_to_replica(&mut self, node: usize, event: Event) {
+    fn deliver_to_replica(&mut self, node: usize, event: Event) {
         let now = self.now;
         let own = &mut self.nodes[node];
         let current_run = own.run;
@@ -182,11 +182,11 @@
             own.next_tick = next;
             self.schedule(next, node, Event::Tick);
         }
-        self.carry_out(node, effects);
-        self.observe(node);
+        self.execute_effects(node, effects);
+        self.observe_replica(node);
     }
 
-    fn carry_out(&mut self, node: usize, effects: Vec<Effect>) {
+    fn execute_effects(&mut self, node: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Append { write, records } => self.append(node, write, &records),
@@ -196,8 +196,8 @@
                     let Ok(client) = client.parse::<usize>() else {
                         continue;
                     };
-                    let at = self.now + self.draw_delay();
-                    if !self.draw(self.link_conditions.loss) {
+                    let at = self.now + self.sample_delay();
+                    if !self.sample_bool(self.link_conditions.loss) {
                         self.schedule(at, 0, Event::Response { client, response });
                     }
                 }
@@ -238,7 +238,7 @@
 
     /// Compares what a replica has applied with what others had, and counts changes of the leader
     /// and of the configuration.
-    fn observe(&mut self, node: usize) {
+    fn observe_replica(&mut self, node: usize) {
         let Some(replica) = &self.nodes[node].replica else {
             return;
         };
@@ -246,7 +246,12 @@
         let known = self.reference.len().min(list.len());
         // Only the last item can be new; all are compared at the end.
         if known > 0 && self.reference[known - 1] != list[known - 1] {
-            let violation = format!("{} at {}: place {}", node_name(node), self.now, known - 1);
+            let violation = format!(
+                "{} at {} ms: another replica had a different item at index {}",
+                node_name(node),
+                self.now,
+                known - 1
+            );
             self.run_violations.push(violation);
         }
         self.reference.extend_from_slice(&list[known..]);
--- a/crates/replicated-log/src/simulation/random_run.rs
+++ b/crates/replicated-log/src/simulation/random_run.rs
@@ -12,7 +12,7 @@
 /// How long faults are injected.
 const FAULT_DURATION: Millis = 30_000.0;
 /// How long stragglers are delayed at most.
-const MAX_STRAGGLING: Millis = 3000.0;
+const MAX_REORDERING_DELAY: Millis = 3000.0;
 
 /// A run with random faults, and then a time without any in which all writes must end. At most one
 /// replica loses its disk before the group is complete again, as more is not guaranteed to be
@@ -132,8 +132,8 @@
         self.simulation.link_conditions = LinkConditions {
             loss: self.pick(&[0.0, 0.02, 0.1, 0.3]),
             duplication: self.pick(&[0.0, 0.05, 0.2]),
-            straggling: self.pick(&[0.0, 0.05, 0.2]),
-            max_straggling: MAX_STRAGGLING,
+            reordering: self.pick(&[0.0, 0.05, 0.2]),
+            max_reordering_delay: MAX_REORDERING_DELAY,
             ..LinkConditions::default()
         };
     }
--- a/crates/replicated-log/src/store.rs
+++ b/crates/replicated-log/src/store.rs
@@ -1,5 +1,5 @@
-//! The encoding of a store: a header, and frames of log records, each with checksums. How a file is
-//! kept is up to the caller.
+//! The encoding of a store: a header, followed by frames of log records, all with checksums. The
+//! caller manages the file.
 //!
 //! | content | bytes |
 //! | --- | --- |
@@ -15,60 +15,60 @@
 use serde::{Deserialize, Serialize};
 
 const MAGIC: &[u8; 5] = b"CSREC";
-/// The version that this program writes, and the newest that it reads.
+/// The format version that this program writes, and the newest that it can read.
 const VERSION: u8 = 1;
-/// Where the first frame begins.
+/// Length of the magic number and the version, in bytes. The first frame follows.
 const PREAMBLE_LENGTH: usize = MAGIC.len() + 1;
 const FRAME_HEADER_LENGTH: usize = 12;
-/// Zero bytes at the end of the last frame that mark it as torn. A crash may leave allocated space
-/// that was never written to.
-const TORN_ZEROES: usize = 8;
+/// Number of trailing zero bytes by which a last frame with a wrong checksum counts as torn. A
+/// crash may leave allocated space that was never written.
+const TORN_TRAILING_ZEROES: usize = 8;
 
-/// Why a store cannot be used. A replica whose store cannot be used must rejoin under a new
-/// identity.
+/// The reason why a store cannot be used. Its replica must then rejoin under a new identity.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// Its format is newer than this program.
+    /// The format is newer than this program supports.
     #[error("format {0}, where {VERSION} is the newest that is supported")]
     UnsupportedVersion(u8),
-    /// It does not begin as a store does.
+    /// The header is missing or cannot be read.
     #[error("not a store")]
     NotAStore,
-    /// Bytes before its end are not what was written.
+    /// Bytes before the end of the store were changed after they were written.
     #[error("corrupt at byte {offset} of {length}")]
     Corrupt {
-        /// Where the frame begins that cannot be read.
+        /// The offset of the frame that cannot be read, in bytes.
         offset: usize,
-        /// The length of the store.
+        /// The length of the store in bytes.
         length: usize,
-        /// Why the records cannot be decoded; `None` if a checksum is wrong.
+        /// Why the records cannot be decoded; `None` if a checksum does not match.
         source: Option<postcard::Error>,
     },
-    /// The file was copied or moved: it may be older than the last messages of its replica.
+    /// The file was copied or moved, so it may be older than the last messages of its replica.
     #[error("not the file that was written: a copy, which may be older")]
     Copied,
 }
 
-/// Whose store it is.
+/// Identifies the replica and the file that a store belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreHeader {
-    /// The replica.
+    /// The identity of the replica that owns the store.
     pub replica: ReplicaId,
-    /// Distinguishes this file from a copy of it; chosen by the caller.
+    /// A tag, chosen by the caller, that distinguishes this file from a copy of it.
     pub file_tag: String,
 }
 
-/// What a store holds.
+/// The decoded content of a store.
 #[derive(Clone, Debug)]
 pub struct LoadedStore {
-    /// Whose store it is.
+    /// Identifies the replica and the file that a store belongs to.
     pub header: StoreHeader,
-    /// The state at which the log begins, if the replica has been a voter.
+    /// The checkpoint at which the log begins; `None` if the replica has never been a voter.
     pub(crate) checkpoint: Option<Checkpoint>,
     pub(crate) log: Log,
-    /// How often the replica has started.
+    /// How often the replica has started with this store.
     pub(crate) start_count: u64,
-    /// The length of the valid part in bytes; anything after it is a write that a crash left torn.
+    /// The length of the valid part in bytes. Any bytes after it are a write that a crash left
+    /// torn.
     pub valid_length: usize,
     /// Whether there are bytes after the valid part.
     pub is_torn: bool,
@@ -85,7 +85,7 @@
     bytes
 }
 
-/// The beginning of a store.
+/// Encodes the beginning of a store: magic number, version and header.
 pub fn encode_header(header: &StoreHeader) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     bytes.push(VERSION);
@@ -93,12 +93,12 @@
     bytes
 }
 
-/// A frame of records that become durable together.
+/// Encodes a frame of records that become durable atomically.
 pub fn encode(records: &[LogRecord]) -> Vec<u8> {
     encode_frame(&records)
 }
 
-/// What stands at an offset of a store.
+/// What a store contains at an offset.
 enum NextFrame<'a> {
     Frame { body: &'a [u8], end: usize },
     End,
@@ -111,17 +111,18 @@
     if rest.is_empty() {
         return NextFrame::End;
     }
-    let word = |from: usize| {
+    let read_u32 = |from: usize| {
         let bytes = rest.get(from..from + 4)?;
         bytes.try_into().ok().map(u32::from_le_bytes)
     };
-    let (Some(length), Some(body_checksum), Some(header_checksum)) = (word(0), word(4), word(8))
+    let (Some(length), Some(body_checksum), Some(header_checksum)) =
+        (read_u32(0), read_u32(4), read_u32(8))
     else {
         return NextFrame::Torn;
     };
     if crc32c::crc32c(&rest[..8]) != header_checksum {
-        // A crash may leave allocated space that was never written to; it does not change what was
-        // written.
+        // A crash may leave allocated space that was never written. It does not affect the frames
+        // before it.
         return if rest.iter().all(|byte| *byte == 0) {
             NextFrame::Torn
         } else {
@@ -138,11 +139,15 @@
             end: offset + end,
         };
     }
-    // Of the last write a crash may have left allocated space without its bytes; one whose last
-    // bytes are there was complete once. Where the two cannot be told apart it counts as corrupt:
-    // the replica then rejoins under a new identity, which costs a reconfiguration and breaks
-    // nothing.
-    let ends_in_zeroes = body.iter().rev().take(TORN_ZEROES).all(|byte| *byte == 0);
+    // A crash may leave the last write incomplete, with allocated space in place of its last bytes.
+    // A frame whose last bytes are present was once complete, so it is corrupt. Where the two cases
+    // cannot be told apart, the frame counts as corrupt: the replica then rejoins under a new
+    // identity, which costs a reconfiguration and is always safe.
+    let ends_in_zeroes = body
+        .iter()
+        .rev()
+        .take(TORN_TRAILING_ZEROES)
+        .all(|byte| *byte == 0);
     if rest.len() == end && ends_in_zeroes {
         NextFrame::Torn
     } else {
@@ -150,7 +155,7 @@
     }
 }
 
-/// Reads the header; also returns where the first frame of records begins.
+/// Decodes the header. Also returns the offset of the first frame of records.
 fn decode_header(bytes: &[u8]) -> Result<(StoreHeader, usize), StoreError> {
     let magic = bytes.get(..MAGIC.len()).ok_or(StoreError::NotAStore)?;
     let version = *bytes.get(MAGIC.len()).ok_or(StoreError::NotAStore)?;
@@ -167,14 +172,14 @@
     Ok((header, end))
 }
 
-/// Reads a store. `file_tag` is the tag of the file that it was read from.
+/// Decodes a store. `file_tag` is the tag of the file that the bytes were read from.
 ///
 /// # Errors
 ///
-/// Returns a [`StoreError`] if these bytes are not a store, were copied, or were changed before
-/// their end. A torn last write is no error: see [`LoadedStore::valid_length`].
+/// Returns a [`StoreError`] if the bytes are not a store, come from a copied file, or were changed
+/// before their end. A torn last write is no error: see [`LoadedStore::valid_length`].
 pub fn decode(bytes: &[u8], file_tag: &str) -> Result<LoadedStore, StoreError> {
-    let (header, records_begin) = decode_header(bytes)?;
+    let (header, records_offset) = decode_header(bytes)?;
     if header.file_tag != file_tag {
         return Err(StoreError::Copied);
     }
@@ -183,7 +188,7 @@
         checkpoint: None,
         log: Log::default(),
         start_count: 0,
-        valid_length: records_begin,
+        valid_length: records_offset,
         is_torn: false,
     };
     loop {
--- a/crates/replicated-log/src/transfer.rs
+++ b/crates/replicated-log/src/transfer.rs
@@ -1,5 +1,5 @@
-//! How a lagging replica catches up: with entries where others still have them, else with a
-//! snapshot in chunks.
+//! Data types for catching up: a lagging replica fetches entries where its peers still have them,
+//! and otherwise a snapshot in chunks.
 
 use crate::entry::Entry;
 use crate::identity::{Configuration, Position, ReplicaId};
@@ -7,7 +7,7 @@
 use crate::settings::Millis;
 use std::sync::Arc;
 
-/// The state at a position, as bytes, kept until there is a later one.
+/// An encoded snapshot of the state at a position. It is kept until a later one replaces it.
 #[derive(Clone, Debug)]
 pub(crate) struct Snapshot {
     pub position: Position,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The chunk at an offset, of at most `max_length` bytes.
+    /// The chunk at an offset, with at most `max_length` bytes.
     pub(crate) fn chunk(&self, offset: u64, max_length: usize) -> SnapshotChunk {
         let from = (offset as usize).min(self.bytes.len());
         let to = (from + max_length).min(self.bytes.len());
@@ -53,37 +53,37 @@
     }
 }
 
-/// The end of the previous configuration, for its voters that missed it.
+/// The last entries of the previous configuration, for voters that missed its end.
 #[derive(Clone, Debug)]
 pub(crate) struct PreviousConfiguration {
-    /// Its number.
+    /// The number of the previous configuration.
     pub number: u32,
     /// The index of the first of `entries`.
     pub first_index: u64,
-    /// Its entries from there to its end.
+    /// The entries from `first_index` to the end of the configuration.
     pub entries: Vec<Entry>,
-    /// The configuration that follows it.
+    /// The configuration that follows the previous one.
     pub next: Configuration,
 }
 
-/// A snapshot of which some chunks have arrived.
+/// A snapshot that is being received.
 #[derive(Clone, Debug)]
 pub(crate) struct IncomingSnapshot {
     pub offer: SnapshotOffer,
-    /// The bytes that have arrived, from the first on.
+    /// The bytes received so far, from the start of the snapshot.
     pub bytes: Vec<u8>,
-    /// When a part of it last arrived.
+    /// When the last chunk of the snapshot arrived.
     last_progress: Millis,
 }
 
 impl IncomingSnapshot {
-    fn is_of(&self, offer: &SnapshotOffer) -> bool {
+    fn matches_offer(&self, offer: &SnapshotOffer) -> bool {
         self.offer.position == offer.position
             && self.offer.checksum == offer.checksum
             && self.offer.length == offer.length
     }
 
-    fn missing(&self) -> u64 {
+    fn missing_bytes(&self) -> u64 {
         self.offer.length.saturating_sub(self.bytes.len() as u64)
     }
 }
@@ -92,31 +92,38 @@
 #[derive(Clone, Debug)]
 pub(crate) struct CatchUpSource {
     pub replica: ReplicaId,
-    /// When it was chosen or last sent a chunk.
+    /// When the peer was chosen or last sent a chunk.
     pub last_progress: Millis,
 }
 
-/// The progress of catching up.
+/// The state of catching up.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CatchUp {
-    /// The peer that is asked; none while there is nothing to ask for, or no peer to ask.
+    /// The peer that receives the requests. `None` while nothing is missing, or no peer is known
+    /// that could have it.
     pub source: Option<CatchUpSource>,
-    /// A snapshot that is arriving. The transfer resumes where it stopped, also from another peer
-    /// that has the same snapshot.
+    /// The snapshot that is being received. The transfer resumes where it stopped, also from
+    /// another peer that has the same snapshot.
     pub incoming: Option<IncomingSnapshot>,
-    /// Nothing is asked for before this time.
+    /// No request is sent before this time.
     pub next_request: Millis,
 }
 
 impl CatchUp {
-    /// Considers an offer. What has arrived of the same snapshot stays. One that is arriving is
-    /// given up only for a later one, unless none of it has arrived since `stalled_since`:
-    /// otherwise two peers with different snapshots would alternate forever.
-    pub(crate) fn offered(&mut self, now: Millis, stalled_since: Millis, offer: SnapshotOffer) {
+    /// Decides whether to switch to an offered snapshot. Chunks that were already received of the
+    /// same snapshot are kept. A snapshot at a later position than the offer is kept as well,
+    /// unless no chunk of it has arrived since `stalled_since`: otherwise the transfer would
+    /// alternate forever between two peers with different snapshots.
+    pub(crate) fn consider_offer(
+        &mut self,
+        now: Millis,
+        stalled_since: Millis,
+        offer: SnapshotOffer,
+    ) {
         let keeps_current = self.incoming.as_ref().is_some_and(|current| {
             let is_later = current.offer.position > offer.position;
             let advances = current.last_progress > stalled_since;
-            current.is_of(&offer) || (is_later && advances)
+            current.matches_offer(&offer) || (is_later && advances)
         });
         if keeps_current {
             return;
@@ -128,8 +135,8 @@
         });
     }
 
-    /// Adds a chunk. Returns the snapshot once it is complete and its checksum is right; one whose
-    /// checksum is wrong is dropped, to be asked for again.
+    /// Adds a chunk. Returns the snapshot once it is complete and its checksum matches. A snapshot
+    /// with a wrong checksum is dropped and requested again.
     pub(crate) fn add_chunk(
         &mut self,
         now: Millis,
@@ -140,12 +147,12 @@
             .as_mut()
             .filter(|incoming| incoming.offer.position == chunk.position)?;
         let is_next = chunk.offset == incoming.bytes.len() as u64;
-        if !is_next || chunk.bytes.len() as u64 > incoming.missing() {
+        if !is_next || chunk.bytes.len() as u64 > incoming.missing_bytes() {
             return None;
         }
         incoming.bytes.extend_from_slice(&chunk.bytes);
         incoming.last_progress = now;
-        if incoming.missing() > 0 {
+        if incoming.missing_bytes() > 0 {
             return None;
         }
         self.incoming
--- a/crates/replicated-log/tests/deliberate_faults.rs
+++ b/crates/replicated-log/tests/deliberate_faults.rs
@@ -6,7 +6,7 @@
 use cometspool_replicated_log::{Settings, Timing};
 use std::panic::{catch_unwind, UnwindSafe};
 
-/// Whether a run shows a fault: the checker reports it; or the agreement library met an impossible
+/// Whether a run shows a fault: the checker reports it; or the consensus library met an impossible
 /// state and panicked; or a group that has everything it needs did not complete all writes, as it
 /// always does without a fault.
 fn shows_fault(run: impl FnOnce() -> Simulation + UnwindSafe) -> bool {
@@ -87,7 +87,7 @@
 
 #[test]
 fn every_deliberate_fault_is_found() {
-    // The agreement library's panics are expected here.
+    // The consensus library's panics are expected here.
     std::panic::set_hook(Box::new(|_| {}));
     let mut missed = Vec::new();
     for fault in Fault::ALL {
--- a/crates/replicated-log/tests/scenarios.rs
+++ b/crates/replicated-log/tests/scenarios.rs
@@ -36,7 +36,7 @@
 }
 
 /// Runs until all writes have ended, and checks the whole run.
-fn settle(group: &mut Simulation) {
+fn finish_and_check(group: &mut Simulation) {
     let deadline = group.now + 120_000.0;
     let all_ended = group.run_while(deadline, |group| group.pending_writes() > 0);
     assert!(
@@ -57,7 +57,7 @@
     for is_durable in [true, false] {
         let mut group = start_group(3, 4, is_durable, 1);
         group.write_for(5000.0, 10.0);
-        settle(&mut group);
+        finish_and_check(&mut group);
         assert_eq!(group.acknowledged_writes(), group.writes.len());
         assert!(
             group.acknowledged_writes() >= 400,
@@ -87,7 +87,7 @@
         let has_leader = group.run_while(group.now + 10_000.0, |group| group.leader().is_none());
         assert!(has_leader, "round {round}");
     }
-    settle(&mut group);
+    finish_and_check(&mut group);
     assert!(
         group.statistics.leader_changes >= 6,
         "{:?}",
@@ -117,7 +117,7 @@
         });
         assert!(all_vote, "round {round}: {}", describe_replicas(&group));
     }
-    settle(&mut group);
+    finish_and_check(&mut group);
     assert!(
         group.statistics.reconfigurations >= 8 && group.statistics.discarded_stores >= 4,
         "{:?}",
@@ -157,7 +157,7 @@
         configuration.voters.iter().any(|id| id.name == "r4"),
         "{configuration:?}"
     );
-    settle(&mut group);
+    finish_and_check(&mut group);
 }
 
 /// A pattern of broken links.
@@ -234,7 +234,7 @@
         "{name}, seed {seed}: 5 s without an acknowledged write"
     );
     group.blocked_links.clear();
-    settle(&mut group);
+    finish_and_check(&mut group);
 }
 
 /// Guards progress where the leader is heard and hears nobody, or hears and is not heard.
@@ -259,7 +259,7 @@
             "one way, leader heard: {is_heard}"
         );
         group.blocked_links.clear();
-        settle(&mut group);
+        finish_and_check(&mut group);
     }
 }
 
@@ -269,7 +269,7 @@
 fn a_lost_majority_acknowledges_nothing_and_founds_no_log() {
     let mut group = start_group(3, 2, true, 5);
     group.write_for(1000.0, 10.0);
-    settle(&mut group);
+    finish_and_check(&mut group);
     let before = group.acknowledged_writes();
     let log_id = group.replica(0).map(Replica::log_id);
     for node in [1, 2] {
@@ -302,7 +302,7 @@
         group.pause(leader, 30_000.0);
         group.write_for(40_000.0, 40.0);
     }
-    settle(&mut group);
+    finish_and_check(&mut group);
     assert!(
         group.statistics.leader_changes >= 3,
         "{:?}",
@@ -378,5 +378,5 @@
         group.run_until(group.now + 3000.0);
     }
     group.link_conditions = LinkConditions::default();
-    settle(&mut group);
+    finish_and_check(&mut group);
 }
