--- a/crates/replicated-log/src/bin/cometspool-replicated-log.rs
+++ b/crates/replicated-log/src/bin/cometspool-replicated-log.rs
@@ -1,5 +1,5 @@
-//! Measures the figures of `docs/REPLICATED_LOG.md` on simulated groups: `cometspool-replicated-log
-//! [seeds]`.
+//! Measures the latencies that `docs/REPLICATED_LOG.md` lists, on simulated groups. Usage:
+//! `cometspool-replicated-log [seeds]`.
 
 use cometspool_replicated_log::simulation::{
     DelayRange, LinkConditions, Simulation, SimulationConfig,
@@ -7,17 +7,18 @@
 use cometspool_replicated_log::{Millis, Settings};
 use std::process::ExitCode;
 
-/// Writes that are measured for each commit latency.
+/// Number of writes that are measured for each commit latency.
 const MEASURED_WRITES: usize = 500;
-/// Between two of these writes.
+/// Interval between two measured writes, in milliseconds.
 const WRITE_INTERVAL: Millis = 50.0;
-/// One-way delays of the links.
+/// One-way link delays for the commit measurements, in milliseconds.
 const LINK_DELAYS: [Millis; 3] = [0.0, 1.4, 2.6];
-/// What a disk takes for a durable write; zero stands for replicas in memory.
+/// Durations of a durable disk write, in milliseconds; zero means that replicas keep everything in
+/// memory.
 const WRITE_LATENCIES: [Millis; 3] = [0.0, 0.5, 5.0];
-/// The one-way delay for the measurements of failover and catch-up.
+/// One-way link delay for the failover and catch-up measurements, in milliseconds.
 const DEFAULT_LINK_DELAY: Millis = 1.4;
-/// The seeds that are used at most for the measurement of catch-up.
+/// Maximum number of seeds for the catch-up measurement.
 const MAX_CATCH_UP_SEEDS: u64 = 3;
 
 fn main() -> ExitCode {
@@ -33,7 +34,7 @@
     ExitCode::SUCCESS
 }
 
-/// The number of seeds; `None` if the arguments are wrong.
+/// The number of seeds; `None` if the argument is not a positive number.
 fn parse_arguments() -> Option<u64> {
     let Some(argument) = std::env::args().nth(1) else {
         return Some(5);
@@ -85,7 +86,7 @@
     }
 }
 
-/// Mean, least and most.
+/// Formats the mean, the minimum and the maximum of the values.
 fn summarize(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     let (Some(least), Some(most)) = (values.first(), values.last()) else {
@@ -95,7 +96,7 @@
     format!("{mean:.2} ({least:.2} to {most:.2})")
 }
 
-/// A group that has a leader.
+/// Starts a group and runs it until it has a leader.
 fn start_group(
     replicas: usize,
     clients: usize,
@@ -122,13 +123,13 @@
     simulation
 }
 
-/// Latency and traffic of writes that are asked for one at a time.
+/// Latency and traffic of writes that are started one at a time.
 struct CommitLatency {
-    /// As the client sees it, without its own round trip to the leader.
+    /// Median commit latency as the client sees it, without its own round trip to the leader.
     median: Millis,
-    /// As the median.
+    /// The 99th percentile of the same latency.
     percentile_99: Millis,
-    /// Bytes between replicas.
+    /// Bytes sent between replicas for each write.
     bytes_per_write: f64,
 }
 
@@ -137,7 +138,7 @@
     for node in 0..3 {
         simulation.set_write_latency(node, write_latency);
     }
-    // The client finds the leader and opens its session first.
+    // The client first finds the leader and opens its session.
     simulation.write_for(1000.0, WRITE_INTERVAL);
     let bytes_before = simulation.statistics.bytes;
     let first = simulation.writes.len();
@@ -145,8 +146,8 @@
     let mut latencies: Vec<Millis> = simulation.writes[first..]
         .iter()
         .filter_map(|write| {
-            let ended = write.ended.as_ref()?;
-            Some(ended.at - write.started - 2.0 * link_delay)
+            let completed = write.completed.as_ref()?;
+            Some(completed.at - write.started - 2.0 * link_delay)
         })
         .collect();
     latencies.sort_by(f64::total_cmp);
@@ -158,25 +159,26 @@
     }
 }
 
-/// From the leader's death to the next acknowledged write, with a client that writes every 20 ms.
+/// Measures the time from the kill of the leader to the next acknowledged write, with a client that
+/// writes every 20 ms.
 fn measure_failover(replicas: usize, seed: u64) -> Millis {
     let mut simulation = start_group(replicas, 1, true, DEFAULT_LINK_DELAY, seed);
     simulation.write_for(1000.0, 20.0);
-    // The leader dies at another moment of the heartbeat round with each seed.
+    // With each seed, the leader is killed at another moment of the heartbeat round.
     simulation.run_until(simulation.now + seed as f64 * 37.0 % 300.0);
     if let Some(leader) = simulation.leader() {
         simulation.kill(leader);
     }
-    let died = simulation.now;
+    let killed_at = simulation.now;
     let before = simulation.acknowledged_writes();
-    while simulation.acknowledged_writes() == before && simulation.now < died + 60_000.0 {
+    while simulation.acknowledged_writes() == before && simulation.now < killed_at + 60_000.0 {
         simulation.write(0);
         simulation.run_until(simulation.now + 20.0);
     }
-    simulation.now - died
+    simulation.now - killed_at
 }
 
-/// From the start of a replica whose disk was lost to when it votes again.
+/// Measures the time from the start of a replica whose disk was lost until it votes again.
 fn measure_catch_up(writes: usize, seed: u64) -> Millis {
     let mut simulation = start_group(3, 4, true, DEFAULT_LINK_DELAY, seed);
     while simulation.acknowledged_writes() < writes {
--- a/crates/replicated-log/src/client.rs
+++ b/crates/replicated-log/src/client.rs
@@ -32,7 +32,7 @@
         request: Request,
     },
     /// Report the result of a write, which is now complete.
-    Ended {
+    Completed {
         /// The write's sequence number, as [`Client::write`] returned it.
         sequence: u64,
         /// Whether the write was acknowledged.
@@ -263,7 +263,7 @@
         effects: &mut Vec<ClientEffect>,
     ) {
         if self.pending.remove(&sequence).is_some() {
-            effects.push(ClientEffect::Ended { sequence, result });
+            effects.push(ClientEffect::Completed { sequence, result });
         }
     }
 
--- a/crates/replicated-log/src/replica/bootstrap.rs
+++ b/crates/replicated-log/src/replica/bootstrap.rs
@@ -37,7 +37,7 @@
         match (&self.phase, &self.configuration) {
             (Phase::Empty, _) => {
                 if founders == self.founders {
-                    self.found_log_if_ready();
+                    self.bootstrap_if_ready();
                 }
             }
             (_, Some(own)) if own.number == 1 && own.has_voter(sender) => {
@@ -50,7 +50,7 @@
 
     /// Bootstraps a log once all founders are known to be empty, if this replica's name sorts first
     /// among them.
-    fn found_log_if_ready(&mut self) {
+    fn bootstrap_if_ready(&mut self) {
         let voters = self.uninitialized_founders();
         let is_first = voters.first() == Some(&self.id);
         if voters.len() == self.founders.len() && voters.len() > 1 && is_first {
--- a/crates/replicated-log/src/simulation/append_list.rs
+++ b/crates/replicated-log/src/simulation/append_list.rs
@@ -1,9 +1,9 @@
-//! The state machine of the simulation.
+//! The state machine that the simulation uses.
 
 use crate::state_machine::{RestoreError, StateMachine};
 
-/// A list that grows: each write appends its bytes, and is answered the place that they got
-/// (little-endian, eight bytes).
+/// An append-only list. Each write appends its bytes, and its answer is the index of the new item
+/// (little-endian, 8 bytes).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AppendList(pub Vec<Vec<u8>>);
 
--- a/crates/replicated-log/src/simulation/checker.rs
+++ b/crates/replicated-log/src/simulation/checker.rs
@@ -1,4 +1,4 @@
-//! The checker: what a run must never show.
+//! The checker: safety properties that every run must satisfy.
 
 use super::clients::payload;
 use super::{node_name, Simulation};
@@ -10,16 +10,16 @@
 #[derive(Clone, Copy)]
 struct Acknowledged {
     started: Millis,
-    ended: Millis,
-    /// The index in the list that the client was answered.
+    completed: Millis,
+    /// The list index that was returned to the client.
     index: u64,
 }
 
 impl Simulation {
-    /// The violations that the run shows: every acknowledged write must be in the list, once, at
-    /// the index that its client was answered; no write may be there twice; no two replicas may
-    /// ever have had different items at one index; and a write that was started after another was
-    /// acknowledged must come after it.
+    /// Returns all violations of the safety properties in this run. Every acknowledged write must
+    /// be in the list exactly once, at the index that was returned to its client. No write may be
+    /// in the list twice. No two replicas may ever have different items at one index. A write that
+    /// was started after another one was acknowledged must come after it.
     pub fn violations(&self) -> Vec<String> {
         let mut violations = self.run_violations.clone();
         self.check_replicas(&mut violations);
@@ -41,23 +41,28 @@
                 .position(|(item, reference)| item != reference);
             if let Some(index) = difference {
                 let name = node_name(node);
-                violations.push(format!("{name} has another item at index {index}"));
+                violations.push(format!(
+                    "{name} differs from the reference list at index {index}"
+                ));
             }
         }
     }
 
-    /// Returns the index of each write in the list.
+    /// Checks that no write was applied twice. Returns the list index of each write.
     fn check_single_application(&self, violations: &mut Vec<String>) -> BTreeMap<&[u8], usize> {
         let mut indexes = BTreeMap::new();
         for (index, bytes) in self.reference.iter().enumerate() {
             if let Some(first) = indexes.insert(&bytes[..], index) {
-                violations.push(format!("one write at indexes {first} and {index}"));
+                violations.push(format!(
+                    "one write was applied at indexes {first} and {index}"
+                ));
             }
         }
         indexes
     }
 
-    /// Returns the acknowledged writes.
+    /// Checks that every acknowledged write is at the index that its client was told. Returns the
+    /// acknowledged writes.
     fn check_acknowledged(
         &self,
         indexes: &BTreeMap<&[u8], usize>,
@@ -65,8 +70,10 @@
     ) -> Vec<Acknowledged> {
         let mut acknowledged = Vec::new();
         for (number, write) in self.writes.iter().enumerate() {
-            let Some(ended) = &write.ended else { continue };
-            let WriteResult::Acknowledged(answer) = &ended.result else {
+            let Some(completed) = &write.completed else {
+                continue;
+            };
+            let WriteResult::Acknowledged(answer) = &completed.result else {
                 continue;
             };
             let bytes = payload(write.client, number);
@@ -74,12 +81,12 @@
             let answered = answer[..].try_into().map(u64::from_le_bytes).ok();
             if actual != answered {
                 violations.push(format!(
-                    "write {number} was acknowledged at {answered:?} and is at {actual:?}"
+                    "write {number} was acknowledged at index {answered:?} but is at {actual:?}"
                 ));
             }
             acknowledged.push(Acknowledged {
                 started: write.started,
-                ended: ended.at,
+                completed: completed.at,
                 index: answered.unwrap_or_default(),
             });
         }
@@ -87,21 +94,23 @@
     }
 }
 
-/// Checks linearizability: no write may be at an earlier index than any that was acknowledged
+/// Checks linearizability: no write may have a lower index than a write that was acknowledged
 /// before it was started.
 fn check_real_time_order(mut acknowledged: Vec<Acknowledged>, violations: &mut Vec<String>) {
-    let mut by_end = acknowledged.clone();
-    by_end.sort_by(|a, b| a.ended.total_cmp(&b.ended));
+    let mut by_completion = acknowledged.clone();
+    by_completion.sort_by(|a, b| a.completed.total_cmp(&b.completed));
     acknowledged.sort_by(|a, b| a.started.total_cmp(&b.started));
-    let mut ended_before = by_end.iter().peekable();
+    let mut completed_before = by_completion.iter().peekable();
     let mut highest = None;
     for write in acknowledged {
-        while let Some(earlier) = ended_before.next_if(|earlier| earlier.ended < write.started) {
+        while let Some(earlier) =
+            completed_before.next_if(|earlier| earlier.completed < write.started)
+        {
             highest = highest.max(Some(earlier.index));
         }
         if highest.is_some_and(|highest| write.index < highest) {
             violations.push(format!(
-                "index {} was asked for after index {highest:?} was acknowledged",
+                "the write at index {} was started after index {highest:?} was acknowledged",
                 write.index
             ));
         }
--- a/crates/replicated-log/src/simulation/clients.rs
+++ b/crates/replicated-log/src/simulation/clients.rs
@@ -1,17 +1,17 @@
 //! The clients of a simulation.
 
 use super::events::Event;
-use super::{parse_node_name, ClientWrite, EndedWrite, Simulation};
+use super::{parse_node_name, ClientWrite, CompletedWrite, Simulation};
 use crate::client::{ClientEffect, WriteResult};
 use crate::message::Request;
 use crate::settings::Millis;
 use rand::RngExt;
 
-/// How much later than the first a duplicate of a request may arrive.
+/// Maximum delay of a duplicated request after the first copy, in milliseconds.
 const MAX_DUPLICATE_DELAY: Millis = 2000.0;
 
 impl Simulation {
-    /// Lets a client start a write. No two writes of a simulation have the same bytes.
+    /// Starts a write of a client. Every write of a simulation has a unique payload.
     pub fn write(&mut self, client: usize) {
         let payload = payload(client, self.writes.len());
         let Some(started) = self.clients[client].write(self.now, payload) else {
@@ -21,12 +21,12 @@
             client,
             sequence: started.sequence,
             started: self.now,
-            ended: None,
+            completed: None,
         });
         self.execute_client_effects(client, started.effects);
     }
 
-    /// Lets the clients write in turn, once each `interval`, for a time.
+    /// Starts a write every `interval` for `duration`, with the clients taking turns.
     pub fn write_for(&mut self, duration: Millis, interval: Millis) {
         let end = self.now + duration;
         while self.now < end {
@@ -49,7 +49,7 @@
                 ClientEffect::Send { replica, request } => {
                     self.send_request(client, &replica, request);
                 }
-                ClientEffect::Ended { sequence, result } => {
+                ClientEffect::Completed { sequence, result } => {
                     self.complete_write(client, sequence, result);
                 }
             }
@@ -83,12 +83,12 @@
             .iter_mut()
             .find(|write| write.client == client && write.sequence == sequence);
         if let Some(write) = write {
-            write.ended = Some(EndedWrite { at, result });
+            write.completed = Some(CompletedWrite { at, result });
         }
     }
 
-    /// Schedules a client's next tick. One is scheduled at a time: an earlier one replaces a later
-    /// one.
+    /// Schedules a client's next tick. An earlier tick replaces a later one that is already
+    /// scheduled.
     fn schedule_client_tick(&mut self, client: usize) {
         let Some(next) = self.clients[client].next_tick() else {
             return;
@@ -102,7 +102,7 @@
     }
 }
 
-/// The bytes of a write: its client and its place among all writes.
+/// The payload of a write: the index of its client, and its index among all writes.
 pub(super) fn payload(client: usize, number: usize) -> Vec<u8> {
     postcard::to_stdvec(&(client as u64, number as u64)).unwrap_or_default()
 }
--- a/crates/replicated-log/src/simulation/disk.rs
+++ b/crates/replicated-log/src/simulation/disk.rs
@@ -1,4 +1,4 @@
-//! The disk of a node, and its faults.
+//! The simulated disk of a node, and its faults.
 
 use super::Simulation;
 use crate::identity::ReplicaId;
@@ -6,20 +6,21 @@
 use crate::store::{self, StoreHeader};
 use rand::RngExt;
 
-/// One disk.
+/// A disk that holds one store file.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Disk {
-    /// What is durable.
+    /// The durable bytes of the store file.
     pub(super) durable: Vec<u8>,
-    /// What was written and not flushed: after a crash, any part of it from the front may be there.
+    /// Bytes that were written and not flushed. After a crash, any prefix of them may be on the
+    /// disk.
     pub(super) unflushed: Vec<u8>,
-    /// Distinguishes this file from a copy of it.
+    /// A tag that distinguishes the file from a copy of it.
     pub(super) file_tag: String,
     backup: Option<Vec<u8>>,
 }
 
 impl Disk {
-    /// Begins a new file that holds only the header of a store.
+    /// Starts a new file that contains only the header of a store.
     pub(super) fn begin_store(&mut self, replica: ReplicaId) {
         self.durable = store::encode_header(&StoreHeader {
             replica,
@@ -27,13 +28,13 @@
         });
     }
 
-    /// Makes the first unflushed bytes durable.
+    /// Makes the first `bytes` unflushed bytes durable.
     pub(super) fn flush(&mut self, bytes: usize) {
         let flushed = bytes.min(self.unflushed.len());
         self.durable.extend(self.unflushed.drain(..flushed));
     }
 
-    /// Removes the store.
+    /// Removes the store file.
     pub(super) fn clear(&mut self) {
         self.durable.clear();
         self.unflushed.clear();
@@ -41,20 +42,21 @@
 }
 
 impl Simulation {
-    /// Wipes the disk of a node whose replica does not run.
+    /// Wipes the disk of a node whose replica is not running.
     pub fn wipe(&mut self, node: usize) {
         self.statistics.disk_faults += 1;
         self.nodes[node].disk = Disk::default();
     }
 
-    /// Backs up what a node's disk holds now.
+    /// Backs up the durable bytes of a node's disk.
     pub fn back_up(&mut self, node: usize) {
         let disk = &mut self.nodes[node].disk;
         disk.backup = Some(disk.durable.clone());
     }
 
-    /// Replaces what a node's disk holds by its backup, if there is one. `is_detectable` is whether
-    /// the system can tell the copy from the file; it cannot if the whole disk was restored.
+    /// Restores a node's disk from its backup, if there is one. If `is_detectable` is set, the file
+    /// tag changes, so that the replica can tell the copy from the original file. It cannot tell if
+    /// the whole disk was restored.
     pub fn restore_backup(&mut self, node: usize, is_detectable: bool) {
         self.statistics.disk_faults += 1;
         let disk = &mut self.nodes[node].disk;
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Changes a byte in the middle of what a node's disk holds.
+    /// Flips a bit in the middle of a node's store file.
     pub fn corrupt(&mut self, node: usize) {
         self.statistics.disk_faults += 1;
         let durable = &mut self.nodes[node].disk.durable;
@@ -77,12 +79,12 @@
         }
     }
 
-    /// Sets how long a node's disk takes for a write.
+    /// Sets the duration of a durable write on a node's disk.
     pub fn set_write_latency(&mut self, node: usize, latency: Millis) {
         self.nodes[node].write_latency = latency;
     }
 
-    /// Leaves on the disk of a node that crashed a part of what was not flushed.
+    /// Keeps a random prefix of the unflushed bytes on the disk of a node that crashed.
     pub(super) fn discard_unflushed(&mut self, node: usize) {
         let disk = &mut self.nodes[node].disk;
         let unflushed = std::mem::take(&mut disk.unflushed);
--- a/crates/replicated-log/src/simulation/events.rs
+++ b/crates/replicated-log/src/simulation/events.rs
@@ -1,11 +1,11 @@
-//! The events of a simulation, and their order.
+//! The events of a simulation and the queue that orders them.
 
 use super::Simulation;
 use crate::message::{Envelope, Request, Response};
 use crate::settings::Millis;
 use std::collections::BTreeMap;
 
-/// Something that happens to a node or a client.
+/// An event at a node or a client.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
     /// A replica's next tick is due.
@@ -16,11 +16,11 @@
     Request { client: usize, request: Request },
     /// A disk write is durable.
     Written {
-        /// The run of the replica that issued it.
+        /// The run of the node in which the write was issued.
         run: u64,
-        /// Its number.
+        /// The number of the write.
         write: u64,
-        /// How many unflushed bytes it makes durable.
+        /// The number of unflushed bytes that become durable.
         bytes: usize,
     },
     /// A client's next tick is due.
@@ -29,26 +29,28 @@
     Response { client: usize, response: Response },
 }
 
-/// When an event happens: events at the same time happen in the order in which they were scheduled.
+/// The key that orders events by time. Events at the same time are handled in the order in which
+/// they were scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
-    /// The bits of the time. No time is negative, so they are ordered as the times are.
+    /// The bits of the time in milliseconds. Times are never negative, so the bits sort in the same
+    /// order as the times.
     time_bits: u64,
     sequence: u64,
 }
 
-/// An event with its time and the node to which it happens. Events of clients have node 0.
+/// An event with its time and its target node. Events of clients have target 0.
 pub(super) struct ScheduledEvent {
     pub(super) at: Millis,
     pub(super) target: usize,
     pub(super) event: Event,
 }
 
-/// The events to come.
+/// The queue of future events.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BTreeMap<EventKey, ScheduledEvent>,
-    /// Counts the events that were scheduled.
+    /// The number of events scheduled so far.
     sequence: u64,
 }
 
@@ -62,7 +64,7 @@
         self.events.insert(key, scheduled);
     }
 
-    /// Takes the first event, unless it is later than `end`.
+    /// Removes and returns the first event, unless it is later than `end`.
     pub(super) fn pop_until(&mut self, end: Millis) -> Option<ScheduledEvent> {
         let first = self.events.first_entry()?;
         (first.get().at <= end).then(|| first.remove())
--- a/crates/replicated-log/src/simulation/links.rs
+++ b/crates/replicated-log/src/simulation/links.rs
@@ -1,4 +1,4 @@
-//! The links between replicas.
+//! The simulated links between replicas.
 
 use super::events::Event;
 use super::{parse_node_name, Simulation};
@@ -6,30 +6,31 @@
 use crate::settings::Millis;
 use rand::RngExt;
 
-/// The range from which the delay of a duplicate is drawn is at least this long.
+/// Minimum length of the range from which the delay of a duplicate is drawn, in milliseconds.
 const MIN_DUPLICATE_DELAY_RANGE: Millis = 5.0;
 
-/// A range of one-way delays, both ends included.
+/// A range of one-way delays in milliseconds, inclusive at both ends.
 #[derive(Clone, Copy, Debug)]
 pub struct DelayRange {
-    /// The shortest.
+    /// The shortest delay.
     pub min: Millis,
-    /// The longest.
+    /// The longest delay.
     pub max: Millis,
 }
 
-/// What happens to messages on all links. Probabilities are between 0 and 1.
+/// Delay, loss, duplication and reordering of messages on all links. Probabilities are between 0
+/// and 1.
 #[derive(Clone, Debug)]
 pub struct LinkConditions {
-    /// The one-way delay, drawn uniformly.
+    /// The range of one-way delays, drawn from uniformly.
     pub delay: DelayRange,
     /// The probability that a message is lost.
     pub loss: f64,
     /// The probability that a message arrives twice.
     pub duplication: f64,
-    /// The probability that a message is delayed further, so that later ones may overtake it.
+    /// The probability that a message gets an additional delay, so that later ones may overtake it.
     pub reordering: f64,
-    /// The longest further delay, drawn uniformly from zero.
+    /// The maximum of that additional delay in milliseconds, drawn uniformly from zero.
     pub max_reordering_delay: Millis,
 }
 
@@ -48,25 +49,25 @@
 /// One direction of the link between two nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Link {
-    /// The sender.
+    /// The sending node.
     pub from: usize,
-    /// The receiver.
+    /// The receiving node.
     pub to: usize,
 }
 
 impl Simulation {
-    /// Blocks what one node sends to another.
+    /// Blocks messages from one node to another.
     pub fn block(&mut self, from: usize, to: usize) {
         self.blocked_links.insert(Link { from, to });
     }
 
-    /// Blocks what two nodes send to each other.
+    /// Blocks messages between two nodes in both directions.
     pub fn disconnect(&mut self, a: usize, b: usize) {
         self.block(a, b);
         self.block(b, a);
     }
 
-    /// Disconnects the nodes of each part from those of all others.
+    /// Partitions the network: disconnects the nodes of each part from those of all other parts.
     pub fn partition(&mut self, parts: &[&[usize]]) {
         for (number, part) in parts.iter().enumerate() {
             for other in parts[number + 1..].iter().copied().flatten() {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Carries a message between replicas, as the conditions of the links have it.
+    /// Sends a message between replicas, subject to the conditions of the links.
     pub(super) fn send(&mut self, from: usize, to: &str, envelope: &Envelope) {
         let Some(to) = parse_node_name(to).filter(|to| *to < self.nodes.len()) else {
             return;
@@ -106,7 +107,7 @@
         self.schedule(at, to, Event::Message(envelope));
     }
 
-    /// Passes a message through its encoding, as between processes.
+    /// Encodes and decodes a message, as if it were sent between processes.
     fn encode_and_decode(&mut self, envelope: &Envelope) -> Option<Box<Envelope>> {
         let bytes = postcard::to_stdvec(envelope).ok()?;
         self.statistics.bytes += bytes.len() as u64;
@@ -114,13 +115,13 @@
         if decoded.is_none() {
             let message = &envelope.message;
             self.run_violations
-                .push(format!("a message cannot be decoded: {message:?}"));
+                .push(format!("message cannot be decoded: {message:?}"));
         }
         decoded.map(Box::new)
     }
 
-    /// When a message arrives. A connection keeps the order of messages; only stragglers are
-    /// overtaken.
+    /// Draws the arrival time of a message. A connection keeps messages in order, except for those
+    /// that are chosen for reordering.
     fn sample_arrival_time(&mut self, link: Link) -> Millis {
         let at = self.now + self.sample_delay();
         if self.sample_bool(self.link_conditions.reordering) {
--- a/crates/replicated-log/src/simulation/mod.rs
+++ b/crates/replicated-log/src/simulation/mod.rs
@@ -1,10 +1,11 @@
-//! A group of replicas and its clients in one process, over a network and disks whose behavior is
-//! drawn from a seed.
+//! Deterministic simulation of a group of replicas and its clients in one process. The behavior of
+//! the network and the disks is drawn from a seed.
 //!
 //! Time is simulated. Links may delay, lose, duplicate, reorder or block messages. A replica may be
-//! killed between any two events, with its unflushed writes lost or torn; its disk may be wiped,
-//! restored from a backup or corrupted; its process may be paused. What every client was answered
-//! is kept for the checker (see [`Simulation::violations`]). The same seed leads to the same run.
+//! killed between any two events, and its unflushed writes are then lost or torn. Its disk may be
+//! wiped, restored from a backup or corrupted, and its process may be paused. The results of all
+//! client writes are kept for the checker (see [`Simulation::violations`]). The same seed leads to
+//! the same run.
 
 mod append_list;
 mod checker;
@@ -28,56 +29,56 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a simulated client waits for a response before it asks another replica.
+/// Response timeout of the simulated clients, in milliseconds.
 const CLIENT_RESPONSE_TIMEOUT: Millis = 300.0;
 
-/// What a simulation consists of.
+/// The configuration of a simulation.
 #[derive(Clone, Debug)]
 pub struct SimulationConfig {
-    /// The number of replicas. All start at once.
+    /// The number of replicas. All of them start at time zero.
     pub nodes: usize,
-    /// The number of replicas that found the log, from the first on; the rest are standbys.
+    /// The number of replicas that bootstrap the log, counted from node 0; the rest are standbys.
     pub founders: usize,
-    /// The number of clients.
+    /// The number of clients that can write.
     pub clients: usize,
-    /// Whether the replicas have disks; otherwise they keep everything in memory.
+    /// Whether the replicas have disks. If not, they keep everything in memory.
     pub is_durable: bool,
     /// The settings of each replica.
     pub settings: Settings,
-    /// Determines the run.
+    /// Seed of the random number generator; determines the whole run.
     pub seed: u64,
 }
 
-/// The end of a client's write.
+/// The completion of a client's write.
 #[derive(Clone, Debug)]
-pub struct EndedWrite {
-    /// When the client learned of it.
+pub struct CompletedWrite {
+    /// When the client learned the result, in simulated milliseconds.
     pub at: Millis,
-    /// The result.
+    /// Whether the write was acknowledged, with its answer.
     pub result: WriteResult,
 }
 
-/// A client's write.
+/// A write that a client has started.
 #[derive(Clone, Debug)]
 pub struct ClientWrite {
-    /// The client.
+    /// The index of the client.
     pub client: usize,
-    /// The client's number for it.
+    /// The sequence number that the client assigned to the write.
     pub sequence: u64,
-    /// When the client asked for it.
+    /// When the client started the write, in simulated milliseconds.
     pub started: Millis,
-    /// Its end; `None` while it has not ended.
-    pub ended: Option<EndedWrite>,
+    /// The completion of the write; `None` while it is pending.
+    pub completed: Option<CompletedWrite>,
 }
 
-/// Counts of what happened, by which a run without violations shows that its faults took effect.
+/// Counts of events, by which a run without violations shows that its faults took effect.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunStatistics {
     /// Messages between replicas that were lost.
     pub lost: u64,
     /// Messages between replicas that arrived twice.
     pub duplicated: u64,
-    /// Messages between replicas that were delayed beyond their order.
+    /// Messages between replicas that were delayed so that later ones could overtake them.
     pub delayed: u64,
     /// Changes of the leader that were observed.
     pub leader_changes: u64,
@@ -93,52 +94,54 @@
     pub bytes: u64,
 }
 
-/// A simulated group with its clients.
+/// A simulated group of replicas with its clients.
 pub struct Simulation {
-    /// The simulated time.
+    /// The current simulated time, in milliseconds.
     pub now: Millis,
-    /// The conditions of all links.
+    /// Delay, loss, duplication and reordering of messages between replicas. Clients' messages have
+    /// the same delay and loss, and their requests the same duplication.
     pub link_conditions: LinkConditions,
-    /// Links between replicas that carry nothing. Clients reach every replica that runs.
+    /// Blocked links between replicas. Clients can reach every running replica.
     pub blocked_links: BTreeSet<Link>,
     /// The writes of all clients, in the order in which they started.
     pub writes: Vec<ClientWrite>,
-    /// What happened so far.
+    /// Counts of the events so far.
     pub statistics: RunStatistics,
-    /// The list as the first replica applied it that reached each place.
+    /// The reference list: at each index, the item that the first replica to reach that index
+    /// applied.
     reference: Vec<Vec<u8>>,
-    /// Violations that were found during the run.
+    /// Violations that were detected while events were handled.
     run_violations: Vec<String>,
     nodes: Vec<Node>,
     clients: Vec<Client>,
-    /// When each client is to be called next.
+    /// The time of each client's next scheduled tick.
     client_ticks: Vec<Millis>,
-    /// When the last message in order arrives, by link.
+    /// Per link, when the last message that was not reordered arrives.
     last_arrivals: BTreeMap<Link, Millis>,
     settings: Settings,
     is_durable: bool,
     founders: usize,
     events: EventQueue,
     rng: StdRng,
-    /// The last replica that was seen to lead.
+    /// The last node that was seen to lead.
     last_leader: Option<usize>,
-    /// The number of the latest configuration that was seen.
+    /// The highest configuration number that was seen.
     latest_configuration: u32,
 }
 
-/// The name of the replica of a node. Names of up to ten nodes are of one length, and sort as the
-/// nodes do.
+/// The replica name of a node. The names of up to ten nodes have the same length, and sort in the
+/// order of the nodes.
 fn node_name(node: usize) -> String {
     format!("r{node}")
 }
 
-/// The node of a replica's name.
+/// The node with a replica name, or `None` if the name is not of the form of [`node_name`].
 fn parse_node_name(name: &str) -> Option<usize> {
     name.strip_prefix('r')?.parse().ok()
 }
 
 impl Simulation {
-    /// A simulation in which all replicas have just started.
+    /// Creates a simulation and starts all replicas.
     pub fn new(config: SimulationConfig) -> Simulation {
         let mut rng = StdRng::seed_from_u64(config.seed);
         let names: Vec<String> = (0..config.founders).map(node_name).collect();
@@ -171,18 +174,18 @@
         simulation
     }
 
-    /// Whether a node's replica runs. A paused one does.
+    /// Whether a node's replica is running. A paused replica counts as running.
     pub fn is_running(&self, node: usize) -> bool {
         self.nodes[node].replica.is_some()
     }
 
-    /// The replica of a node, if it runs.
+    /// The replica of a node, or `None` while it is not running.
     pub fn replica(&self, node: usize) -> Option<&Replica<AppendList>> {
         self.nodes[node].replica.as_ref()
     }
 
-    /// The node whose replica leads: of those that take themselves for the leader and are not
-    /// paused, the one in the latest term.
+    /// The node of the current leader: of the replicas that consider themselves leader and are not
+    /// paused, the one with the latest term.
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len())
             .filter(|node| self.nodes[*node].paused_until.is_none())
@@ -200,26 +203,26 @@
     pub fn acknowledged_writes(&self) -> usize {
         self.writes
             .iter()
-            .filter_map(|write| write.ended.as_ref())
-            .filter(|ended| matches!(ended.result, WriteResult::Acknowledged(_)))
+            .filter_map(|write| write.completed.as_ref())
+            .filter(|completed| matches!(completed.result, WriteResult::Acknowledged(_)))
             .count()
     }
 
-    /// The number of writes that have not ended.
+    /// The number of writes whose result is not yet known.
     pub fn pending_writes(&self) -> usize {
         self.writes
             .iter()
-            .filter(|write| write.ended.is_none())
+            .filter(|write| write.completed.is_none())
             .count()
     }
 
-    /// Runs until a time.
+    /// Handles events until the simulated time is `end`.
     pub fn run_until(&mut self, end: Millis) {
         self.run_while(end, |_| true);
     }
 
-    /// Runs until a time, or until a condition no longer holds after an event. Returns whether it
-    /// no longer holds.
+    /// Handles events until the simulated time is `end`, or until the condition is false after an
+    /// event. Returns whether the condition is false.
     pub fn run_while(&mut self, end: Millis, condition: impl Fn(&Simulation) -> bool) -> bool {
         while let Some(ScheduledEvent { at, target, event }) = self.events.pop_until(end) {
             self.now = self.now.max(at);
@@ -237,7 +240,7 @@
         self.rng.random_range(range.min..=range.max)
     }
 
-    /// Draws whether something of this probability happens.
+    /// Returns true with this probability.
     fn sample_bool(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.rng.random_bool(probability)
     }
--- a/crates/replicated-log/src/simulation/node.rs
+++ b/crates/replicated-log/src/simulation/node.rs
@@ -1,4 +1,4 @@
-//! The nodes of a simulation: each runs one replica at a time, with a disk.
+//! The nodes of a simulation. Each node has a disk and runs one replica at a time.
 
 use super::disk::Disk;
 use super::events::Event;
@@ -11,30 +11,30 @@
 use crate::store;
 use rand::RngExt;
 
-/// How long a disk takes for a write, unless it is set.
+/// Default duration of a durable disk write, in milliseconds.
 pub(super) const DEFAULT_WRITE_LATENCY: Millis = 0.5;
-/// Events that wait for a paused node; more are lost.
+/// Maximum number of events that are queued for a paused node; further events are lost.
 const MAX_DELAYED_EVENTS: usize = 512;
-/// Zones over which the nodes are spread.
+/// Number of zones over which the nodes are spread.
 const ZONES: usize = 3;
 
-/// A node.
+/// A simulated machine with a disk and, while it runs, a replica.
 pub(super) struct Node {
-    /// Its replica, while it runs.
+    /// The node's replica; `None` while it is not running.
     pub(super) replica: Option<Replica<AppendList>>,
     pub(super) disk: Disk,
-    /// How many identities it has had.
+    /// The number of replica identities that the node has created.
     incarnations: u64,
-    /// When its pause ends, while it is paused.
+    /// When the pause ends; `None` if the node is not paused.
     pub(super) paused_until: Option<Millis>,
-    /// The events that happened during its pause.
+    /// Events that arrived during the pause.
     delayed_events: Vec<Event>,
-    /// How long its disk takes for a write.
+    /// Duration of a durable disk write, in milliseconds.
     pub(super) write_latency: Millis,
-    /// Counts the starts and ends of its replica: writes of an earlier run are not reported to a
-    /// later one.
+    /// Number of starts and kills of the replica. A write that completes is reported only to the
+    /// run that issued it.
     run: u64,
-    /// When its replica's next tick is due.
+    /// When the replica's next tick is due.
     next_tick: Millis,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl Simulation {
-    /// Starts the replica of a node, with what its disk holds.
+    /// Starts the replica of a node from the content of the node's disk.
     pub fn start(&mut self, node: usize) {
         let own = &mut self.nodes[node];
         own.run += 1;
@@ -78,7 +78,7 @@
         self.execute_effects(node, effects);
     }
 
-    /// Reads a node's store; one that cannot be used is replaced by an empty one under a new
+    /// Loads a node's store. A store that cannot be used is replaced by an empty one under a new
     /// identity.
     fn load_store(&mut self, node: usize) -> Start {
         let founders = (0..self.founders).map(node_name).collect();
@@ -114,8 +114,7 @@
         id
     }
 
-    /// Kills the replica of a node. Of what was not flushed, a drawn part is on the disk
-    /// afterwards.
+    /// Kills the replica of a node. A random prefix of its unflushed bytes remains on the disk.
     pub fn kill(&mut self, node: usize) {
         let own = &mut self.nodes[node];
         if own.replica.take().is_none() {
@@ -126,7 +125,7 @@
         self.discard_unflushed(node);
     }
 
-    /// Pauses a node; events that happen meanwhile wait for it.
+    /// Pauses a node. Events that arrive meanwhile are queued until the pause ends.
     pub fn pause(&mut self, node: usize, duration: Millis) {
         let end = self.now + duration;
         self.nodes[node].paused_until = Some(end);
@@ -219,8 +218,9 @@
         self.schedule_written(node, write, length);
     }
 
-    /// Replaces the file by a new one with a rename, so that after a crash one or the other is
-    /// there. What was being written to the old file is contained in the new one.
+    /// Atomically replaces the file with a new one, as by a rename, so that after a crash one of
+    /// the two exists. The new file contains everything that was still being written to the old
+    /// one.
     fn rewrite(&mut self, node: usize, write: u64, records: &[LogRecord]) {
         let own = &mut self.nodes[node];
         let Some(replica) = &own.replica else { return };
@@ -236,15 +236,15 @@
         self.schedule(at, node, Event::Written { run, write, bytes });
     }
 
-    /// Compares what a replica has applied with what others had, and counts changes of the leader
-    /// and of the configuration.
+    /// Compares what a replica has applied with the reference list, and counts changes of the
+    /// leader and of the configuration.
     fn observe_replica(&mut self, node: usize) {
         let Some(replica) = &self.nodes[node].replica else {
             return;
         };
         let list = &replica.state().state_machine.0;
         let known = self.reference.len().min(list.len());
-        // Only the last item can be new; all are compared at the end.
+        // Only the last common item is compared here; `violations` compares all items at the end.
         if known > 0 && self.reference[known - 1] != list[known - 1] {
             let violation = format!(
                 "{} at {} ms: another replica had a different item at index {}",
--- a/crates/replicated-log/src/simulation/random_run.rs
+++ b/crates/replicated-log/src/simulation/random_run.rs
@@ -1,4 +1,4 @@
-//! Runs with faults of every kind, drawn from a seed.
+//! Simulation runs with random faults, drawn from a seed.
 
 use super::node::DEFAULT_WRITE_LATENCY;
 use super::{LinkConditions, Simulation, SimulationConfig};
@@ -9,14 +9,14 @@
 use rand::{RngExt, SeedableRng};
 
 const CLIENTS: usize = 4;
-/// How long faults are injected.
+/// Duration of the phase in which faults are injected, in milliseconds.
 const FAULT_DURATION: Millis = 30_000.0;
-/// How long stragglers are delayed at most.
+/// Maximum additional delay of reordered messages, in milliseconds.
 const MAX_REORDERING_DELAY: Millis = 3000.0;
 
-/// A run with random faults, and then a time without any in which all writes must end. At most one
-/// replica loses its disk before the group is complete again, as more is not guaranteed to be
-/// survived.
+/// Runs a simulation with random faults, followed by a phase without faults in which all writes
+/// must complete. At most one replica loses its disk before the group is complete again, as
+/// survival of more lost disks is not guaranteed.
 pub fn run_random(seed: u64) -> Simulation {
     let mut run = RandomRun::new(seed);
     run.wait_for_leader();
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Ends all faults, and runs until all writes have ended.
+    /// Ends all faults, and runs until all writes are complete.
     fn recover(&mut self) {
         let simulation = &mut self.simulation;
         simulation.blocked_links.clear();
@@ -148,9 +148,9 @@
     }
 
     fn partition(&mut self) {
-        let (some, rest): (Vec<usize>, Vec<usize>) =
+        let (one_side, other_side): (Vec<usize>, Vec<usize>) =
             (0..self.nodes).partition(|_| self.rng.random_bool(0.5));
-        self.simulation.partition(&[&some, &rest]);
+        self.simulation.partition(&[&one_side, &other_side]);
     }
 
     fn lose_disk(&mut self, node: usize) {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Kills all replicas at once and starts them with their disks.
+    /// Kills all replicas at once and restarts them from their disks.
     fn restart_all(&mut self) {
         for node in 0..self.nodes {
             self.simulation.kill(node);
@@ -183,14 +183,14 @@
                 return;
             }
         }
-        // Without a disk, a kill takes all that a replica has.
+        // A replica without a disk loses its whole state when it is killed.
         if self.simulation.is_durable || may_lose_disk {
             self.simulation.kill(node);
         }
     }
 
-    /// Whether a node may lose its disk: it is a voter's, and every voter of the group runs and
-    /// votes. A standby may not, as it may be about to become a voter.
+    /// Whether a node may lose its disk. It must be a voter's, and all voters of the group must be
+    /// running and voting. A standby must keep its disk, as it may be about to become a voter.
     fn may_lose_disk(&self, node: usize) -> bool {
         let simulation = &self.simulation;
         let configuration = simulation
@@ -208,7 +208,7 @@
             && voters.iter().all(|voter| self.votes(voter, configuration))
     }
 
-    /// Whether a voter runs and votes in this configuration.
+    /// Whether a voter is running and votes in this configuration.
     fn votes(&self, voter: &ReplicaId, configuration: &Configuration) -> bool {
         (0..self.nodes)
             .filter_map(|node| self.simulation.replica(node))
--- a/crates/replicated-log/src/store.rs
+++ b/crates/replicated-log/src/store.rs
@@ -28,13 +28,13 @@
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
     /// The format is newer than this program supports.
-    #[error("format {0}, where {VERSION} is the newest that is supported")]
+    #[error("unsupported store format {0}; the newest supported format is {VERSION}")]
     UnsupportedVersion(u8),
     /// The header is missing or cannot be read.
-    #[error("not a store")]
+    #[error("not a store: its header is missing or unreadable")]
     NotAStore,
     /// Bytes before the end of the store were changed after they were written.
-    #[error("corrupt at byte {offset} of {length}")]
+    #[error("store is corrupt at byte {offset} of {length}")]
     Corrupt {
         /// The offset of the frame that cannot be read, in bytes.
         offset: usize,
@@ -44,7 +44,7 @@
         source: Option<postcard::Error>,
     },
     /// The file was copied or moved, so it may be older than the last messages of its replica.
-    #[error("not the file that was written: a copy, which may be older")]
+    #[error("store file was copied or moved and may be outdated")]
     Copied,
 }
 
--- a/crates/replicated-log/tests/deliberate_faults.rs
+++ b/crates/replicated-log/tests/deliberate_faults.rs
@@ -1,26 +1,26 @@
-//! The checker finds what is wrong: each rule is left out in turn, and a run must show it. A
-//! checker that found nothing then would never find anything.
+//! Tests the checker itself: each rule of the protocol is left out in turn, and the checker must
+//! find the fault in some run. A checker that missed all deliberate faults would prove nothing.
 
 use cometspool_replicated_log::fault::{enable, Fault};
 use cometspool_replicated_log::simulation::{run_random, Simulation, SimulationConfig};
 use cometspool_replicated_log::{Settings, Timing};
 use std::panic::{catch_unwind, UnwindSafe};
 
-/// Whether a run shows a fault: the checker reports it; or the consensus library met an impossible
-/// state and panicked; or a group that has everything it needs did not complete all writes, as it
-/// always does without a fault.
+/// Whether a run shows a fault: the checker reports a violation; or the consensus library reaches
+/// an impossible state and panics; or a group whose replicas are running and connected did not
+/// complete all writes, as it always does without a fault.
 fn shows_fault(run: impl FnOnce() -> Simulation + UnwindSafe) -> bool {
     catch_unwind(run).map_or(true, |group| {
         !group.violations().is_empty() || group.pending_writes() > 0
     })
 }
 
-/// Whether a run shows a fault, if its writes need not complete.
+/// Whether the checker reports a violation or the run panics. Incomplete writes are allowed.
 fn shows_violation(run: impl FnOnce() -> Simulation + UnwindSafe) -> bool {
     catch_unwind(run).map_or(true, |group| !group.violations().is_empty())
 }
 
-/// A group of three, once it has a leader.
+/// Starts a group of three replicas and runs it until it has a leader.
 fn start_group(timing: Timing, seed: u64) -> Simulation {
     let settings = Settings {
         timing,
@@ -38,7 +38,7 @@
     group
 }
 
-/// Sessions that expire soon, and duplicates of requests that arrive much later.
+/// A run in which sessions expire early, and duplicated requests arrive much later.
 fn run_with_late_duplicates(seed: u64) -> Simulation {
     let timing = Timing {
         session_timeout_ms: 200,
@@ -54,8 +54,8 @@
     group
 }
 
-/// Two of three replicas lose their disks at once, and the third, which they hear, does not hear
-/// them.
+/// A run in which two of three replicas lose their disks at once. They receive the third replica's
+/// messages, and it does not receive theirs.
 fn run_with_lost_majority(seed: u64) -> Simulation {
     let timing = Timing {
         replacement_delay: 5000.0,
@@ -75,11 +75,11 @@
     group
 }
 
-/// Whether the run that is made for a fault shows it.
-fn is_found(fault: Fault, seed: u64) -> bool {
+/// Whether the run that is designed for a fault shows it.
+fn is_detected(fault: Fault, seed: u64) -> bool {
     match fault {
         Fault::WriteAfterExpiry => shows_fault(move || run_with_late_duplicates(seed)),
-        // A group that lost its majority rightly makes no progress.
+        // A group that lost its majority correctly makes no progress.
         Fault::BootstrapWithNonEmpty => shows_violation(move || run_with_lost_majority(seed)),
         _ => shows_fault(move || run_random(seed)),
     }
@@ -87,17 +87,17 @@
 
 #[test]
 fn every_deliberate_fault_is_found() {
-    // The consensus library's panics are expected here.
+    // Panics of the consensus library are expected here, so their output is suppressed.
     std::panic::set_hook(Box::new(|_| {}));
     let mut missed = Vec::new();
     for fault in Fault::ALL {
         enable(None);
         assert!(
-            (0..5).all(|seed| !is_found(fault, seed)),
+            (0..5).all(|seed| !is_detected(fault, seed)),
             "{fault:?}: its runs show a fault where none is enabled"
         );
         enable(Some(fault));
-        match (0..60).find(|seed| is_found(fault, *seed)) {
+        match (0..60).find(|seed| is_detected(fault, *seed)) {
             Some(seed) => println!("{fault:?}: found by seed {seed}"),
             None => missed.push(fault),
         }
--- a/crates/replicated-log/tests/encoding/agreement.rs
+++ b/crates/replicated-log/tests/encoding/agreement.rs
@@ -1,4 +1,4 @@
-//! Messages of the consensus library.
+//! Encodings of the consensus library's messages.
 
 use crate::fixtures::{ballot, check, encoded, log_sync, other_ballot, sequence_number, stop_sign};
 use cometspool_replicated_log::{Entry, PeerMessage};
--- a/crates/replicated-log/tests/encoding/fixtures.rs
+++ b/crates/replicated-log/tests/encoding/fixtures.rs
@@ -1,4 +1,4 @@
-//! Values to encode, whose fields differ from each other, and the comparison of their encodings.
+//! Values to encode, with distinct field values, and the comparison of their encodings.
 
 use cometspool_replicated_log::{Command, Configuration, Entry, LeaderTerm, Position, ReplicaId};
 use omnipaxos::ballot_leader_election::Ballot;
@@ -12,16 +12,17 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The encoding of a value, which has to be read back to a value of the same encoding.
+/// Encodes a value as hexadecimal text, and checks that decoding and encoding it again yields the
+/// same bytes.
 pub(crate) fn encoded<T: Serialize + DeserializeOwned>(value: &T) -> String {
-    let bytes = postcard::to_stdvec(value).expect("it can be encoded");
-    let read: T = postcard::from_bytes(&bytes).expect("it can be read back");
-    let again = postcard::to_stdvec(&read).expect("it can be encoded again");
+    let bytes = postcard::to_stdvec(value).expect("the value can be encoded");
+    let read: T = postcard::from_bytes(&bytes).expect("the encoding can be decoded");
+    let again = postcard::to_stdvec(&read).expect("the decoded value can be encoded");
     assert_eq!(again, bytes);
     hex(&bytes)
 }
 
-/// Compares encodings with what is expected of each, and prints all of them if any differs.
+/// Compares encodings with the expected ones, and prints all of them if any differs.
 pub(crate) fn check(actual: &[(&str, String)], expected: &[(&str, &str)]) {
     let same = actual.len() == expected.len()
         && actual
@@ -33,7 +34,10 @@
             println!("        (\"{name}\", \"{bytes}\"),");
         }
     }
-    assert!(same, "an encoding has changed");
+    assert!(
+        same,
+        "an encoding has changed; the actual encodings are printed above"
+    );
 }
 
 pub(crate) fn replica_id(number: u64) -> ReplicaId {
--- a/crates/replicated-log/tests/encoding/main.rs
+++ b/crates/replicated-log/tests/encoding/main.rs
@@ -1,6 +1,6 @@
-//! The exact bytes of every form that is stored or sent. Postcard encodes by the order of fields
-//! and variants and keeps no names, so any change of that order shows here, and a change of names
-//! does not.
+//! Tests the exact bytes of every stored or sent type. Postcard encodes fields and variants by
+//! their order and without names, so these tests fail if the order changes and pass if only a name
+//! changes.
 
 mod agreement;
 mod fixtures;
--- a/crates/replicated-log/tests/encoding/messages.rs
+++ b/crates/replicated-log/tests/encoding/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of clients and between replicas.
+//! Encodings of messages between clients and replicas, and between replicas.
 
 use crate::fixtures::{
     ballot, check, command, configuration, encoded, leader_term, other_ballot, position, replica_id,
--- a/crates/replicated-log/tests/encoding/stored.rs
+++ b/crates/replicated-log/tests/encoding/stored.rs
@@ -1,4 +1,4 @@
-//! What is stored: entries, log records, the header of a store, and snapshots.
+//! Encodings of stored types: entries, log records, the header of a store, and snapshots.
 
 use crate::fixtures::{
     ballot, check, command, configuration, encoded, hex, leader_term, position, replica_id,
@@ -136,7 +136,8 @@
         state.apply(&entry);
     }
     let bytes = state.snapshot();
-    let restored = ReplicatedState::<AppendList>::restore(&bytes).expect("it can be read back");
+    let restored =
+        ReplicatedState::<AppendList>::restore(&bytes).expect("the encoding can be decoded");
     assert_eq!(restored.snapshot(), bytes);
     let actual = [("empty", empty), ("with sessions", hex(&bytes))];
     check(&actual, SNAPSHOTS);
--- a/crates/replicated-log/tests/scenarios.rs
+++ b/crates/replicated-log/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! The hard cases of the replicated log, each on a simulated group.
+//! Failure scenarios of the replicated log, each on a simulated group.
 
 use cometspool_replicated_log::simulation::{
     run_random, AppendList, LinkConditions, RunStatistics, Simulation, SimulationConfig,
@@ -20,7 +20,8 @@
     }
 }
 
-/// A group that is founded by its first three replicas, the rest standing by, once it has a leader.
+/// Starts a group that its first three replicas bootstrap, with the rest as standbys, and runs it
+/// until it has a leader.
 fn start_group(nodes: usize, clients: usize, is_durable: bool, seed: u64) -> Simulation {
     let mut group = Simulation::new(SimulationConfig {
         nodes,
@@ -35,13 +36,13 @@
     group
 }
 
-/// Runs until all writes have ended, and checks the whole run.
+/// Runs until all writes are complete, and then checks the whole run.
 fn finish_and_check(group: &mut Simulation) {
     let deadline = group.now + 120_000.0;
-    let all_ended = group.run_while(deadline, |group| group.pending_writes() > 0);
+    let all_completed = group.run_while(deadline, |group| group.pending_writes() > 0);
     assert!(
-        all_ended,
-        "all writes must end: {} are pending",
+        all_completed,
+        "all writes must complete: {} are pending",
         group.pending_writes()
     );
     group.run_until(group.now + 5000.0);
@@ -67,8 +68,8 @@
     }
 }
 
-/// Guards acknowledged writes against the death of any minority, the leader above all, and of all
-/// replicas with their disks.
+/// Guards against the loss of acknowledged writes when the leader or any minority is killed, and
+/// when all replicas are killed and restart from their disks.
 #[test]
 fn acknowledged_writes_survive_leaders_minorities_and_a_restart_of_all() {
     let mut group = start_group(3, 4, true, 2);
@@ -95,8 +96,8 @@
     );
 }
 
-/// Guards against replicas that lost data: wiped, restored from a backup, corrupted, one after
-/// another, with acknowledged writes in between.
+/// Guards against replicas that lost data. Their disks are wiped, restored from a backup or
+/// corrupted, one after another, with acknowledged writes in between.
 #[test]
 fn replicas_that_lose_their_disks_one_after_another_are_replaced() {
     let mut group = start_group(3, 4, true, 3);
@@ -135,8 +136,8 @@
     format!("{replicas:?}")
 }
 
-/// Guards the vote of a replica that is gone for good: a standby gets it, in another zone than the
-/// remaining voters.
+/// Guards against a voter that never returns and is not replaced. A standby must get its vote, in
+/// another zone than the remaining voters.
 #[test]
 fn a_lost_voter_is_replaced_by_a_standby_in_a_free_zone() {
     let mut group = start_group(5, 2, true, 4);
@@ -148,7 +149,7 @@
     });
     assert!(is_replaced, "the group must be reconfigured");
     group.write_for(1000.0, 10.0);
-    // The fifth replica is in the lost one's zone, the fourth in the first one's.
+    // The fifth replica is in the zone of the lost one, the fourth in the zone of the first one.
     let configuration = group
         .leader()
         .and_then(|node| group.replica(node)?.configuration().cloned())
@@ -160,11 +161,11 @@
     finish_and_check(&mut group);
 }
 
-/// A pattern of broken links.
+/// A pattern of blocked links.
 struct Topology {
     name: &'static str,
     nodes: usize,
-    /// Which nodes are disconnected from each other, with the leader as 0 and the others in order.
+    /// The pairs of nodes that are disconnected. Node 0 is the leader; the others follow in order.
     disconnected: &'static [(usize, usize)],
 }
 
@@ -191,8 +192,8 @@
     },
 ];
 
-/// Guards progress where links are partly broken: a replica that is connected to a majority soon
-/// leads.
+/// Guards against a group that stops when links are partly blocked: a replica that is connected to
+/// a majority must soon lead.
 #[test]
 fn a_group_makes_progress_if_any_replica_is_connected_to_a_majority() {
     for topology in TOPOLOGIES {
@@ -237,14 +238,14 @@
     finish_and_check(&mut group);
 }
 
-/// Guards progress where the leader is heard and hears nobody, or hears and is not heard.
+/// Guards against a group that stops when its leader can only send or only receive.
 #[test]
 fn a_group_makes_progress_if_its_leader_is_connected_one_way_only() {
-    for is_heard in [true, false] {
+    for can_send in [true, false] {
         let mut group = start_group(3, 2, true, 7);
         let leader = group.leader().expect("a leader");
         for other in (0..3).filter(|node| *node != leader) {
-            if is_heard {
+            if can_send {
                 group.block(other, leader);
             } else {
                 group.block(leader, other);
@@ -256,15 +257,15 @@
             group.run_while(group.now + 5000.0, |group| {
                 group.acknowledged_writes() == before
             }),
-            "one way, leader heard: {is_heard}"
+            "one-way links, leader can send: {can_send}"
         );
         group.blocked_links.clear();
         finish_and_check(&mut group);
     }
 }
 
-/// Guards against a lost majority: the remaining replica acknowledges nothing, and no replica
-/// founds another log.
+/// Guards against writes or a new log after a lost majority: the remaining replica must acknowledge
+/// nothing, and no replica may bootstrap another log.
 #[test]
 fn a_lost_majority_acknowledges_nothing_and_founds_no_log() {
     let mut group = start_group(3, 2, true, 5);
@@ -282,17 +283,17 @@
     let after = group.acknowledged_writes();
     assert_eq!((after, group.statistics.reconfigurations), (before, 0));
     for node in [1, 2] {
-        let replica = group.replica(node).expect("it runs");
+        let replica = group.replica(node).expect("the replica is running");
         assert!(
             replica.log_id() == 0 || Some(replica.log_id()) == log_id,
-            "a log of its own"
+            "a replica must not bootstrap a log of its own"
         );
         assert!(!is_voting(replica), "{:?}", replica.role());
     }
 }
 
-/// Guards against a leader that was paused: what it sends when it resumes acknowledges nothing that
-/// is not so.
+/// Guards against a paused leader that resumes: its outdated messages must not lead to a wrong
+/// acknowledgement.
 #[test]
 fn a_leader_that_resumes_after_half_a_minute_does_no_harm() {
     let mut group = start_group(3, 4, true, 6);
@@ -310,7 +311,7 @@
     );
 }
 
-/// The counts of faults that must all have acted over many runs.
+/// The counts of events that must each have occurred over many runs.
 fn fault_counts(statistics: RunStatistics) -> [u64; 6] {
     [
         statistics.lost,
@@ -329,7 +330,8 @@
         .unwrap_or(default)
 }
 
-/// Guards acknowledged writes under all faults at once, drawn from a seed.
+/// Guards against the loss of acknowledged writes under random combinations of all faults, drawn
+/// from a seed.
 #[test]
 fn random_faults_lead_to_no_violation() {
     let seeds = number_from_environment("RECORD_SEEDS", 60);
@@ -350,7 +352,7 @@
     }
     assert!(
         sums.iter().all(|sum| *sum >= seeds / 8),
-        "faults that did not act: {sums:?}"
+        "some kind of fault occurred too rarely: {sums:?}"
     );
     println!(
         "{seeds} seeds: lost, leader changes, kills, disk faults, discarded stores, \
@@ -358,8 +360,8 @@
     );
 }
 
-/// Guards a group in memory: a replica that restarts rejoins under a new identity, and gets its
-/// vote by a reconfiguration.
+/// Guards against a replica in memory that keeps its old identity after a restart: it must rejoin
+/// under a new one, and get its vote by a reconfiguration.
 #[test]
 fn a_replica_in_memory_rejoins_under_a_new_identity_after_a_restart() {
     let mut group = start_group(3, 2, false, 8);
--- a/crates/replicated-log/tests/store.rs
+++ b/crates/replicated-log/tests/store.rs
@@ -1,4 +1,4 @@
-//! The format of a store: torn, corrupt, copied, newer, and arbitrary bytes.
+//! Tests of the store format with torn, corrupt, copied, newer and arbitrary bytes.
 
 use cometspool_replicated_log::{
     decode, encode, encode_header, Command, Entry, LogRecord, ReplicaId, StoreError, StoreHeader,
@@ -24,7 +24,7 @@
     })
 }
 
-/// A store, and where each of its frames begins.
+/// An encoded store, and the offset of each of its frames.
 struct Store {
     bytes: Vec<u8>,
     frame_starts: Vec<usize>,
@@ -49,8 +49,8 @@
     }
 }
 
-/// Guards the difference between a crash and a broken disk: a cut at any byte leaves the frames
-/// before it, and a changed byte anywhere is always taken for corruption.
+/// Guards against confusing a crash with a broken disk: after a cut at any byte the frames before
+/// it can be read, and a changed byte anywhere is always detected as corruption.
 #[test]
 fn a_cut_leaves_the_frames_before_it_and_a_changed_byte_is_corruption() {
     let Store {
@@ -58,7 +58,7 @@
         frame_starts,
     } = store(6);
     for end in frame_starts[0]..bytes.len() {
-        let loaded = decode(&bytes[..end], "here").expect("a cut store is a store");
+        let loaded = decode(&bytes[..end], "here").expect("a truncated store can be decoded");
         let complete = frame_starts
             .iter()
             .copied()
@@ -71,14 +71,18 @@
             "cut at {end}"
         );
     }
-    for place in 0..bytes.len() {
+    for offset in 0..bytes.len() {
         let mut bytes = bytes.clone();
-        bytes[place] ^= 0x10;
-        assert!(decode(&bytes, "here").is_err(), "byte {place} changed");
+        bytes[offset] ^= 0x10;
+        assert!(
+            decode(&bytes, "here").is_err(),
+            "change of byte {offset} was not detected"
+        );
     }
 }
 
-/// Guards the identity of a file, its version, and allocated space that a crash left unwritten.
+/// Guards against the use of a copied file or of a newer format, and against the rejection of a
+/// store with allocated space that a crash left unwritten.
 #[test]
 fn copies_and_newer_formats_are_rejected_and_unwritten_space_is_cut() {
     let mut bytes = store(2).bytes;
@@ -90,12 +94,12 @@
     assert_eq!(error, Some(StoreError::UnsupportedVersion(9)));
     assert!(error.is_some_and(|error| error.to_string().contains("format 9")));
     bytes.extend([0; 300]);
-    let loaded = decode(&bytes, "here").expect("unwritten space is no corruption");
+    let loaded = decode(&bytes, "here").expect("unwritten space is not corruption");
     assert_eq!((loaded.valid_length, loaded.is_torn), (complete, true));
 }
 
 proptest! {
-    /// Guards against a panic on whatever a file contains, behind a valid header or none.
+    /// Guards against a panic on arbitrary file contents, with and without a valid header.
     #[test]
     fn arbitrary_bytes_are_rejected_or_cut(
         rest in prop::collection::vec(any::<u8>(), 0..400), has_header in any::<bool>()
