--- a/crates/replicated-log/src/replica/agreement.rs
+++ b/crates/replicated-log/src/replica/agreement.rs
@@ -113,10 +113,10 @@
 
 /// Corrects a promise that arrives after a majority has already promised. If the voter last
 /// accepted entries in the same ballot as the longest log of that majority, the library would send
-/// it entries only from the end of that log on. But the leader's state may have been fetched and
-/// reach further, with the log compacted beyond that point. The promise is therefore changed to
-/// name another accepted ballot, so that the library sends all entries after the voter's decided
-/// index.
+/// it entries from the end of that log on, or from the end of the voter's own log if that is
+/// shorter. But the voter's state may have been fetched and reach further, and the log of this
+/// leader may be compacted beyond that index. The promise is therefore changed to name another
+/// accepted ballot, so that the library sends the entries after the voter's decided index.
 fn sync_from_decided_index(paxos: &OmniPaxos<Entry, SharedLog>, promise: &mut Promise<Entry>) {
     let ballot = paxos.get_promise();
     let is_leader = paxos.get_current_leader() == Some((paxos.get_pid(), true));
--- a/crates/replicated-log/src/replica/bootstrap.rs
+++ b/crates/replicated-log/src/replica/bootstrap.rs
@@ -82,7 +82,8 @@
         founders
     }
 
-    /// Handles the first configuration, sent by the founder that bootstrapped the log.
+    /// Handles the first configuration of a log that the founders have bootstrapped. The sender is
+    /// another founder.
     pub(super) fn handle_bootstrap(&mut self, log_id: u64, configuration: Configuration) {
         let is_founder = configuration.number == 1 && configuration.has_voter(&self.id);
         if matches!(self.phase, Phase::Empty) && is_founder && log_id != 0 {
@@ -122,7 +123,7 @@
         self.start_voting();
     }
 
-    /// Starts to vote, with the log as it stands.
+    /// Starts to vote with the log in its current state.
     pub(super) fn start_voting(&mut self) {
         let Some(configuration) = &self.configuration else {
             return;
--- a/crates/replicated-log/src/replica/mod.rs
+++ b/crates/replicated-log/src/replica/mod.rs
@@ -36,7 +36,7 @@
 use rand::SeedableRng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The part that a replica takes in the protocol, with the state that belongs to it.
+/// The phase of a replica's participation in the group, with the data that belongs to it.
 enum Phase {
     /// The replica has no state.
     Empty,
--- a/crates/replicated-log/src/replica/recovery.rs
+++ b/crates/replicated-log/src/replica/recovery.rs
@@ -153,8 +153,8 @@
         self.finish_recovery(now);
     }
 
-    /// Whether this replica has promised or accepted more than its store holds, by what a peer
-    /// knows of it.
+    /// Whether the store is behind: `known`, a peer's knowledge of this replica, has a promise or
+    /// an accepted entry that the store lacks.
     fn store_is_behind(&self, known: VoterProgress) -> bool {
         let own = self.own_progress();
         if known.configuration != own.configuration {
