--- a/crates/replicated-log/src/simulation/append_list.rs
+++ b/crates/replicated-log/src/simulation/append_list.rs
@@ -1,17 +1,17 @@
-//! The state machine of the simulation.
+//! The state machine that the simulation uses.
 
 use crate::state_machine::{RestoreError, StateMachine};
 
-/// A list that grows: each write appends its bytes, and is answered the place that they got
-/// (little-endian, eight bytes).
+/// An append-only list. Each write appends its bytes, and its answer is the index of the new item
+/// (little-endian, 8 bytes).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AppendList(pub Vec<Vec<u8>>);
 
 impl StateMachine for AppendList {
     fn apply(&mut self, _: u64, command: &[u8]) -> Vec<u8> {
-        let place = self.0.len() as u64;
+        let index = self.0.len() as u64;
         self.0.push(command.to_vec());
-        place.to_le_bytes().to_vec()
+        index.to_le_bytes().to_vec()
     }
 
     fn advance_time(&mut self, _: u64) {}
--- a/crates/replicated-log/src/simulation/clients.rs
+++ b/crates/replicated-log/src/simulation/clients.rs
@@ -1,17 +1,17 @@
 //! The clients of a simulation.
 
 use super::events::Event;
-use super::{node_of, ClientWrite, EndedWrite, Simulation};
+use super::{parse_node_name, ClientWrite, CompletedWrite, Simulation};
 use crate::client::{ClientEffect, WriteResult};
 use crate::message::Request;
 use crate::settings::Millis;
 use rand::RngExt;
 
-/// How much later than the first a duplicate of a request may arrive.
+/// Maximum delay of a duplicated request after the first copy, in milliseconds.
 const MAX_DUPLICATE_DELAY: Millis = 2000.0;
 
 impl Simulation {
-    /// Lets a client start a write. No two writes of a simulation have the same bytes.
+    /// Starts a write of a client. Every write of a simulation has a unique payload.
     pub fn write(&mut self, client: usize) {
         let payload = payload(client, self.writes.len());
         let Some(started) = self.clients[client].write(self.now, payload) else {
@@ -21,12 +21,12 @@
             client,
             sequence: started.sequence,
             started: self.now,
-            ended: None,
+            completed: None,
         });
-        self.carry_out_client_effects(client, started.effects);
+        self.execute_client_effects(client, started.effects);
     }
 
-    /// Lets the clients write in turn, once each `interval`, for a time.
+    /// Starts a write every `interval` for `duration`, with the clients taking turns.
     pub fn write_for(&mut self, duration: Millis, interval: Millis) {
         let end = self.now + duration;
         while self.now < end {
@@ -40,17 +40,17 @@
             return;
         }
         let effects = self.clients[client].tick(self.now);
-        self.carry_out_client_effects(client, effects);
+        self.execute_client_effects(client, effects);
     }
 
-    pub(super) fn carry_out_client_effects(&mut self, client: usize, effects: Vec<ClientEffect>) {
+    pub(super) fn execute_client_effects(&mut self, client: usize, effects: Vec<ClientEffect>) {
         for effect in effects {
             match effect {
                 ClientEffect::Send { replica, request } => {
                     self.send_request(client, &replica, request);
                 }
-                ClientEffect::Ended { sequence, result } => {
-                    self.end_write(client, sequence, result);
+                ClientEffect::Completed { sequence, result } => {
+                    self.complete_write(client, sequence, result);
                 }
             }
         }
@@ -58,14 +58,14 @@
     }
 
     fn send_request(&mut self, client: usize, replica: &str, request: Request) {
-        let Some(node) = node_of(replica).filter(|node| *node < self.nodes.len()) else {
+        let Some(node) = parse_node_name(replica).filter(|node| *node < self.nodes.len()) else {
             return;
         };
-        let at = self.now + self.draw_delay();
-        if self.draw(self.link_conditions.loss) {
+        let at = self.now + self.sample_delay();
+        if self.sample_bool(self.link_conditions.loss) {
             return;
         }
-        if self.draw(self.link_conditions.duplication) {
+        if self.sample_bool(self.link_conditions.duplication) {
             let duplicate_at = at + self.rng.random_range(0.0..MAX_DUPLICATE_DELAY);
             let duplicate = Event::Request {
                 client,
@@ -76,19 +76,19 @@
         self.schedule(at, node, Event::Request { client, request });
     }
 
-    fn end_write(&mut self, client: usize, sequence: u64, result: WriteResult) {
+    fn complete_write(&mut self, client: usize, sequence: u64, result: WriteResult) {
         let at = self.now;
         let write = self
             .writes
             .iter_mut()
             .find(|write| write.client == client && write.sequence == sequence);
         if let Some(write) = write {
-            write.ended = Some(EndedWrite { at, result });
+            write.completed = Some(CompletedWrite { at, result });
         }
     }
 
-    /// Schedules a client's next tick. One is scheduled at a time: an earlier one replaces a later
-    /// one.
+    /// Schedules a client's next tick. An earlier tick replaces a later one that is already
+    /// scheduled.
     fn schedule_client_tick(&mut self, client: usize) {
         let Some(next) = self.clients[client].next_tick() else {
             return;
@@ -102,7 +102,7 @@
     }
 }
 
-/// The bytes of a write: its client and its place among all writes.
+/// The payload of a write: the index of its client, and its index among all writes.
 pub(super) fn payload(client: usize, number: usize) -> Vec<u8> {
     postcard::to_stdvec(&(client as u64, number as u64)).unwrap_or_default()
 }
