--- a/crates/fault-injection/src/address_block.rs
+++ b/crates/fault-injection/src/address_block.rs
@@ -1,9 +1,9 @@
 //! Loopback addresses of one cluster, so that clusters run side by side without sharing an address.
 //!
-//! A cluster owns one block `127.B.0.0/16` for as long as it holds the block's sentinel socket, which the system closes
-//! with the process however that ends. Within a block all addresses are fixed, so that they can be recognized in a log.
-//! Each process and each stub service has an IP address of its own; links differ by their ports on the address of the
-//! process that connects:
+//! A cluster owns one block `127.B.0.0/16` for as long as it holds the block's sentinel, a bound socket. The system
+//! closes that socket with the process, however the process ends. Within a block all addresses are fixed, so that they
+//! can be recognized in a log. Each process and each stub service has an IP address of its own; links differ by their
+//! ports on the address of the process that connects:
 //!
 //! | address | owner |
 //! | --- | --- |
@@ -52,7 +52,7 @@
     ///
     /// Returns the error of the last bind if all blocks are in use.
     pub fn acquire() -> io::Result<AddressBlock> {
-        let mut last = io::ErrorKind::AddrInUse.into();
+        let mut last_error = io::ErrorKind::AddrInUse.into();
         for block in BLOCKS {
             let host = Ipv4Addr::new(127, block, SENTINEL_BYTE, SENTINEL_BYTE);
             match TcpListener::bind(SocketAddr::new(IpAddr::V4(host), SENTINEL_PORT)) {
@@ -62,13 +62,13 @@
                         _sentinel: sentinel,
                     })
                 }
-                Err(error) => last = error,
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// The address with this index in a range that starts at a third byte of `first_byte`.
+    /// The address with this index in the range of addresses whose third byte starts at `first_byte`.
     fn ip_address(&self, first_byte: usize, index: usize) -> IpAddr {
         let third = first_byte + index / ADDRESSES_PER_BYTE;
         let fourth = 1 + index % ADDRESSES_PER_BYTE;
@@ -93,7 +93,7 @@
         self.process_address(process, FLEET_PORT)
     }
 
-    /// The proxy to which process `from` connects in order to reach process `to`.
+    /// The address of the proxy to which process `from` connects in order to reach process `to`.
     pub fn link_address(&self, from: usize, to: usize) -> SocketAddr {
         assert!(to < MAX_PROCESSES, "process {to} of {MAX_PROCESSES}");
         self.process_address(from, FIRST_LINK_PORT + to as u16)
--- a/crates/fault-injection/src/check.rs
+++ b/crates/fault-injection/src/check.rs
@@ -1,18 +1,18 @@
-//! Checkers: rules that must hold of every history, whoever recorded it. None depends on a time limit, so that a slow
-//! machine changes no verdict.
+//! Checkers of rules that must hold for every history, whether a cluster or a simulation recorded it. No rule contains
+//! a time limit, so that a slow machine changes no result.
 
 use crate::history::{Event, CLIENTS, CLUSTER};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// A rule that a history breaks.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The rule.
+    /// The name of the rule, as in [`CHECKERS`].
     pub rule: &'static str,
-    /// What broke it.
+    /// What happened, and to which request or process.
     pub description: String,
-    /// When it was observed, µs of the history's clock.
+    /// When the violation was observed, µs of the history's clock.
     pub at_us: u64,
 }
 
@@ -56,14 +56,16 @@
     end_us: u64,
 }
 
-/// When processes may lose requests: from a signal that kills, stops or terminates them until they are started or resumed.
-struct Unavailable<'a> {
+/// The periods in which processes may lose requests: from a signal that kills, stops or terminates a process until the
+/// process is started or resumed.
+struct UnavailablePeriods<'a> {
+    /// By the name of the process.
     periods: HashMap<&'a str, Vec<Period>>,
 }
 
-impl<'a> Unavailable<'a> {
-    fn from_events(events: &'a [Event]) -> Unavailable<'a> {
-        let mut unavailable = Unavailable {
+impl<'a> UnavailablePeriods<'a> {
+    fn from_events(events: &'a [Event]) -> UnavailablePeriods<'a> {
+        let mut unavailable = UnavailablePeriods {
             periods: HashMap::new(),
         };
         for event in events.iter().filter(|event| event.source == CLUSTER) {
@@ -90,7 +92,7 @@
         unavailable
     }
 
-    /// Whether a process was unavailable at any time between these two, µs.
+    /// Whether a process was unavailable at any time from `start_us` to `end_us`.
     fn overlaps(&self, process: &str, start_us: u64, end_us: u64) -> bool {
         self.periods.get(process).is_some_and(|periods| {
             periods
@@ -100,11 +102,11 @@
     }
 }
 
-/// Every request that a gateway accepted has exactly one response, and a successful response is that of the request
-/// itself. A process that was unavailable meanwhile may have lost the request. A request without a response at the end of
-/// the history breaks no rule.
+/// Every request that a gateway accepted gets exactly one response, and a successful response belongs to its request. A
+/// process that was unavailable between the request and its end may lose the request. A request that is still open at
+/// the end of the history breaks no rule.
 pub fn final_responses(events: &[Event]) -> Vec<Violation> {
-    let unavailable = Unavailable::from_events(events);
+    let unavailable = UnavailablePeriods::from_events(events);
     let mut sent: HashMap<&str, &Event> = HashMap::new();
     let mut violations = Vec::new();
     for event in events.iter().filter(|event| event.source == CLIENTS) {
@@ -117,7 +119,7 @@
                 let descriptions = match sent.remove(id) {
                     Some(request) => response_violations(request, event, &unavailable),
                     None => vec![format!(
-                        "{id} was answered without having been asked, or twice"
+                        "request {id} ended without having been sent, or more than once"
                     )],
                 };
                 let found = descriptions.into_iter().map(|description| Violation {
@@ -133,11 +135,11 @@
     violations
 }
 
-/// What is wrong with how a request ended.
+/// The violations of [`final_responses`] in how a request ended.
 fn response_violations(
     request: &Event,
     response: &Event,
-    unavailable: &Unavailable<'_>,
+    unavailable: &UnavailablePeriods<'_>,
 ) -> Vec<String> {
     let id = response.text("id");
     let process = response.text("process");
@@ -145,24 +147,27 @@
     let mut descriptions = Vec::new();
     let succeeded = response.number("status") == Some(200);
     if succeeded && response.fields.get("own") != Some(&true.into()) {
-        descriptions.push(format!("{id} was served with somebody else's answer"));
+        descriptions.push(format!("request {id} got the response of another request"));
     }
     let lost = response.kind == "unanswered" && reason != "not-taken";
     if lost && !unavailable.overlaps(process, request.at_us, response.at_us) {
-        descriptions.push(format!("{id} was lost by {process}: {reason}"));
+        descriptions.push(format!(
+            "request {id} to {process} got no response: {reason}"
+        ));
     }
     descriptions
 }
 
-/// What is known of a non-idempotent request.
+/// What the history says so far about the executions of a non-idempotent request.
 #[derive(Default)]
 struct Executions {
+    /// How often backends ran the request.
     count: u32,
-    /// Whether a response said that the request did not run and is safe to send again.
+    /// Whether a response with status 429 or 503 said that the request did not run and is safe to retry.
     rejected: bool,
 }
 
-/// A non-idempotent request runs at most once, and not at all if it was rejected as safe to send again.
+/// A non-idempotent request runs at most once, and not at all if it was rejected as safe to retry.
 pub fn non_idempotent_once(events: &[Event]) -> Vec<Violation> {
     let mut requests: BTreeMap<&str, Executions> = events
         .iter()
@@ -182,13 +187,13 @@
             _ => continue,
         }
         let description = match (request.count, request.rejected) {
-            (2.., _) => "ran twice",
-            (1, true) => "was refused as harmless to repeat, and ran",
+            (2.., _) => "ran more than once",
+            (1, true) => "ran, although it was rejected as safe to retry",
             _ => continue,
         };
         violations.push(Violation {
             rule: NON_IDEMPOTENT_ONCE,
-            description: format!("{} {description}", event.text("id")),
+            description: format!("request {} {description}", event.text("id")),
             at_us: event.at_us,
         });
     }
@@ -218,7 +223,7 @@
                 if !expected {
                     violations.push(Violation {
                         rule: NO_CRASH,
-                        description: format!("{process} ended by itself: {status}"),
+                        description: format!("{process} ended unexpectedly: {status}"),
                         at_us: event.at_us,
                     });
                 }
--- a/crates/fault-injection/src/cluster/faults.rs
+++ b/crates/fault-injection/src/cluster/faults.rs
@@ -14,7 +14,7 @@
         self.directions.get(&LinkEnds { from, to }).map(Arc::as_ref)
     }
 
-    /// Sets the conditions of one direction. Where there is no link, nothing flows that they could act on.
+    /// Sets the conditions of one direction. Without a link between the two processes, this is only recorded.
     pub fn set_link(&self, from: usize, to: usize, conditions: LinkConditions) {
         self.history.record(
             CLUSTER,
@@ -27,16 +27,21 @@
     }
 
     /// Sets the conditions of all links between two sets of processes, in both directions.
-    pub fn set_links_between(&self, some: &[usize], others: &[usize], conditions: &LinkConditions) {
-        for from in some {
-            for to in others.iter().filter(|to| *to != from) {
+    pub fn set_links_between(
+        &self,
+        one_side: &[usize],
+        other_side: &[usize],
+        conditions: &LinkConditions,
+    ) {
+        for from in one_side {
+            for to in other_side.iter().filter(|to| *to != from) {
                 self.set_link(*from, *to, conditions.clone());
                 self.set_link(*to, *from, conditions.clone());
             }
         }
     }
 
-    /// Partitions the fleet: nothing passes between processes of different parts.
+    /// Partitions the fleet: nothing passes between processes in different parts.
     pub fn partition(&self, parts: &[&[usize]]) {
         for (number, part) in parts.iter().enumerate() {
             for other in &parts[number + 1..] {
@@ -71,7 +76,7 @@
         self.stubs.backend_behaviors[backend].send_replace(behavior);
     }
 
-    /// Changes the endpoint list that the discovery service serves, as its next version.
+    /// Changes the endpoint list that the discovery service serves, under the next sequence number.
     pub fn update_endpoint_list(&self, change: impl FnOnce(&mut Value)) {
         self.stubs.endpoint_list.send_modify(|list| {
             list["seq"] = (list["seq"].as_u64().unwrap_or_default() + 1).into();
@@ -79,7 +84,7 @@
         });
     }
 
-    /// The counters of all directions, by name and summed up.
+    /// The counters of all directions, summed up, by name.
     pub fn link_counters(&self) -> BTreeMap<String, u64> {
         let mut sums = BTreeMap::new();
         for direction in self.directions.values() {
--- a/crates/fault-injection/src/cluster/mod.rs
+++ b/crates/fault-injection/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A cluster: processes of the program, proxies between those that know of each other, stub services, and one history.
+//! A cluster: gateway processes, proxies on the links between configured peers, stub services, and one history.
 
 mod faults;
 mod setup;
@@ -23,34 +23,35 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::Runtime;
 
-/// The longest time that an expected event is waited for. It is wide, so that no result depends on a slow machine.
+/// The longest wait for an expected event, long enough that a slow machine changes no result.
 pub const MAX_WAIT: Duration = Duration::from_secs(120);
-/// The pause between two looks at what is waited for.
+/// The pause between two probes for an expected event.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The number of events that a failed wait prints.
 const PRINTED_EVENTS: usize = 20;
 
-/// What a cluster consists of.
+/// The size of a cluster and the configuration of its processes.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
-    /// Processes of the program.
+    /// Number of gateway processes.
     pub processes: usize,
-    /// Stub backends.
+    /// Number of stub backends.
     pub backends: usize,
-    /// Zones over which the processes are spread in turn.
+    /// Number of zones over which the processes are spread in turn.
     pub zones: usize,
-    /// The seed of all random draws.
+    /// The seed of all random draws of the cluster.
     pub seed: u64,
     /// Whether each process writes a hand-over file for its successor.
     pub handover: bool,
-    /// Keys of the fleet section beyond names and addresses; `None` for processes without a fleet section.
+    /// Keys that are added to the fleet section or replace its defaults; `None` for processes without a fleet section.
     pub fleet: Option<Value>,
-    /// The number of others that each process is configured with, those that follow it in turn; `None` for all others.
-    /// It reaches these alone through proxies, and connects directly to those that it learns of from them.
+    /// The number of peers that each process is configured with: the processes with the next numbers, after the last of
+    /// which comes process 0; `None` for all others. A process reaches only these peers through proxies, and connects
+    /// directly to processes that it learns of from them.
     pub peers_per_process: Option<usize>,
     /// The cores on which the processes may run, in the notation of `taskset`; `None` for all.
     pub cores: Option<String>,
-    /// The file to which the history is written; `None` to keep it in memory alone.
+    /// The file to which the history is written; `None` to keep it in memory only.
     pub history: Option<PathBuf>,
 }
 
@@ -70,7 +71,7 @@
     }
 }
 
-/// A link from one process to another, by their numbers.
+/// The ends of one direction of a link between two processes, by their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkEnds {
     /// The process that sends.
@@ -90,7 +91,7 @@
 }
 
 impl ClusterConfig {
-    /// The processes that a process is configured with, in ascending order.
+    /// The numbers of the peers that a process is configured with, in ascending order.
     pub fn peers(&self, process: usize) -> Vec<usize> {
         let others = self.processes.saturating_sub(1);
         let count = if self.fleet.is_some() {
@@ -105,7 +106,7 @@
         peers
     }
 
-    /// Each process with each that it is configured with.
+    /// The links from each process to the peers that it is configured with.
     fn links(&self) -> impl Iterator<Item = LinkEnds> + '_ {
         (0..self.processes).flat_map(|from| {
             self.peers(from)
@@ -120,7 +121,7 @@
     format!("n{process}")
 }
 
-/// Processes of the program under faults.
+/// Running gateway processes with the proxies and stub services around them; all end when the cluster is dropped.
 pub struct Cluster {
     // Fields are dropped in this order: processes before the services that they talk to.
     /// The processes, by number.
@@ -223,7 +224,7 @@
         Ok(process)
     }
 
-    /// Starts a process with a new seed, as the platform gives with each start.
+    /// Starts a process with a new seed, as the platform does for each start.
     ///
     /// # Errors
     ///
@@ -257,14 +258,14 @@
         })
     }
 
-    /// Polls `probe` until it returns a value.
+    /// Polls `probe` until it returns a value. `expected` describes the event for which the caller waits.
     ///
     /// # Panics
     ///
-    /// Panics with `what` and the latest events if there is no value within [`MAX_WAIT`].
+    /// Panics with `expected` and the latest events if there is no value within [`MAX_WAIT`].
     pub fn wait_for<T>(
         &mut self,
-        what: &str,
+        expected: &str,
         mut probe: impl FnMut(&mut Cluster) -> Option<T>,
     ) -> T {
         let deadline = Instant::now() + MAX_WAIT;
@@ -274,7 +275,7 @@
             }
             if Instant::now() >= deadline {
                 panic!(
-                    "timed out waiting for {what}; events, latest first:\n{}",
+                    "timed out waiting for {expected}; events, latest first:\n{}",
                     self.latest_events().join("\n")
                 );
             }
@@ -350,11 +351,11 @@
             .collect()
     }
 
-    /// Waits until each of these processes reports that exactly these are present.
-    pub fn wait_for_agreement(&mut self, processes: &[usize], what: &str) {
+    /// Waits until each of these processes reports that exactly these processes are present.
+    pub fn wait_for_agreement(&mut self, processes: &[usize], expected: &str) {
         let mut names: Vec<String> = processes.iter().copied().map(process_name).collect();
         names.sort();
-        self.wait_for(what, |cluster| {
+        self.wait_for(expected, |cluster| {
             processes
                 .iter()
                 .all(|process| cluster.present_members(*process) == names)
--- a/crates/fault-injection/src/cluster/setup.rs
+++ b/crates/fault-injection/src/cluster/setup.rs
@@ -24,7 +24,7 @@
 /// The number of the first backend among the stub services.
 const FIRST_BACKEND: usize = 10;
 
-/// What controls the stub services of a cluster.
+/// Handles that control the stub services of a cluster.
 pub(super) struct StubServices {
     /// The endpoint list that the discovery service serves.
     pub(super) endpoint_list: EndpointListSender,
@@ -32,7 +32,8 @@
     pub(super) backend_behaviors: Vec<watch::Sender<BackendBehavior>>,
 }
 
-/// The directions of all links. A link has both, also where only one of the two processes is configured with the other.
+/// The directions of all links. A link has both directions, also if only one of the two processes is configured with
+/// the other.
 pub(super) fn directions(
     config: &ClusterConfig,
     rng: &mut StdRng,
@@ -97,7 +98,7 @@
     })
 }
 
-/// The configuration of a process, without seed and files.
+/// The configuration of a process, without its seed and the paths of its files. `known` is the initial endpoint list.
 pub(super) fn process_configuration(
     config: &ClusterConfig,
     process: usize,
@@ -120,7 +121,7 @@
     configuration
 }
 
-/// The fleet section of a process. Keys of `overrides` replace those given here.
+/// The fleet section of a process's configuration. Keys of `overrides` replace the defaults.
 fn fleet_section(
     config: &ClusterConfig,
     process: usize,
--- a/crates/fault-injection/src/cluster/temporary_files.rs
+++ b/crates/fault-injection/src/cluster/temporary_files.rs
@@ -1,14 +1,14 @@
-//! Folders of clusters below the system's folder for temporary files. Their names hold the id of the process that made
-//! them, so that a later cluster can remove what a killed process left.
+//! Folders of clusters in the system's folder for temporary files. Their names contain the id of the process that
+//! created them, so that a later cluster can remove what a killed process left behind.
 
 use std::io;
 use std::path::Path;
 
-/// The names of folders begin so, and go on with the id of the process that made them.
+/// The prefix of the names of cluster folders; the id of the process that created the folder follows.
 const FOLDER_PREFIX: &str = "cometspool-fault-injection-";
-/// The names of files of scripted peers begin so, and go on with the id of the process that made them.
+/// The prefix of the names of files of scripted peers; the id of the process that created the file follows.
 const FILE_PREFIX: &str = "cometspool-";
-/// The exit code after an interrupt, as shells have it.
+/// The exit code after an interrupt, by the convention of shells (128 + SIGINT).
 const EXIT_INTERRUPTED: i32 = 130;
 
 fn own_prefix() -> String {
@@ -20,7 +20,7 @@
     tempfile::Builder::new().prefix(&own_prefix()).tempdir()
 }
 
-/// Removes what clusters and tests of processes that no longer run have left in a folder.
+/// Removes from a folder the files and folders of clusters and tests whose processes no longer run.
 pub(super) fn remove_leftovers(folder: &Path) {
     let Ok(entries) = std::fs::read_dir(folder) else {
         return;
@@ -41,8 +41,8 @@
     }
 }
 
-/// Makes an interrupt end this program with nothing left behind: processes of the program end with the thread that started
-/// them, and the folders of this process's clusters are removed here.
+/// Makes an interrupt (SIGINT) end this process with nothing left behind: gateway processes end with the thread that
+/// started them, and the interrupt handler removes the folders of this process's clusters.
 pub fn exit_on_interrupt() {
     std::thread::spawn(|| {
         let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
@@ -66,7 +66,7 @@
         .flatten();
     for entry in entries {
         if entry.file_name().to_string_lossy().starts_with(&prefix) {
-            // What cannot be removed is left to the next cluster, see `remove_leftovers`.
+            // The next cluster retries a folder that cannot be removed, see `remove_leftovers`.
             let _ = std::fs::remove_dir_all(entry.path());
         }
     }
--- a/crates/fault-injection/src/cost.rs
+++ b/crates/fault-injection/src/cost.rs
@@ -1,4 +1,5 @@
-//! What the fault injection itself costs, so that figures taken with it can be read, and what a request costs a gateway.
+//! Measures the overhead of fault injection, which all figures measured with it contain, and the instructions that a
+//! gateway executes per request.
 
 use crate::address_block::AddressBlock;
 use crate::cluster::{process_name, Cluster, ClusterConfig};
@@ -18,18 +19,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Round trips measured each way.
+/// The round trips measured on a direct connection, and again through a proxy.
 const ROUND_TRIPS: usize = 2000;
-/// Bytes of a message of a round trip.
+/// The length of the message that a round trip sends and gets back, bytes.
 const MESSAGE_BYTES: usize = 64;
-/// The time in which datagrams of the membership protocol are counted.
+/// How long datagrams of the membership protocol are counted.
 const MEMBERSHIP_PERIOD: Duration = Duration::from_secs(30);
-/// The time that a fleet has to settle before instructions are counted.
+/// How long a fleet may settle before instructions are counted.
 const SETTLING_TIME: Duration = Duration::from_secs(5);
-/// The time that `perf` has to attach itself.
+/// How long `perf` may take to attach itself to the gateway.
 const PERF_START_TIME: Duration = Duration::from_millis(500);
 
-/// Measures the start of a cluster, its membership protocol, and the latency of a link. The result is a Markdown table.
+/// Measures the start-up of a cluster, its membership protocol, and the latency of a link. Returns a Markdown table.
 ///
 /// # Errors
 ///
@@ -39,15 +40,15 @@
     let links = measure_links()?;
     let ms = |time: Duration| time.as_secs_f64() * 1000.0;
     Ok(format!(
-        "| what | figure |\n| --- | --- |\n\
-         | {processes} processes: links and stand-ins laid out | {:.0} ms |\n\
-         | all serve | {:.0} ms |\n| all know each other | {:.0} ms |\n| all ended | {:.0} ms |\n\
-         | membership, each a second: datagrams, their bytes | {:.2}, {:.0} |\n\
-         | one killed: first and last to miss it | {:.1} s, {:.1} s |\n\
-         | failures seen of those that run | {} |\n\
-         | round trip of 64 bytes, direct: median, 99th | {:.0} us, {:.0} us |\n\
-         | the same through a link | {:.0} us, {:.0} us |\n\
-         | processor time of a round trip, direct, and of a link besides | {:.1} us, {:.1} us |",
+        "| measurement | value |\n| --- | --- |\n\
+         | {processes} processes: proxies and stub services started | {:.0} ms |\n\
+         | all processes serving | {:.0} ms |\n| all agree on members | {:.0} ms |\n| shutdown of all | {:.0} ms |\n\
+         | membership protocol, per process and second: datagrams, bytes | {:.2}, {:.0} |\n\
+         | one process killed: detected by the first, by the last | {:.1} s, {:.1} s |\n\
+         | false detections of running processes | {} |\n\
+         | round trip of 64 bytes, direct: median, 99th percentile | {:.0} us, {:.0} us |\n\
+         | round trip of 64 bytes, through a proxy: median, 99th percentile | {:.0} us, {:.0} us |\n\
+         | processor time per round trip: direct, added by the proxy | {:.1} us, {:.1} us |",
         ms(startup.prepared),
         ms(startup.serving),
         ms(startup.agreed),
@@ -68,13 +69,13 @@
 
 /// How long the phases of a cluster's life took.
 struct StartupCost {
-    /// From the beginning until proxies and stub services were started.
+    /// From the start of the measurement until proxies and stub services were started.
     prepared: Duration,
-    /// From the beginning until all processes served.
+    /// From the start of the measurement until all processes served.
     serving: Duration,
-    /// From the beginning until all processes agreed on the members.
+    /// From the start of the measurement until all processes agreed on the members.
     agreed: Duration,
-    /// The end of all processes.
+    /// The duration of the shutdown of all processes.
     shutdown: Duration,
     membership: MembershipCost,
 }
@@ -104,19 +105,19 @@
     })
 }
 
-/// What the membership protocol costs each process, and how soon a failure is detected.
+/// The traffic of the membership protocol per process, and how soon the failure of a process is detected.
 struct MembershipCost {
     datagrams_per_s: f64,
     bytes_per_s: f64,
-    /// After a process was killed.
+    /// From the kill of a process until the first other process detected its failure.
     first_detection: Duration,
-    /// After a process was killed.
+    /// From the kill of a process until all other processes had detected its failure.
     last_detection: Duration,
     /// Detected failures of processes that were running.
     false_detections: usize,
 }
 
-/// The sum over all processes of what they have sent for the membership protocol.
+/// What all processes together have sent for the membership protocol.
 #[derive(Default)]
 struct MembershipTraffic {
     datagrams: u64,
@@ -139,7 +140,7 @@
 }
 
 fn measure_membership(cluster: &mut Cluster, processes: usize) -> MembershipCost {
-    // The traffic that the start caused ends first.
+    // Leaves time for the membership traffic of the start-up to end, so that it is not counted.
     std::thread::sleep(MEMBERSHIP_PERIOD / 3);
     let start = Instant::now();
     let before = membership_traffic(cluster, processes);
@@ -184,15 +185,15 @@
     }
 }
 
-/// Latency and processor time of round trips, µs.
+/// Latency and processor time of a round trip, µs.
 struct RoundTrips {
     median_us: f64,
     p99_us: f64,
-    /// Processor time of this process for each.
+    /// The mean processor time that this process, which runs the proxy and both ends, spends on a round trip.
     processor_us: f64,
 }
 
-/// Round trips without and with a proxy between.
+/// Round trips on a direct connection and through a proxy.
 struct LinkCost {
     direct: RoundTrips,
     proxied: RoundTrips,
@@ -230,7 +231,7 @@
 
 /// Sends each message back until the connection ends.
 async fn echo(mut stream: TcpStream) {
-    // Without this option responses are late; the measured times show an error.
+    // A failure only delays responses, which shows in the measured times.
     let _ = stream.set_nodelay(true);
     let mut message = [0; MESSAGE_BYTES];
     while stream.read_exact(&mut message).await.is_ok() && stream.write_all(&message).await.is_ok()
@@ -238,7 +239,7 @@
     }
 }
 
-/// The processor time that this process has spent so far, µs, divided by the number of round trips.
+/// The processor time that this process has spent so far, divided by the number of round trips, µs.
 fn processor_us() -> io::Result<f64> {
     let usage = getrusage(UsageWho::RUSAGE_SELF)?;
     let sum = usage.user_time() + usage.system_time();
@@ -265,13 +266,14 @@
     })
 }
 
-/// The user-space instructions that one gateway executes for each request, as `perf stat` counts them over `count`
-/// requests. The gateway has a fleet section with so many others (those beyond `processes` are not running), or none.
+/// The user-space instructions that one gateway executes per request, as `perf stat` counts them over `count` requests.
+/// `fleet` is the number of peers in the gateway's fleet section, of which those beyond `processes` are not running;
+/// `None` for no fleet section.
 ///
 /// # Errors
 ///
-/// Returns the error of a file, socket or process that cannot be opened or started, or the output of `perf` if it holds no
-/// count.
+/// Returns the error of a file, socket or process that cannot be opened or started, or an error with the output of
+/// `perf` if it holds no count or a request did not get status 200.
 pub fn instructions_per_request(
     count: usize,
     fleet: Option<usize>,
@@ -282,7 +284,7 @@
         .as_str()
         .and_then(|address| address.parse().ok());
     let mut client = ScriptedConnection::connect(address.ok_or(io::ErrorKind::InvalidInput)?);
-    // What happens once, and the traffic by which a fleet finds itself, is not counted.
+    // One-time work and the traffic by which the members of a fleet discover each other are not counted.
     let warmed_up = send_requests(&mut client, 0, count / 4);
     std::thread::sleep(SETTLING_TIME);
     let id = cluster.processes[0].id().unwrap_or_default().to_string();
@@ -293,7 +295,7 @@
     let perf = perf.spawn()?;
     std::thread::sleep(PERF_START_TIME);
     let served = send_requests(&mut client, count, count);
-    // If it has ended by itself, its output says why.
+    // The signal fails if `perf` has ended already; its output then says why.
     let _ = kill(Pid::from_raw(perf.id() as i32), Signal::SIGINT);
     let output = String::from_utf8_lossy(&perf.wait_with_output()?.stderr).into_owned();
     let instructions = output
@@ -301,11 +303,15 @@
         .find_map(|line| line.split(',').next()?.parse::<f64>().ok());
     match instructions.filter(|_| warmed_up && served) {
         Some(instructions) => Ok(instructions / count as f64),
-        None => Err(io::Error::other(format!("no count: {}", output.trim()))),
+        None => Err(io::Error::other(format!(
+            "perf counted no instructions, or a request failed: {}",
+            output.trim()
+        ))),
     }
 }
 
-/// Starts a cluster whose processes have the settings of a fleet of one, however many others they are configured with.
+/// Starts a cluster whose processes have settings for a fleet of one gateway, however many peers they are configured
+/// with.
 fn start_measured_cluster(fleet: Option<usize>, processes: usize) -> io::Result<Cluster> {
     let mut cluster = Cluster::new(&ClusterConfig {
         processes,
@@ -337,7 +343,7 @@
     Ok(cluster)
 }
 
-/// Sends requests one after another, with numbers from `first` on; whether all had status 200.
+/// Sends requests one after another, with ids numbered from `first` on. Returns whether all responses had status 200.
 fn send_requests(client: &mut ScriptedConnection, first: usize, count: usize) -> bool {
     (first..first + count).all(|number| {
         client.write(request_with(&format!("id-{number}"), "read", "wide", "8"));
--- a/crates/fault-injection/src/gateway_client.rs
+++ b/crates/fault-injection/src/gateway_client.rs
@@ -22,12 +22,12 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RequestError {
     /// The gateway never received the request: there was no connection.
-    #[error("no connection")]
+    #[error("cannot connect to the gateway")]
     NotConnected,
-    /// The connection was closed after the request was written, before a byte of the response.
-    #[error("closed without a word")]
+    /// The connection was closed after the request was written, before the first byte of the response.
+    #[error("connection closed before the response")]
     Closed,
-    /// The connection failed within the response.
+    /// The connection failed in the middle of the response.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
@@ -47,8 +47,9 @@
         }
     }
 
-    /// Sends a request on an idle connection or a new one. If an idle connection is closed before a byte of the response,
-    /// the close crossed the request: the protocol has the client send it once more on a new connection.
+    /// Sends a request on an idle connection or a new one. If an idle connection is closed before the first byte of the
+    /// response, its close crossed the request: the protocol requires the client to send the request once more, on a
+    /// new connection.
     pub(crate) async fn send(&self, request: &str) -> Result<Response, RequestError> {
         let idle = self
             .idle_connections
@@ -63,14 +64,15 @@
         let stream = TcpStream::connect(self.address)
             .await
             .map_err(|_| RequestError::NotConnected)?;
-        // Without this option requests are late, not wrong.
+        // A failure only delays requests.
         let _ = stream.set_nodelay(true);
         self.send_on(BufReader::new(stream), request)
             .await?
             .ok_or(RequestError::Closed)
     }
 
-    /// Sends a request on a connection; `None` if it was closed or failed before a byte of the response.
+    /// Sends a request on a connection; `None` if the connection was closed or failed before the first byte of the
+    /// response.
     async fn send_on(
         &self,
         mut connection: BufReader<TcpStream>,
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -1,8 +1,8 @@
-//! What all participants did and observed, in one order, by one monotonic clock of the machine.
+//! The history of a run: what all participants did and observed, in the order in which it was recorded.
 //!
-//! An event is one JSON line: when (`at_us`, microseconds of the system's monotonic clock, the same in every process of
-//! the machine), who observed it, what kind of event it is, and further fields that depend on the kind. Checkers read a
-//! history without knowing how it came about: that of a cluster and that of a simulation have the same form.
+//! An event is one JSON line: when it was observed (`at_us`, microseconds of the system's monotonic clock, which all
+//! processes of the machine share), who observed it (`who`), the kind of event (`what`), and further fields that depend
+//! on the kind. Histories of clusters and of simulations have the same form, so that the same checkers apply to both.
 
 use nix::time::{clock_gettime, ClockId};
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,7 @@
     now.tv_sec() as u64 * 1_000_000 + now.tv_nsec() as u64 / 1000
 }
 
-/// One thing that happened.
+/// An event of a history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event {
     /// When it was observed, µs of the monotonic clock.
@@ -40,7 +40,7 @@
 }
 
 impl Event {
-    /// A text among the other fields, or nothing.
+    /// The value of a field as text; empty if the field is missing or holds no text.
     pub fn text(&self, key: &str) -> &str {
         self.fields
             .get(key)
@@ -48,12 +48,12 @@
             .unwrap_or_default()
     }
 
-    /// Whether it is a line of a process's log with this message, as plain text or as JSON.
+    /// Whether the event is a line of a process's log with this message, as plain text or as JSON.
     pub fn is_log_line(&self, message: &str) -> bool {
         self.text("message") == message || self.text("text").contains(message)
     }
 
-    /// A whole number among the other fields.
+    /// The value of a field as an unsigned integer; `None` if the field is missing or holds something else.
     pub fn number(&self, key: &str) -> Option<u64> {
         self.fields.get(key).and_then(Value::as_u64)
     }
@@ -67,21 +67,22 @@
     Line {
         /// The number of the line, from 1 on.
         line: usize,
-        /// What is wrong with it.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
 }
 
 #[derive(Debug, Default)]
-struct Recorded {
+struct HistoryState {
     events: Vec<Event>,
+    /// `None` if no file was given, or after a failed write.
     file: Option<BufWriter<File>>,
 }
 
-/// The events so far, which are also written to a file if there is one.
+/// Records events in memory, and also in a file if one is given.
 #[derive(Debug, Default)]
 pub struct History {
-    recorded: Mutex<Recorded>,
+    state: Mutex<HistoryState>,
 }
 
 impl History {
@@ -93,15 +94,15 @@
     pub fn with_file(path: &Path) -> io::Result<History> {
         let file = BufWriter::new(File::create(path)?);
         Ok(History {
-            recorded: Mutex::new(Recorded {
+            state: Mutex::new(HistoryState {
                 events: Vec::new(),
                 file: Some(file),
             }),
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Recorded> {
-        self.recorded
+    fn lock(&self) -> MutexGuard<'_, HistoryState> {
+        self.state
             .lock()
             .expect("no panic while the history is locked")
     }
@@ -114,23 +115,23 @@
             other => Map::from_iter([("value".to_owned(), other)]),
         };
         // The clock is read under the lock, so that times never decrease along the history.
-        let mut recorded = self.lock();
+        let mut state = self.lock();
         let event = Event {
             at_us: now_us(),
             source: source.to_owned(),
             kind: kind.to_owned(),
             fields,
         };
-        if let Some(file) = &mut recorded.file {
+        if let Some(file) = &mut state.file {
             if let Err(error) = write_line(file, &event) {
-                eprintln!("history: {error}: no more of it is written");
-                recorded.file = None;
+                eprintln!("cannot write the history file: {error}; it gets no further events");
+                state.file = None;
             }
         }
-        recorded.events.push(event);
+        state.events.push(event);
     }
 
-    /// What `query` finds in the events so far.
+    /// Returns the result of `query` on the events so far, under the lock of the history.
     pub fn read<T>(&self, query: impl FnOnce(&[Event]) -> T) -> T {
         query(&self.lock().events)
     }
@@ -140,10 +141,11 @@
         self.read(<[Event]>::to_vec)
     }
 
-    /// Writes what is still buffered to the file.
+    /// Writes the buffered events to the file.
     pub fn flush(&self) {
         if let Some(file) = &mut self.lock().file {
-            // A failed write was reported when it failed first, or a reader of the file finds it incomplete.
+            // An earlier failed write has been reported. If only this flush fails, the file ends with an incomplete
+            // line, which its reader reports.
             let _ = file.flush();
         }
     }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,11 +1,12 @@
 //! Fault injection for gateways: a cluster of processes of the built program, stub
-//! services around them, and proxies that put faults on the links between them.
+//! services around them, and proxies that inject faults into the links between them.
 //!
-//! [`Cluster`] starts all of it, records what happens in a [`history::History`], and [`check`] holds the history against
-//! the rules that must never be broken. [`schedule`] describes a series of faults, generates one from a seed, runs it and
-//! shrinks it. [`scripted_peers`] is for tests of a single gateway whose peers a test plays message by message.
+//! [`Cluster`] starts all of these and records what happens in a [`history::History`]; [`check`] verifies that the
+//! history breaks none of the rules. [`schedule`] describes a series of faults, generates one from a seed, runs it and
+//! shrinks it. [`scripted_peers`] is for tests of a single gateway that control each of its peers message by message.
 //!
-//! `docs/FAULT_INJECTION.md` describes its use. Nothing here is part of the product, and all traffic stays on loopback.
+//! `docs/FAULT_INJECTION.md` describes how to use this crate. Nothing in it is part of the product, and all traffic
+//! stays on loopback.
 
 #![forbid(unsafe_code)]
 
--- a/crates/fault-injection/src/link.rs
+++ b/crates/fault-injection/src/link.rs
@@ -1,8 +1,9 @@
-//! The conditions on each direction of a link between two processes, and counters of what they did.
+//! The conditions on each direction of a link between two processes, and counters of their effects.
 //!
 //! A link has two [`Direction`]s, each with [`LinkConditions`] of its own that apply to all traffic in that direction,
-//! whichever side opened the connection. On TCP nothing is ever lost or reordered, since the system's retransmission
-//! hides that: a lost packet shows as a delay ([`RETRANSMISSION`]). [`crate::proxy`] forwards the traffic.
+//! whichever side opened the connection. No bytes are lost or reordered on TCP, since retransmission by the system
+//! hides that from a process: a lost packet appears as a delay ([`RETRANSMISSION`]). [`crate::proxy`] forwards the
+//! traffic.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -13,9 +14,10 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What a lost packet costs a TCP stream: the least time after which Linux retransmits (RFC 6298, its `RTO_MIN`).
+/// The delay that a lost packet causes on a TCP stream: the minimum retransmission timeout of Linux (RFC 6298,
+/// `RTO_MIN`).
 pub const RETRANSMISSION: Duration = Duration::from_millis(200);
-/// The longest queue in front of a rate limit, as a time; datagrams beyond it are lost.
+/// The longest queue of a rate limit, as the time that a datagram waits in it; datagrams beyond it are lost.
 const MAX_QUEUE: Duration = Duration::from_secs(1);
 /// The value of [`Direction::truncate_after`] while no connection is to be truncated.
 const NO_TRUNCATION: u64 = u64::MAX;
@@ -24,7 +26,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkConditions {
-    /// Nothing passes, and neither side is notified. What TCP has buffered passes once this ends.
+    /// Nothing passes, and neither side is notified. Data that TCP has buffered passes once this condition ends.
     #[serde(rename = "cut")]
     pub blackhole: bool,
     /// Connection attempts are refused, and open connections are reset.
@@ -32,7 +34,8 @@
     pub reject_connections: bool,
     /// The delay in one direction, ms.
     pub delay_ms: f64,
-    /// An additional delay, uniform between zero and this, ms. Datagrams overtake each other by it.
+    /// The maximum of an additional delay, which is uniform from zero on, ms. It can make datagrams overtake each
+    /// other.
     #[serde(rename = "spread_ms")]
     pub jitter_ms: f64,
     /// The fraction of datagrams that are lost; on TCP, of chunks that are delayed by [`RETRANSMISSION`].
@@ -77,16 +80,16 @@
     }
 }
 
-/// Counters of one direction of a link, by which a fault can be seen to have acted.
+/// Counters of one direction of a link, which show whether a fault had an effect.
 #[derive(Debug, Default)]
 pub struct LinkCounters {
-    /// Bytes that passed on TCP.
+    /// Bytes forwarded on TCP.
     pub bytes: AtomicU64,
-    /// Datagrams that passed.
+    /// Datagrams forwarded.
     pub datagrams: AtomicU64,
-    /// Bytes of the datagrams that passed.
+    /// Bytes of the datagrams forwarded.
     pub datagram_bytes: AtomicU64,
-    /// Datagrams lost by chance, to a blackhole, or to a full queue.
+    /// Datagrams lost at random, to a blackhole, or to a full queue; TCP chunks delayed by [`RETRANSMISSION`].
     pub lost: AtomicU64,
     /// TCP chunks that a blackhole kept back.
     pub stalled: AtomicU64,
@@ -127,20 +130,20 @@
     conditions: watch::Sender<LinkConditions>,
     /// Counts the resets that were requested.
     resets: watch::Sender<u64>,
-    /// The bytes after which the next connection that carries any is truncated, or [`NO_TRUNCATION`].
+    /// How many bytes may still pass before a connection is truncated, or [`NO_TRUNCATION`].
     truncate_after: AtomicU64,
     rng: Mutex<StdRng>,
-    /// When the rate limit has passed on all that it was given.
+    /// When the rate limit will have forwarded all bytes that it has been given.
     rate_limit_free_at: Mutex<Instant>,
-    /// What the direction has done so far.
+    /// Counts the traffic so far, and the effects of the conditions on it.
     pub counters: LinkCounters,
 }
 
 /// What happens to one datagram.
 pub(crate) struct DatagramDelivery {
-    /// The delay after which each copy is passed on; empty if the datagram is lost.
+    /// The delay after which each copy is forwarded; empty if the datagram is lost.
     pub(crate) copy_delays: Vec<Duration>,
-    /// Whether one bit of it is changed.
+    /// Whether one bit of the datagram is changed.
     pub(crate) corrupted: bool,
 }
 
@@ -175,22 +178,23 @@
         self.resets.send_modify(|count| *count += 1);
     }
 
-    /// Lets `bytes` more pass on the connection that next carries any, and resets it there.
+    /// Lets `bytes` more bytes pass, and then resets the connection on which this number is reached.
     pub fn truncate_connection(&self, bytes: u64) {
         self.truncate_after.store(bytes, Ordering::Relaxed);
     }
 
-    /// Changes of the conditions.
+    /// Subscribes to changes of the conditions.
     pub(crate) fn watch_conditions(&self) -> watch::Receiver<LinkConditions> {
         self.conditions.subscribe()
     }
 
-    /// Requests to reset connections.
+    /// Subscribes to requests to reset connections.
     pub(crate) fn watch_resets(&self) -> watch::Receiver<u64> {
         self.resets.subscribe()
     }
 
-    /// Counts `bytes` against a truncation that is due; returns how many of them still pass if it is due within them.
+    /// Counts `bytes` towards a requested truncation. If the connection is to be truncated within them, returns how
+    /// many of them still pass.
     pub(crate) fn truncate_within(&self, bytes: usize) -> Option<usize> {
         let remaining = self.truncate_after.load(Ordering::Relaxed);
         if remaining <= bytes as u64 {
@@ -210,12 +214,12 @@
             .expect("no panic while the generator is locked")
     }
 
-    /// `true` with this probability; a probability of zero takes no random draw.
+    /// Returns `true` with this probability. A probability of zero makes no random draw.
     pub(crate) fn occurs(&self, probability: f64) -> bool {
         probability > 0.0 && self.rng().random_bool(probability.clamp(0.0, 1.0))
     }
 
-    /// A time of `base_ms` and uniformly up to `jitter_ms` more.
+    /// A delay that is uniform between `base_ms` and `base_ms + jitter_ms`.
     pub(crate) fn random_delay(&self, base_ms: f64, jitter_ms: f64) -> Duration {
         let jitter = if jitter_ms > 0.0 {
             self.rng().random_range(0.0..jitter_ms)
@@ -225,7 +229,8 @@
         Duration::try_from_secs_f64((base_ms + jitter) / 1000.0).unwrap_or_default()
     }
 
-    /// How long this many bytes wait at the rate limit; `None` if they may be dropped and its queue is too long for them.
+    /// How long this many bytes wait for the rate limit; `None` if they may be dropped and the queue is longer than
+    /// [`MAX_QUEUE`].
     pub(crate) fn rate_limit_delay(
         &self,
         conditions: &LinkConditions,
@@ -248,7 +253,7 @@
         Some(*free_at - now)
     }
 
-    /// Changes one bit of one byte, if there is any.
+    /// Changes one random bit, unless there are no bytes.
     pub(crate) fn corrupt(&self, bytes: &mut [u8]) {
         if bytes.is_empty() {
             return;
@@ -259,7 +264,7 @@
         increment(&self.counters.corrupted);
     }
 
-    /// Decides what happens to a datagram of this many bytes under the present conditions.
+    /// Decides what happens to a datagram of this many bytes under the conditions in force.
     pub(crate) fn plan_datagram(&self, bytes: usize) -> DatagramDelivery {
         let conditions = self.conditions();
         let lost =
--- a/crates/fault-injection/src/load_generator.rs
+++ b/crates/fault-injection/src/load_generator.rs
@@ -1,8 +1,9 @@
-//! Scripted clients behind the platform's dispatcher: requests of many customers, each to a gateway of its customer's
-//! set.
+//! Scripted clients behind a stub of the platform's dispatcher: requests of many customers, each to a gateway of its
+//! customer's set.
 //!
-//! The dispatcher sends to a gateway once that has passed its health check after a start, and notices a dead one late,
-//! as the platform's does. Each request is sent once; what it was and how it ended stands in the history.
+//! The dispatcher sends to a gateway as soon as the gateway has passed a health check after its start. Like the
+//! platform's dispatcher, it takes a dead gateway out of rotation only after a delay. Each request is sent once; the
+//! history says what was sent and how the request ended.
 
 use crate::gateway_client::{GatewayClient, RequestError, Response};
 use crate::history::{History, CLIENTS};
@@ -18,23 +19,23 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long a dead gateway stays in rotation, s (given by the operators of the platform).
+/// How long a dead gateway stays in rotation, as stated by the operators of the platform, s.
 const DETECTION_DELAY_S: std::ops::Range<f64> = 1.3..3.0;
 /// The pause between two health checks of a gateway.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The time after which a health check counts as failed.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long beyond its timeout a client waits before it records that there is no response.
+/// How long a client waits beyond the timeout of its request before it records that there is no response.
 const RESPONSE_GRACE: Duration = Duration::from_millis(700);
 
 /// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated.
+    /// The request may be repeated.
     Idempotent,
-    /// It may be repeated with the same idempotency key.
+    /// The request may be repeated with the same idempotency key.
     WithKey,
-    /// It must not be repeated once it may have run.
+    /// The request must not be repeated once it may have run.
     NonIdempotent,
 }
 
@@ -72,11 +73,11 @@
 /// What the clients send.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
-    /// Requests per second, with exponential times between them.
+    /// Mean rate, requests per second; the times between requests are exponentially distributed.
     pub requests_per_s: f64,
-    /// Customers among whom the requests are spread.
+    /// Number of customers, from whom each request's is drawn uniformly.
     pub customers: u32,
-    /// Gateways in the set of each customer.
+    /// Number of gateways in the set of each customer.
     pub gateways_per_customer: usize,
     /// The classes; their fractions sum up to 1.
     pub classes: Vec<RequestClass>,
@@ -129,7 +130,7 @@
 struct Gateway {
     name: String,
     client: GatewayClient,
-    /// Whether the dispatcher sends to it.
+    /// Whether the dispatcher sends requests to this gateway.
     in_rotation: AtomicBool,
 }
 
@@ -181,7 +182,7 @@
         LoadGenerator { state, stop }
     }
 
-    /// Sends no more requests; those in flight go on to their end.
+    /// Stops sending new requests. Those in flight go on until they end.
     pub fn stop(&self) {
         self.stop.send_replace(true);
     }
@@ -338,7 +339,7 @@
     }
 }
 
-/// Draws a class by the fractions.
+/// Draws a class at random, with the fractions of the classes as weights.
 fn draw_class<'a>(classes: &'a [RequestClass], rng: &mut StdRng) -> Option<&'a RequestClass> {
     let sum = classes.iter().map(|class| class.fraction).sum();
     let mut remaining: f64 = rng.random_range(0.0..sum);
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Several gateways with faults between them.
+/// Starts several gateways, injects faults between them and checks their history.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -25,7 +25,7 @@
         file: Option<PathBuf>,
         #[command(flatten)]
         generator: GeneratorArguments,
-        /// Schedules to generate, from one seed after another.
+        /// Number of schedules to generate, from consecutive seeds.
         #[arg(long, default_value_t = 1)]
         runs: u64,
         /// The file to which the history is written, as JSON lines.
@@ -38,55 +38,55 @@
     /// Prints the schedule that a seed generates.
     #[command(alias = "draw")]
     Generate(GeneratorArguments),
-    /// Reduces a failing schedule to few faults that still fail, and prints it.
+    /// Reduces a failing schedule to fewer faults that still fail, and prints it.
     Shrink {
-        /// The schedule.
+        /// The failing schedule, in TOML.
         file: PathBuf,
-        /// Runs without a violation after which a schedule counts as one that does not fail.
+        /// Maximum number of runs of a candidate schedule; without a violation in any of them, it counts as passing.
         #[arg(long, default_value_t = 2)]
         tries: u32,
     },
     /// Checks a stored history; exits with 1 if a rule is broken.
     Check {
-        /// The history.
+        /// The history, as JSON lines.
         file: PathBuf,
     },
-    /// Counts the instructions of a gateway for each request, with `perf`.
+    /// Counts the user-space instructions that a gateway executes per request, with `perf`.
     Instructions {
-        /// Requests that are counted.
+        /// Number of requests over which the instructions are counted.
         #[arg(long, default_value_t = 2000)]
         count: usize,
-        /// Other gateways in its fleet section; without it, there is no section.
+        /// Number of peers in the gateway's fleet section; without this option, it has no fleet section.
         #[arg(long)]
         fleet: Option<usize>,
-        /// Processes that run.
+        /// Number of gateways to start.
         #[arg(long, default_value_t = 1)]
         processes: usize,
-        /// Measurements.
+        /// Number of measurements; their median and range are printed.
         #[arg(long, alias = "plays", default_value_t = 5)]
         repetitions: usize,
     },
-    /// Measures what the fault injection itself costs: starts, and a link's latency.
+    /// Measures the start-up of a cluster, its membership protocol, and the latency that a proxy adds to a link.
     Cost {
-        /// Processes to start.
+        /// Number of gateways to start.
         #[arg(long, default_value_t = 30)]
         processes: usize,
     },
 }
 
-/// What a schedule is generated from.
+/// The parameters of generated schedules.
 #[derive(Args)]
 struct GeneratorArguments {
     /// The seed, or the first of several.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Processes.
+    /// Number of gateways.
     #[arg(long, default_value_t = 5)]
     processes: usize,
     /// Duration of a schedule, s.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// Faults.
+    /// Number of faults.
     #[arg(long, default_value_t = 6)]
     faults: usize,
 }
@@ -97,7 +97,7 @@
     }
 }
 
-/// The exit code of an error.
+/// The exit code of a command that fails with an error; 1 stands for a broken rule.
 const EXIT_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
@@ -189,7 +189,7 @@
     };
     let smallest = shrink(schedule, fails);
     println!(
-        "# {} of {} faults after {runs} plays",
+        "# {} of {} faults remain after {runs} runs",
         smallest.faults.len(),
         schedule.faults.len()
     );
@@ -202,7 +202,7 @@
     for violation in &violations {
         println!("{violation}");
     }
-    println!("{} broken", violations.len());
+    println!("{} violations", violations.len());
     Ok(exit_code(!violations.is_empty()))
 }
 
@@ -222,16 +222,17 @@
         results.last(),
     ) {
         println!(
-            "instructions a request: {median:.0} ({least:.0} to {most:.0}), {repetitions} plays of {count}"
+            "instructions per request: {median:.0} ({least:.0} to {most:.0}), {repetitions} runs of {count} requests"
         );
     }
     Ok(())
 }
 
-/// Prints a line for a run, and for one that broke a rule also the violations and the schedule, which can be run again.
+/// Prints a summary line of a run. If the run broke a rule, also prints the violations and the schedule, which can be
+/// run again.
 fn print_outcome(schedule: &Schedule, outcome: &RunOutcome) {
     println!(
-        "seed {}: {} faults, {} broken; {}; links: {}",
+        "seed {}: {} faults, {} violations; events: {}; links: {}",
         schedule.seed,
         schedule.faults.len(),
         outcome.violations.len(),
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of the program in a cluster: its configuration, folder and log, and the faults that act on it.
+//! One gateway process of a cluster: its configuration, folder and log, and the faults that are injected into it.
 
 use crate::history::{History, CLUSTER};
 use crate::scripted_peers::program_path;
@@ -17,23 +17,23 @@
 
 /// A member of a cluster, whether or not its process is running.
 pub struct Process {
-    /// Its name in the configuration, in logs and in the history.
+    /// The name of the process in its configuration, in logs and in the history.
     pub name: String,
     /// The configuration for its next start; [`Process::reload`] applies it while the process runs.
     pub config: Value,
-    /// Its own folder.
+    /// The folder with the configuration, the log and the data of this process.
     pub folder: PathBuf,
     history: Arc<History>,
     running: Option<Running>,
-    /// Whether it got SIGTERM since its start.
+    /// Whether the process got SIGTERM since its start.
     is_terminating: bool,
-    /// The cores on which it may run, in the notation of `taskset`; `None` for all.
+    /// The cores on which the process may run, in the notation of `taskset`; `None` for all.
     pub cores: Option<String>,
 }
 
 struct Running {
     child: Child,
-    /// The thread that reads its standard error.
+    /// The thread that reads the standard error of the process.
     log_reader: JoinHandle<()>,
 }
 
@@ -72,7 +72,8 @@
         self.running.as_ref().map(|running| running.child.id())
     }
 
-    /// Starts the program. It ends with the thread that starts it, also if that is killed.
+    /// Starts the program. The system kills the program when the thread that called this function ends, also if that
+    /// thread is killed.
     ///
     /// # Errors
     ///
@@ -82,7 +83,7 @@
     ///
     /// Panics if the process is running already.
     pub fn start(&mut self) -> io::Result<()> {
-        assert!(self.running.is_none(), "{} runs already", self.name);
+        assert!(self.running.is_none(), "{} is already running", self.name);
         let config_path = self.write_config()?;
         let mut child = self.command(&config_path).spawn()?;
         let stderr = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
@@ -110,7 +111,8 @@
         if let Some(cores) = &self.cores {
             command.args(["taskset", "-c", cores]);
         }
-        // A write beyond the limit of a full disk must fail, as on a real disk, and not end the process.
+        // A write beyond the limit that `set_disk_full` sets must fail, as on a full disk. SIGXFSZ, which the system
+        // sends too, must not end the process.
         command.args(["env", "--ignore-signal=XFSZ"]);
         command
             .arg(program_path())
@@ -140,7 +142,7 @@
             "signal",
             json!({"process": self.name, "signal": signal.as_str()}),
         );
-        // The process may have ended by itself; whoever waits for it finds out.
+        // The process may have ended by itself; the caller that waits for it finds out.
         let _ = kill(Pid::from_raw(id as i32), signal);
     }
 
@@ -162,7 +164,8 @@
         Ok(())
     }
 
-    /// Waits for the end of the process; its log has been read to the last line then. `None` if it is not running.
+    /// Waits for the end of the process, and until its log has been read to the last line. Returns `None` if the
+    /// process was not running.
     pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         let Running {
             mut child,
@@ -170,7 +173,7 @@
         } = self.running.take()?;
         self.is_terminating = false;
         let status = child.wait().ok();
-        // If the thread panicked, it has printed why.
+        // A thread that panicked has printed the reason.
         let _ = log_reader.join();
         self.history.record(
             CLUSTER,
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Whether the process has ended without success; its end, successful or not, is recorded.
+    /// Whether the process has ended without success. Its end is recorded, successful or not.
     pub fn has_crashed(&mut self) -> bool {
         let ended = self
             .running
@@ -211,7 +214,7 @@
         std::fs::create_dir_all(self.data_folder())
     }
 
-    /// Copies its files for [`Process::restore_backup`].
+    /// Copies the files of the process for [`Process::restore_backup`].
     ///
     /// # Errors
     ///
@@ -225,7 +228,8 @@
         copy_folder(&self.data_folder(), &backup)
     }
 
-    /// Replaces its files by the copy, so that the process starts with an older state.
+    /// Replaces the files of the process by the copy that [`Process::back_up`] made, so that it starts with an older
+    /// state.
     ///
     /// # Errors
     ///
@@ -236,7 +240,7 @@
         copy_folder(&self.folder.join("backup"), &self.data_folder())
     }
 
-    /// Cuts `bytes` off the end of one of its files, as a crash in the middle of a write does.
+    /// Cuts `bytes` off the end of a file of the process, as a crash in the middle of a write does.
     ///
     /// # Errors
     ///
@@ -249,7 +253,7 @@
         file.set_len(file.metadata()?.len().saturating_sub(bytes))
     }
 
-    /// Changes one byte in the middle of one of its files.
+    /// Changes one byte in the middle of a file of the process.
     ///
     /// # Errors
     ///
@@ -263,8 +267,8 @@
         std::fs::write(path, bytes)
     }
 
-    /// Sets or lifts a limit under which no file of the process can grow. A write beyond it fails with EFBIG, where a full
-    /// disk says ENOSPC.
+    /// Simulates a full disk: sets or removes a file size limit under which no file of the process can grow. A write
+    /// beyond the limit fails with EFBIG, whereas on a full disk it fails with ENOSPC.
     ///
     /// # Errors
     ///
@@ -277,20 +281,20 @@
         let status = Command::new("prlimit")
             .args(["--pid", &id.to_string(), &limit])
             .status()?;
-        // A process that has ended meanwhile has no limit to set.
+        // `prlimit` fails if the process has ended meanwhile; that is no error.
         let is_gone = !Path::new("/proc").join(id.to_string()).exists();
         if status.success() || is_gone {
             Ok(())
         } else {
-            Err(io::Error::other(format!("prlimit: {status}")))
+            Err(io::Error::other(format!("prlimit failed: {status}")))
         }
     }
 
-    /// Records a fault on its files, which must not be in use.
+    /// Records a fault on the files of the process, which must not be running.
     fn record_disk_fault(&self, kind: &str, file: &str) {
         assert!(
             self.running.is_none(),
-            "{} is running and uses its disk",
+            "{} is running and may use its files",
             self.name
         );
         self.history
@@ -322,12 +326,13 @@
     Ok(())
 }
 
-/// Copies the log of a process to a file, and records each line as an event: a JSON object as an event of its own kind.
+/// Copies the log of a process to a file, and records each line as an event: a JSON object as an event of the kind that
+/// it names, any other line as an event of kind `line`.
 fn record_log(log: impl BufRead, mut file: impl Write, name: &str, history: &History) {
     for line in log.split(b'\n') {
         let Ok(line) = line else { return };
         let line = String::from_utf8_lossy(&line);
-        // If the disk of the machine that runs the test is full, the file is incomplete; the history is not.
+        // A failed write, as when the test machine's own disk is full, leaves the file incomplete but not the history.
         let _ = writeln!(file, "{line}");
         let object = line
             .starts_with('{')
@@ -343,7 +348,7 @@
     }
 }
 
-/// Turns a JSON line into the fields of an event, and returns its kind.
+/// Turns the JSON object of a log line into the fields of an event, and returns the kind of the event.
 fn prepare_event(object: &mut Map<String, Value>) -> String {
     let kind = object
         .get("what")
@@ -351,12 +356,12 @@
         .unwrap_or("says")
         .to_owned();
     object.remove("what");
-    // The history has a time of its own; the time that the process read from its clock keeps this name.
+    // The history adds its own time as `at_us`; the time that the process read from its own clock is kept as `said_us`.
     if let Some(time) = object.remove("at_us") {
         object.insert("said_us".to_owned(), time);
     }
     object.remove("who");
-    // Counters are a JSON text within the line.
+    // `status` holds counters as a JSON object in a string.
     let status = object
         .remove("status")
         .and_then(|text| serde_json::from_str::<Value>(text.as_str()?).ok());
--- a/crates/fault-injection/src/proxy.rs
+++ b/crates/fault-injection/src/proxy.rs
@@ -1,8 +1,9 @@
 //! A TCP and UDP proxy between two processes that applies the conditions of a link.
 //!
-//! A process connects to the proxy's address instead of the other process's. Two things it cannot reproduce: a connection
-//! attempt into a blackhole succeeds, since the system accepts it before the proxy sees it, and then stays silent; and an
-//! attempt to reach a process that is not running shows as a reset right after the connection was accepted.
+//! A process connects to the proxy's address instead of the other process's. The proxy cannot reproduce two things. A
+//! connection attempt into a blackhole succeeds, since the system accepts it before the proxy sees it, and the
+//! connection then stays silent. A connection attempt to a process that is not running succeeds too, and is reset right
+//! afterwards.
 
 use crate::link::{increment, Direction, RETRANSMISSION};
 use std::io;
@@ -15,22 +16,23 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// The most bytes that one read takes.
+/// The most bytes that one read of a TCP stream returns.
 const CHUNK_BYTES: usize = 16 * 1024;
 /// The most chunks in flight in one direction of a connection; beyond that, flow control stops the sender.
 const MAX_CHUNKS_IN_FLIGHT: usize = 64;
-/// At least the longest UDP datagram.
+/// The size of the receive buffer for datagrams, no less than the longest UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 /// The most datagrams in flight on a link; further ones are lost.
 const MAX_DATAGRAMS_IN_FLIGHT: u64 = 4096;
-/// The pause before a failed bind or accept is tried again.
+/// The pause before a failed bind or accept is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(5);
-/// How long a truncated connection stays open, so that the receiver reads what passed before the reset discards it.
+/// How long a truncated connection stays open, so that the receiver can read the bytes that passed before the reset
+/// discards them.
 const TRUNCATION_PAUSE: Duration = Duration::from_millis(50);
 
 /// A link from one process to another, with the conditions in both directions.
 pub struct Proxy {
-    /// The proxy's own address, to which the connecting process is pointed.
+    /// The proxy's own address, with which the connecting process is configured in place of the target's.
     pub listen_address: SocketAddr,
     /// The address of the process behind the proxy.
     pub target_address: SocketAddr,
@@ -40,14 +42,15 @@
     pub inbound: Arc<Direction>,
 }
 
-/// A chunk of a TCP stream, or the error that ended the stream, and when to pass it on. No bytes stand for the end.
+/// A chunk of a TCP stream, or the error that ended the stream, and when to forward it.
 struct DueChunk {
     due: Instant,
+    /// Empty at the end of the stream.
     read: io::Result<Vec<u8>>,
 }
 
 impl Proxy {
-    /// Binds the proxy's address on TCP and UDP, and forwards until the present runtime shuts down.
+    /// Binds the proxy's address on TCP and UDP, and forwards traffic until the current runtime shuts down.
     ///
     /// # Errors
     ///
@@ -83,24 +86,24 @@
         }
     }
 
-    async fn forward_connection(self: Arc<Self>, mut near: TcpStream) {
+    async fn forward_connection(self: Arc<Self>, mut downstream: TcpStream) {
         let mut outbound_resets = self.outbound.watch_resets();
         let mut inbound_resets = self.inbound.watch_resets();
-        let Ok(mut far) = TcpStream::connect(self.target_address).await else {
-            reset_on_close(&near);
+        let Ok(mut upstream) = TcpStream::connect(self.target_address).await else {
+            reset_on_close(&downstream);
             return;
         };
-        for stream in [&near, &far] {
-            // Without this option chunks are late, not wrong.
+        for stream in [&downstream, &upstream] {
+            // A failure only delays chunks.
             let _ = stream.set_nodelay(true);
         }
         let reset = {
-            let (near_in, near_out) = near.split();
-            let (far_in, far_out) = far.split();
+            let (downstream_reader, downstream_writer) = downstream.split();
+            let (upstream_reader, upstream_writer) = upstream.split();
             let both = async {
                 tokio::try_join!(
-                    forward_stream(near_in, far_out, &self.outbound),
-                    forward_stream(far_in, near_out, &self.inbound)
+                    forward_stream(downstream_reader, upstream_writer, &self.outbound),
+                    forward_stream(upstream_reader, downstream_writer, &self.inbound)
                 )
             };
             tokio::select! {
@@ -111,20 +114,21 @@
         };
         if reset {
             increment(&self.outbound.counters.closed);
-            reset_on_close(&near);
-            reset_on_close(&far);
+            reset_on_close(&downstream);
+            reset_on_close(&upstream);
         }
     }
 
     async fn forward_datagrams(self: Arc<Self>, socket: Arc<UdpSocket>) {
         let in_flight = Arc::new(AtomicU64::new(0));
-        // Most links of a large fleet never carry a datagram: the buffer is allocated with the first one.
+        // Most links of a large fleet never carry a datagram, so the buffer is allocated only when the first one
+        // arrives.
         if socket.readable().await.is_err() {
             return;
         }
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error is the report of an earlier datagram that found no receiver.
+            // An error reports that an earlier datagram found no receiver.
             let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
                 continue;
             };
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Sends a datagram at once, or after a delay from a task of its own.
+    /// Sends a datagram at once, or in a task of its own if there is a delay.
     async fn send_datagram(
         self: &Arc<Self>,
         socket: &Arc<UdpSocket>,
@@ -184,7 +188,7 @@
     socket.listen(128)
 }
 
-/// Binds the address again; connections that are still closing can keep it in use for a moment.
+/// Binds the address again. Retries, since connections that are still closing can keep the address in use for a moment.
 async fn rebind(address: SocketAddr) -> TcpListener {
     loop {
         match listen(address) {
@@ -194,13 +198,13 @@
     }
 }
 
-/// Makes the close of a stream a TCP reset.
+/// Makes a later close of a stream send a TCP reset.
 fn reset_on_close(stream: &TcpStream) {
-    // A stream that is closed already cannot be reset any more.
+    // The option cannot be set on a stream that is closed already, and has no use there.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Forwards one direction of a connection to its end; an error means that both sides are to be reset.
+/// Forwards one direction of a connection until the stream ends. After an error, the caller resets both sides.
 async fn forward_stream(
     from: tcp::ReadHalf<'_>,
     to: tcp::WriteHalf<'_>,
@@ -214,7 +218,7 @@
     .map(|_| ())
 }
 
-/// Reads chunks and decides when each is passed on, never before the one that precedes it.
+/// Reads chunks and decides when each is forwarded, never before the one that precedes it.
 async fn read_chunks(
     mut from: tcp::ReadHalf<'_>,
     sender: mpsc::Sender<DueChunk>,
@@ -249,7 +253,7 @@
     }
 }
 
-/// Passes each chunk on when it is due; a blackhole keeps chunks back until it ends.
+/// Forwards each chunk when it is due; a blackhole holds chunks back until the blackhole ends.
 async fn write_chunks(
     mut receiver: mpsc::Receiver<DueChunk>,
     mut to: tcp::WriteHalf<'_>,
--- a/crates/fault-injection/src/schedule/generate.rs
+++ b/crates/fault-injection/src/schedule/generate.rs
@@ -1,7 +1,7 @@
-//! Random schedules.
+//! Generates random schedules.
 //!
-//! Seeds are recorded instead of schedules, so the order of random draws here must not change: a seed generates the same
-//! schedule in every version.
+//! Seeds are recorded instead of schedules, so the order of random draws in this module must not change: a seed
+//! generates the same schedule in every version.
 
 use super::{round_to_tenths, Fault, FaultAction, Schedule};
 use crate::link::LinkConditions;
@@ -16,13 +16,13 @@
 const ZONES: usize = 3;
 /// Requests per second of a generated schedule.
 const REQUESTS_PER_S: f64 = 50.0;
-/// The most processes that a fault stops, fills or gives another clock.
+/// The most processes that one fault pauses, terminates, gives a full disk or gives a wrong clock.
 const MAX_AFFECTED: usize = 2;
-/// The farthest that a generated fault sets a clock, ms.
+/// The largest offset of a clock in a generated fault, ahead or behind, ms.
 const MAX_CLOCK_OFFSET_MS: f64 = 3_600_000.0;
 
 impl Schedule {
-    /// Generates a schedule for so many processes with so many faults, which start within the first four fifths of
+    /// Generates a schedule with this number of processes and faults. The faults start within the first four fifths of
     /// `duration_s` seconds.
     pub fn generate(seed: u64, processes: usize, duration_s: f64, faults: usize) -> Schedule {
         let mut generator = Generator {
@@ -45,13 +45,13 @@
     }
 }
 
-/// Draws faults for a number of processes.
+/// Draws random faults for this number of processes.
 struct Generator {
     rng: StdRng,
     processes: usize,
 }
 
-/// The two sides of a link fault, and its conditions.
+/// The processes on the two sides of a link fault, and the conditions of the fault.
 struct LinkFault {
     from: Vec<usize>,
     to: Vec<usize>,
@@ -71,7 +71,7 @@
     }
 
     fn action(&mut self) -> FaultAction {
-        // A link fault is drawn for every action, also for those that do not use it.
+        // A link fault is drawn for every action, also for those that do not use it: this keeps the order of draws.
         let LinkFault {
             from,
             to,
@@ -178,7 +178,7 @@
         self.processes.div_ceil(2)
     }
 
-    /// At least one process and at most so many, in ascending order.
+    /// Draws at least one and at most `max` processes, in ascending order.
     fn some_processes(&mut self, max: usize) -> Vec<usize> {
         let all: Vec<usize> = (0..self.processes).collect();
         let count = self.rng.random_range(1..=max.max(1));
--- a/crates/fault-injection/src/schedule/mod.rs
+++ b/crates/fault-injection/src/schedule/mod.rs
@@ -1,5 +1,5 @@
-//! Schedules: which faults act on a cluster, when and for how long. Written by hand in TOML, or generated from a seed;
-//! run against a cluster; and shrunk to the faults that matter.
+//! Schedules: which faults act on a cluster, when and for how long. A schedule is written by hand in TOML or generated
+//! from a seed, run against a cluster, and shrunk to the faults that are needed for a violation.
 
 mod generate;
 mod run;
@@ -18,15 +18,15 @@
 pub struct Schedule {
     /// The seed of all random draws of the cluster.
     pub seed: u64,
-    /// Processes of the program.
+    /// Number of gateway processes.
     pub processes: usize,
-    /// Stub backends.
+    /// Number of stub backends.
     #[serde(default = "default_backends")]
     pub backends: usize,
-    /// Zones over which the processes are spread.
+    /// Number of zones over which the processes are spread.
     #[serde(default = "default_zones")]
     pub zones: usize,
-    /// The time in which faults start, s after all processes serve.
+    /// How long faults are injected, from the time at which all processes are in rotation, s.
     #[serde(rename = "seconds")]
     pub duration_s: f64,
     /// Requests per second.
@@ -38,7 +38,7 @@
     /// Whether each process writes a hand-over file for its successor.
     #[serde(default = "default_true")]
     pub handover: bool,
-    /// The faults.
+    /// The faults, each a `[[fault]]` table in TOML.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
 }
@@ -59,16 +59,16 @@
     true
 }
 
-/// One fault.
+/// A fault with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// When it starts, s.
+    /// When the fault starts, s from the start of the schedule.
     #[serde(rename = "at")]
     pub start_s: f64,
-    /// How long it lasts, s; `None` to the end of the schedule.
+    /// How long the fault lasts, s; `None` until the end of the schedule.
     #[serde(default, skip_serializing_if = "Option::is_none", rename = "lasts")]
     pub duration_s: Option<f64>,
-    /// What it does.
+    /// What the fault does.
     #[serde(flatten)]
     pub action: FaultAction,
 }
@@ -88,7 +88,7 @@
         #[serde(default)]
         one_way: bool,
     },
-    /// Links get worse; several such faults at once combine.
+    /// Conditions are added to those of links; several such faults at once are combined.
     #[serde(rename = "link")]
     Degrade {
         /// The processes on one side.
@@ -98,7 +98,7 @@
         /// Only the direction towards `to` is affected.
         #[serde(default)]
         one_way: bool,
-        /// The conditions.
+        /// The conditions that the fault adds.
         #[serde(rename = "quality")]
         conditions: LinkConditions,
     },
@@ -110,7 +110,7 @@
         /// The processes that receive.
         to: Vec<usize>,
     },
-    /// The connection that next carries data is reset after some bytes, as in the middle of a frame.
+    /// A connection is reset after some more bytes, as in the middle of a frame.
     #[serde(rename = "halve")]
     TruncateConnection {
         /// The processes that send.
@@ -123,7 +123,7 @@
     /// Processes get SIGKILL; they are started again at the end of the fault.
     #[serde(rename = "kill")]
     Kill {
-        /// The processes.
+        /// The processes that are killed.
         #[serde(rename = "who")]
         processes: Vec<usize>,
         /// Whether their disks are wiped too.
@@ -133,42 +133,43 @@
     /// Processes get SIGTERM; they are started again at the end of the fault.
     #[serde(rename = "terminate")]
     Terminate {
-        /// The processes.
+        /// The processes that are terminated.
         #[serde(rename = "who")]
         processes: Vec<usize>,
     },
     /// Processes get SIGSTOP, and SIGCONT at the end of the fault.
     #[serde(rename = "pause")]
     Pause {
-        /// The processes.
+        /// The processes that are stopped.
         #[serde(rename = "who")]
         processes: Vec<usize>,
     },
-    /// Processes are killed and started with a wrong clock, and so again with a right one at the end of the fault.
+    /// Processes are killed and started with a wrong clock; at the end of the fault they are killed and started with a
+    /// correct one.
     #[serde(rename = "clock")]
     RestartWithClock {
-        /// The processes.
+        /// The processes that are restarted.
         #[serde(rename = "who")]
         processes: Vec<usize>,
         /// The rate of the clock, in seconds per second.
         rate: f64,
-        /// How far it is ahead at the start, ms.
+        /// How far the clock is ahead at the start of the process, ms.
         ahead_ms: f64,
     },
-    /// The clock of running processes is stepped, and back at the end of the fault. A process reads the step at its next
-    /// start.
+    /// The clock of processes is stepped, and stepped back at the end of the fault. A process reads the wall clock
+    /// once, at its start, so it sees the step only at its next start.
     #[serde(rename = "set")]
     StepClock {
-        /// The processes.
+        /// The processes whose clock is stepped.
         #[serde(rename = "who")]
         processes: Vec<usize>,
-        /// How far it is ahead from now on, ms.
+        /// How far the clock is ahead during the fault, ms.
         ahead_ms: f64,
     },
     /// The disks of processes are full until the end of the fault.
     #[serde(rename = "full")]
     FillDisk {
-        /// The processes.
+        /// The processes whose disks are full.
         #[serde(rename = "who")]
         processes: Vec<usize>,
     },
@@ -177,14 +178,14 @@
     ChangeBackend {
         /// The number of the backend.
         backend: usize,
-        /// How it behaves.
+        /// How the backend behaves during the fault.
         #[serde(rename = "manner")]
         behavior: BackendBehavior,
     },
 }
 
 impl FaultAction {
-    /// The numbers of all processes that it names.
+    /// The numbers of all processes that the action names.
     fn process_numbers(&self) -> Vec<usize> {
         match self {
             FaultAction::Blackhole { from, to, .. }
@@ -204,14 +205,14 @@
     }
 }
 
-/// Why a text is not a schedule. Faults are numbered from 1 on.
+/// Why a text is not a valid schedule. Faults are numbered from 1 on.
 #[derive(Debug, thiserror::Error)]
 pub enum ScheduleError {
-    /// It is not TOML, or not of the form of a schedule.
+    /// The text is not TOML, or its keys and values are not those of a schedule.
     #[error("{0}")]
     Toml(#[from] toml::de::Error),
     /// A fault names a process that the cluster does not have.
-    #[error("fault {fault}: there is no process {process}")]
+    #[error("fault {fault}: process {process} does not exist")]
     NoSuchProcess {
         /// The number of the fault.
         fault: usize,
@@ -219,13 +220,13 @@
         process: usize,
     },
     /// A fault names a backend that the cluster does not have.
-    #[error("fault {fault}: there is no such backend")]
+    #[error("fault {fault}: its backend does not exist")]
     NoSuchBackend {
         /// The number of the fault.
         fault: usize,
     },
     /// A time of a fault is negative or not a number.
-    #[error("fault {fault}: times are seconds from nought up")]
+    #[error("fault {fault}: its times must be 0 s or more")]
     InvalidTime {
         /// The number of the fault.
         fault: usize,
@@ -273,7 +274,7 @@
 
     /// The schedule as TOML, which [`Schedule::read`] accepts.
     pub fn write(&self) -> String {
-        // Serialization cannot fail: the schedule consists of plain tables of plain values.
+        // Serialization cannot fail: a schedule has only tables, arrays and values that TOML can represent.
         toml::to_string(self).unwrap_or_default()
     }
 }
--- a/crates/fault-injection/src/schedule/run.rs
+++ b/crates/fault-injection/src/schedule/run.rs
@@ -14,7 +14,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// The least load of a run, requests per second: the times between requests must be finite.
+/// The minimum load of a run, requests per second. It keeps the times between requests finite.
 const MIN_REQUESTS_PER_S: f64 = 0.1;
 
 /// The result of a run.
@@ -22,14 +22,14 @@
 pub struct RunOutcome {
     /// The violations of all rules.
     pub violations: Vec<Violation>,
-    /// The counters of all links, by name.
+    /// The counters of all links, summed up, by name.
     pub link_counters: BTreeMap<String, u64>,
     /// The number of events of each kind.
     pub event_counts: BTreeMap<String, u64>,
 }
 
-/// Runs a schedule. After its faults, all of them are taken back, and the run waits until all processes serve and agree on
-/// the members of the fleet. The history is written to a file if one is given; `cores` are in the notation of `taskset`.
+/// Runs a schedule. At its end, all faults are ended, and the run waits until all processes serve and agree on the
+/// members of the fleet. The history is written to a file if one is given; `cores` are in the notation of `taskset`.
 ///
 /// # Errors
 ///
@@ -82,7 +82,7 @@
     })
 }
 
-/// Takes all faults back, and waits until all processes serve and agree.
+/// Ends all faults on links and processes, and waits until all processes serve and agree on the members of the fleet.
 fn recover(cluster: &mut Cluster, schedule: &Schedule) -> io::Result<()> {
     cluster.heal_links();
     for number in 0..schedule.processes {
@@ -101,7 +101,7 @@
     Ok(())
 }
 
-/// The kind under which an event is counted: signals and changes of members are counted apart.
+/// The kind under which an event is counted: signals are counted by signal, and events of members by their change.
 fn counted_kind(event: &Event) -> String {
     match event.kind.as_str() {
         "signal" => format!("signal {}", event.text("signal")),
@@ -119,10 +119,11 @@
 
 /// The start or end of a fault.
 struct Transition {
-    /// s after the start of the run.
+    /// Time since the start of the schedule, s.
     at_s: f64,
     /// The index of the fault.
     fault: usize,
+    /// Whether the fault starts (`true`) or ends (`false`).
     starts: bool,
 }
 
@@ -141,12 +142,12 @@
             starts: false,
         });
     }
-    // Starts go before ends at the same time: a fault of no duration still acts.
+    // At the same time, starts go before ends: a fault with a duration of zero then starts before it ends.
     timeline.sort_by(|a, b| a.at_s.total_cmp(&b.at_s).then(b.starts.cmp(&a.starts)));
     timeline
 }
 
-/// Sleeps until so many seconds after `start`.
+/// Sleeps until this many seconds after `start`.
 fn sleep_until(start: Instant, seconds: f64) {
     let end = start + Duration::from_secs_f64(seconds);
     std::thread::sleep(end.saturating_duration_since(Instant::now()));
@@ -160,14 +161,15 @@
     conditions: LinkConditions,
 }
 
-/// Applies the faults of a schedule to a cluster.
+/// Starts and ends the faults of a schedule on a cluster.
 struct FaultRunner<'a> {
     cluster: &'a mut Cluster,
     active_link_faults: Vec<ActiveLinkFault>,
 }
 
 impl FaultRunner<'_> {
-    /// Applies all transitions at their times, and returns at the end of the schedule.
+    /// Applies all transitions at their times, and returns at the end of the schedule. Faults that last longer are
+    /// ended there, without a wait.
     fn run(mut self, schedule: &Schedule) -> io::Result<()> {
         let start = Instant::now();
         for transition in timeline(schedule) {
@@ -185,7 +187,7 @@
         Ok(())
     }
 
-    /// Starts or ends an action. Resets and truncations act at the start alone.
+    /// Starts or ends an action. Resets and truncations take effect only at the start.
     fn apply(&mut self, fault: usize, action: &FaultAction, starts: bool) -> io::Result<()> {
         match action {
             FaultAction::Blackhole { from, to, one_way } => {
@@ -236,7 +238,7 @@
         Ok(())
     }
 
-    /// Fills the disks of these processes, or frees them.
+    /// Starts or ends the simulation of full disks for these processes.
     fn set_disks_full(&mut self, processes: &[usize], is_full: bool) -> io::Result<()> {
         for process in processes {
             self.cluster.processes[*process].set_disk_full(is_full)?;
@@ -244,7 +246,7 @@
         Ok(())
     }
 
-    /// Has a backend behave in a way, or as usual again.
+    /// Gives a backend this behavior when a fault starts, and the default behavior when the fault ends.
     fn change_backend(&mut self, backend: usize, behavior: &BackendBehavior, starts: bool) {
         let behavior = if starts {
             behavior.clone()
@@ -254,7 +256,7 @@
         self.cluster.set_backend_behavior(backend, behavior);
     }
 
-    /// Adds or removes the conditions of a fault, and sets each link to the combination of all that are active.
+    /// Adds or removes the conditions of a fault, and sets each link to the combination of all active conditions.
     fn change_links(
         &mut self,
         fault: usize,
@@ -285,7 +287,7 @@
         }
     }
 
-    /// The directions of the links from some processes to others.
+    /// The directions of the links from each process in `from` to each process in `to`.
     fn directions<'b>(
         &'b self,
         from: &[usize],
@@ -332,7 +334,7 @@
     fn terminate(&mut self, processes: &[usize], starts: bool) -> io::Result<()> {
         for number in processes.iter().copied() {
             let process = &mut self.cluster.processes[number];
-            // A stopped process could not end.
+            // A process stopped by SIGSTOP cannot handle SIGTERM.
             process.signal(Signal::SIGCONT);
             if starts {
                 process.signal(Signal::SIGTERM);
@@ -372,8 +374,8 @@
             if is_serving {
                 process.reload(|config| config["clock"] = clock)?;
             } else {
-                // A process that has just been started may not handle SIGHUP yet, which would end it. It reads the new
-                // clock at this start or the next one.
+                // A process that has just been started may not handle SIGHUP yet, and the signal would end it. Such a
+                // process reads the new clock at this start or the next one.
                 process.config["clock"] = clock;
             }
         }
@@ -388,7 +390,7 @@
     }
 }
 
-/// The links from each of some processes to each of others, followed by the opposite direction unless one way only.
+/// The links from each process in `from` to each in `to`, each followed by the opposite direction unless `one_way`.
 fn link_ends(from: &[usize], to: &[usize], one_way: bool) -> Vec<LinkEnds> {
     let mut links = Vec::new();
     for from in from.iter().copied() {
--- a/crates/fault-injection/src/scripted_peers/connection.rs
+++ b/crates/fault-injection/src/scripted_peers/connection.rs
@@ -14,7 +14,7 @@
     pub start_line: String,
     /// The headers, by lower-case name.
     pub headers: HashMap<String, String>,
-    /// The complete body.
+    /// The complete body; empty without `Content-Length`.
     pub body: Vec<u8>,
 }
 
@@ -52,12 +52,12 @@
 
 /// One end of a TCP connection to or from the gateway.
 pub struct ScriptedConnection {
-    /// The stream, with the bytes that have been received and not read yet.
+    /// The stream, with a buffer of bytes that have been received but not read by the test yet.
     pub reader: BufReader<TcpStream>,
 }
 
 impl ScriptedConnection {
-    /// Takes over an open stream. Reads from it time out after [`MAX_WAIT`].
+    /// Wraps an open stream. Reads from the stream time out after [`MAX_WAIT`].
     pub fn new(stream: TcpStream) -> ScriptedConnection {
         stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
         ScriptedConnection {
@@ -120,14 +120,14 @@
         ));
     }
 
-    /// Makes the close of this connection a TCP reset.
+    /// Makes a later close of this connection send a TCP reset.
     pub fn reset_on_close(&self) {
         SockRef::from(self.reader.get_ref())
             .set_linger(Some(Duration::ZERO))
             .expect("a socket");
     }
 
-    /// Waits for the peer to send a byte; `false` if it sends none within `time`, or closes.
+    /// Waits for the peer to send a byte. Returns `false` if the peer sends none within `time`, or closes.
     pub fn receives_within(&self, time: Duration) -> bool {
         let stream = self.reader.get_ref();
         stream.set_read_timeout(Some(time)).unwrap();
@@ -145,7 +145,7 @@
         readable
     }
 
-    /// Waits until this connection or the other one is readable; `true` if it is this one.
+    /// Waits until this connection or `other` is readable. Returns `true` if it is this connection.
     pub fn is_readable_before(&self, other: &ScriptedConnection) -> bool {
         wait_for("data on one of two connections", || {
             if self.is_readable() {
@@ -177,8 +177,8 @@
 }
 
 impl WatchStream {
-    /// Begins the chunked response to a watch request that has been read from the connection: a response that comes
-    /// before its request makes the program's HTTP client close the connection.
+    /// Begins the chunked response to a watch request. The request must have been read from the connection: a response
+    /// that comes before its request makes the gateway's HTTP client close the connection.
     pub fn begin_response(mut connection: ScriptedConnection) -> WatchStream {
         connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         WatchStream { connection }
@@ -190,7 +190,7 @@
             .write(format!("{:x}\r\n{text}\n\r\n", text.len() + 1));
     }
 
-    /// Ends the response in order and closes the connection.
+    /// Ends the response with its last chunk and closes the connection.
     pub fn finish(mut self) {
         self.connection.write("0\r\n\r\n");
     }
--- a/crates/fault-injection/src/scripted_peers/fixture.rs
+++ b/crates/fault-injection/src/scripted_peers/fixture.rs
@@ -1,4 +1,4 @@
-//! A gateway with scripted peers, its settings, and well-formed requests to it.
+//! A gateway with scripted peers, its settings, and well-formed requests to the gateway.
 
 use super::listener::try_accept_any;
 use super::{wait_for, GatewayProcess, ScriptedConnection, TestListener, WatchStream};
@@ -7,9 +7,9 @@
 
 /// The start line of a request for the complete endpoint list.
 pub const LIST_REQUEST: &str = "GET /catalog/members HTTP/1.1";
-/// A health check.
+/// A health check request.
 pub const HEALTH_CHECK: &str = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
-/// A timeout of a request, s, so long that no response in a test comes from a deadline.
+/// A timeout of a request, so long that no response in a test results from its deadline, s.
 pub const LONG_TIMEOUT: &str = "8";
 
 /// The start line of a watch request for the changes after a version of the endpoint list.
@@ -46,7 +46,8 @@
            "health": health, "share": 1.0, "born_ms": 0})
 }
 
-/// A complete endpoint list, or the changes to one, of version `seq` in the form of the discovery protocol.
+/// A complete endpoint list of version `seq`, or the changes that lead to that version, in the form of the discovery
+/// protocol.
 pub fn endpoint_list(seq: u64, complete: bool, hosts: &[Value]) -> Value {
     json!({"seq": seq, "whole": complete, "hosts": hosts})
 }
@@ -59,7 +60,7 @@
     pub discovery: TestListener,
     /// The open watch of the endpoint list.
     pub watch: WatchStream,
-    /// The listeners of the backends. Backend `i` is called `s-{i}`.
+    /// The listeners of the backends. Backend `i` is listed as host `s-{i}`.
     pub backends: Vec<TestListener>,
 }
 
@@ -99,7 +100,7 @@
         })
     }
 
-    /// Whether no backend has a connection in its accept queue.
+    /// Whether no backend has a connection in its accept queue. A connection that is found is accepted and dropped.
     pub fn no_backend_contacted(&self) -> bool {
         !self
             .backends
@@ -108,8 +109,8 @@
     }
 }
 
-/// A well-formed request of a class on the plan `wide` with a timeout of 1.5 s; its method, headers and body follow from
-/// the class.
+/// A well-formed request of a class on the plan `wide` with a timeout of 1.5 s; its method, headers and body follow
+/// from the class.
 pub fn request(id: &str, class: &str) -> String {
     request_with(id, class, "wide", "1.5")
 }
--- a/crates/fault-injection/src/scripted_peers/gateway_process.rs
+++ b/crates/fault-injection/src/scripted_peers/gateway_process.rs
@@ -1,4 +1,4 @@
-//! The program under test as a process of its own.
+//! The gateway under test, in a process of its own.
 
 use super::fixture::{request_with, HEALTH_CHECK, LONG_TIMEOUT};
 use super::{wait_for, ScriptedConnection, TestListener, MAX_WAIT};
@@ -12,8 +12,8 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Instant;
 
-/// Numbers the temporary files of this process.
-static FILES: AtomicU32 = AtomicU32::new(0);
+/// The number of the next temporary file of this process.
+static NEXT_FILE_NUMBER: AtomicU32 = AtomicU32::new(0);
 
 /// A running gateway that serves clients.
 pub struct GatewayProcess {
@@ -21,24 +21,24 @@
     pub child: Child,
     /// The address on which it serves clients.
     pub address: SocketAddr,
-    /// Its standard error, from the second line on.
+    /// The standard error of the process from the second line on; the first line says that the gateway serves.
     pub log: BufReader<ChildStderr>,
     /// The configuration with which it was started.
     pub config: Value,
-    /// The path of its configuration file.
+    /// The path of the configuration file; the file is removed when this value is dropped.
     pub path: String,
 }
 
-/// The program as started, whether or not its configuration can be used.
+/// The program as started, whether or not its configuration is valid.
 pub struct SpawnedProgram {
     /// The process, with a pipe for its standard error.
     pub child: Child,
-    /// The path of its configuration file; whoever started the program removes it.
+    /// The path of the configuration file, which the test that started the program has to remove.
     pub configuration_path: String,
 }
 
-/// The path of the built program: `COMETSPOOL_PROGRAM`, or beside the running executable (a test, or the binary of this
-/// crate).
+/// The path of the built program: the value of the environment variable `COMETSPOOL_PROGRAM`, or else in the folder of
+/// the running executable (a test, or the binary of this crate) or in the folder above.
 pub fn program_path() -> PathBuf {
     if let Some(configured) = std::env::var_os("COMETSPOOL_PROGRAM") {
         return configured.into();
@@ -53,9 +53,10 @@
     found.unwrap_or_else(|| panic!("no program beside {}: build it first", executable.display()))
 }
 
-/// A path in the system's folder for temporary files that no other process uses: it holds this process's id.
+/// A path in the system's folder for temporary files. It contains the id of this process, so that no other process uses
+/// it.
 pub fn temporary_path(name: &str) -> String {
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_FILE_NUMBER.fetch_add(1, Ordering::Relaxed);
     format!(
         "{}/cometspool-{}-{number}-{name}",
         std::env::temp_dir().display(),
@@ -124,7 +125,7 @@
 
     /// Starts the program with this configuration, and waits until it serves.
     pub fn start_with_configuration(config: Value) -> GatewayProcess {
-        // As in service, the variable and the file name the same address.
+        // As in production, the environment variable and the configuration file give the same address.
         let variable = [("BALANCER_DISCOVERY", config["discovery"].as_str().unwrap())];
         let mut spawned = spawn_with_configuration(&config.to_string(), &variable);
         let mut log = BufReader::new(spawned.child.stderr.take().expect("a pipe"));
@@ -158,12 +159,12 @@
         client
     }
 
-    /// Sends requests until one reaches a backend that has just been listed, and serves that one; until the gateway knows
-    /// of the backend it must reject them.
+    /// Sends requests until one reaches a backend that has just been listed, and responds to that request with `name`.
+    /// The gateway must reject the requests before it with status 429, since it does not know the backend yet.
     ///
     /// # Panics
     ///
-    /// Panics if none reaches the backend within [`MAX_WAIT`].
+    /// Panics if no request reaches the backend within [`MAX_WAIT`], or if a response is not the expected one.
     pub fn wait_until_served_by(&self, backend: &TestListener, name: &str) {
         let mut client = self.connect_client();
         let start = Instant::now();
@@ -228,14 +229,14 @@
         kill(Pid::from_raw(self.child.id() as i32), signal).expect("a running process");
     }
 
-    /// Reads the next line of its log.
+    /// Reads the next line of the process's log.
     pub fn read_log_line(&mut self) -> String {
         let mut line = String::new();
         self.log.read_line(&mut line).expect("a line");
         line
     }
 
-    /// Reads the next line of its log, without the time and the level that it begins with.
+    /// Reads the next line of the process's log, without the time and the level at its start.
     pub fn read_log_event(&mut self) -> String {
         let line = self.read_log_line();
         let mut words = line.split_whitespace();
--- a/crates/fault-injection/src/scripted_peers/listener.rs
+++ b/crates/fault-injection/src/scripted_peers/listener.rs
@@ -12,7 +12,7 @@
 }
 
 impl TestListener {
-    // A default would hide that it binds a port.
+    // There is no `Default`, since a default value that binds a port would surprise.
     /// Listens on a port that the system chooses.
     #[allow(clippy::new_without_default)]
     pub fn new() -> TestListener {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The address on which it listens.
+    /// The address on which this listener accepts connections.
     pub fn address(&self) -> SocketAddr {
         self.socket.local_addr().expect("a bound address")
     }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Whether there was a connection in the accept queue; it is accepted and dropped.
+    /// Whether there was a connection in the accept queue. That connection is accepted and dropped.
     pub fn has_pending_connection(&self) -> bool {
         self.try_accept().is_some()
     }
@@ -115,7 +115,7 @@
             .expect("a listener")
     });
     let listener = TestListener { socket };
-    // Linux accepts one connection more than the given backlog.
+    // Linux queues one connection more than the given backlog.
     let fillers = (0..2)
         .map(|_| TcpStream::connect(listener.address()).expect("a queue for two"))
         .collect();
--- a/crates/fault-injection/src/scripted_peers/mod.rs
+++ b/crates/fault-injection/src/scripted_peers/mod.rs
@@ -1,9 +1,9 @@
-//! Scripted clients, backends and discovery services: a test plays each peer of one gateway message by message.
+//! Scripted clients, backends and discovery services: a test controls each peer of one gateway message by message.
 //!
 //! The gateway is the built program in a process of its own ([`GatewayProcess`]); all traffic runs over loopback
 //! sockets. A scripted peer reads a request before it responds: a response that comes before its request makes an HTTP
-//! client close the connection. A wait polls with pauses and ends with what it waits for. Whatever does not happen within
-//! [`MAX_WAIT`] fails the test with a panic.
+//! client close the connection. A wait polls, with pauses, until the expected event occurs. If the event does not occur
+//! within [`MAX_WAIT`], the wait fails the test with a panic.
 
 mod connection;
 mod fixture;
@@ -34,23 +34,27 @@
 const MIN_PAUSE: Duration = Duration::from_millis(1);
 /// The longest pause between two probes.
 const MAX_PAUSE: Duration = Duration::from_millis(20);
-/// The pause after a probe, as a multiple of the time that the probe took: many tests that wait leave the processors to
-/// the processes that they wait for.
+/// The pause after a probe, as a multiple of the duration of the probe. It limits the processor time of tests that
+/// wait, so that many of them at once leave the processors to the processes for which they wait.
 const PAUSE_FACTOR: u32 = 4;
 
-/// Polls `probe` until it returns a value, with a pause after each time.
+/// Polls `probe`, with a pause after each call, until it returns a value. `expected` describes the event for which the
+/// caller waits.
 ///
 /// # Panics
 ///
-/// Panics with `what` if there is no value within [`MAX_WAIT`].
-pub fn wait_for<T>(what: &str, mut probe: impl FnMut() -> Option<T>) -> T {
+/// Panics with `expected` if there is no value within [`MAX_WAIT`].
+pub fn wait_for<T>(expected: &str, mut probe: impl FnMut() -> Option<T>) -> T {
     let deadline = Instant::now() + MAX_WAIT;
     loop {
         let started = Instant::now();
         if let Some(found) = probe() {
             return found;
         }
-        assert!(Instant::now() < deadline, "timed out waiting for {what}");
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting for {expected}"
+        );
         let pause = started.elapsed() * PAUSE_FACTOR;
         std::thread::sleep(pause.clamp(MIN_PAUSE, MAX_PAUSE));
     }
--- a/crates/fault-injection/src/scripted_peers/socket_table.rs
+++ b/crates/fault-injection/src/scripted_peers/socket_table.rs
@@ -1,7 +1,8 @@
-//! States of TCP sockets, asked of the system over netlink (`sock_diag(7)`).
+//! Queries the states of TCP sockets from the system over netlink (`sock_diag(7)`).
 //!
-//! The system sends only the sockets that are asked for, so that a look costs little where other programs have tens of
-//! thousands of connections; the text of `/proc/net/tcp` would have to be written and read whole each time.
+//! The system returns only the sockets that a query selects, so that a query is cheap also where other programs have
+//! tens of thousands of connections. With `/proc/net/tcp`, the system would format the table of all sockets for each
+//! query, and this process would parse all of it.
 
 use netlink_packet_core::{
     NetlinkHeader, NetlinkMessage, NetlinkPayload, NLM_F_DUMP, NLM_F_REQUEST,
@@ -16,21 +17,21 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The cookie of a request for a socket whose own cookie is unknown.
+/// The cookie in a query for a socket whose own cookie is unknown.
 const ANY_COOKIE: [u8; 8] = [0xff; 8];
-/// The error of the system for a socket that does not exist.
+/// The error that the system returns for a socket that does not exist.
 const NO_SUCH_SOCKET: io::ErrorKind = io::ErrorKind::NotFound;
 
 /// The addresses of the two ends of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionEnds {
-    /// The end whose socket is looked for.
+    /// The end whose socket is queried.
     pub local: SocketAddr,
     /// The other end.
     pub remote: SocketAddr,
 }
 
-/// Whether any process has a connection attempt to this address that the system has not answered yet.
+/// Whether any process has a connection attempt to this address that is still unanswered (state `SYN_SENT`).
 pub fn is_connecting(address: SocketAddr) -> bool {
     let request = InetRequest {
         states: StateFlags::SYN_SENT,
@@ -43,7 +44,7 @@
     })
 }
 
-/// Whether any of these connections is established, that is, neither closed nor reset at its local end.
+/// Whether any of these connections is established, that is, neither closing nor closed nor reset at its local end.
 pub fn any_established(connections: &[ConnectionEnds]) -> bool {
     connections.iter().any(|ends| is_established(*ends))
 }
@@ -66,7 +67,7 @@
         .any(|socket| socket.state == TCP_ESTABLISHED)
 }
 
-/// A request for all TCP sockets over IPv4.
+/// A query for all TCP sockets over IPv4.
 fn any_socket() -> InetRequest {
     InetRequest {
         family: AF_INET,
@@ -77,7 +78,7 @@
     }
 }
 
-/// The sockets that a request asks for: one by its ends, or all in some states with the flag [`NLM_F_DUMP`].
+/// The sockets that a query selects: one by its two ends, or with the flag [`NLM_F_DUMP`] all in the given states.
 fn sockets(request: InetRequest, flags: u16) -> Vec<InetResponseHeader> {
     let mut socket = Socket::new(NETLINK_SOCK_DIAG).expect("a netlink socket");
     socket.bind_auto().expect("a netlink address");
--- a/crates/fault-injection/src/stub_services.rs
+++ b/crates/fault-injection/src/stub_services.rs
@@ -1,8 +1,8 @@
-//! Stub services for all that a gateway talks to, by the platform's protocol: backends with their usage meter,
-//! the discovery service, and the counter service.
+//! Stub implementations of all services that a gateway talks to, by the platform's protocol: backends with their usage
+//! meter, the discovery service, and the counter service.
 //!
-//! They respond by themselves and record in the history what they saw; [`crate::scripted_peers`] has peers that a test
-//! plays message by message.
+//! They respond without the help of a test, and backends record in the history which requests they got;
+//! [`crate::scripted_peers`] has peers that a test controls message by message.
 
 use crate::history::{now_us, History};
 use http_body_util::channel::Channel;
@@ -28,11 +28,11 @@
 const MAX_BODY_BYTES: usize = 64 * 1024;
 /// The interval of heartbeats on a watch while the endpoint list does not change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// The usage meter's period, µs; [`crate::scripted_peers::default_settings`] say the same.
+/// The usage meter's period, µs. [`crate::scripted_peers::default_settings`] configure gateways with the same period.
 pub const METER_PERIOD_US: u64 = 500_000;
 /// The number of finished periods whose usage the meter keeps.
 const METER_PERIODS: u64 = 4;
-/// The most request ids that the meter and each backend remember; beyond that, they forget all.
+/// The most request ids that the meter and each backend remember. Before one more is added, they forget all.
 const MAX_REMEMBERED_IDS: usize = 100_000;
 /// The longest lifetime of a counter, ms.
 const MAX_COUNTER_LIFETIME_MS: u64 = 60_000;
@@ -43,7 +43,7 @@
 
 type ResponseBody = Either<Full<Bytes>, Channel<Bytes, Infallible>>;
 
-/// Serves HTTP/1.1 at an address until the present runtime shuts down.
+/// Serves HTTP/1.1 at an address until the current runtime shuts down.
 async fn serve<F, R>(address: SocketAddr, handler: F) -> io::Result<()>
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
@@ -55,7 +55,7 @@
             let Ok((stream, _)) = listener.accept().await else {
                 continue;
             };
-            // Without this option responses are late, not wrong.
+            // A failure only delays responses.
             let _ = stream.set_nodelay(true);
             let handler = handler.clone();
             tokio::spawn(async move {
@@ -63,7 +63,7 @@
                     let response = handler(request);
                     async { Ok::<_, Infallible>(response.await) }
                 });
-                // A caller that disconnects knows of it.
+                // An error, such as a caller that disconnects, concerns this connection only.
                 let _ = hyper::server::conn::http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
@@ -79,7 +79,7 @@
     response
 }
 
-/// Counts the usage of each customer over all backends, by finished periods.
+/// Counts the usage of each customer in each period, summed over all backends.
 #[derive(Default)]
 pub struct UsageMeter {
     state: Mutex<MeterState>,
@@ -89,6 +89,7 @@
 struct MeterState {
     /// The requests that were registered, by id.
     requests: HashMap<String, MeteredRequest>,
+    /// Units.
     usage: HashMap<UsageKey, f64>,
 }
 
@@ -108,7 +109,8 @@
 }
 
 impl UsageMeter {
-    /// Registers whose request an id is, its units, and the rate of the customer's plan in units per second.
+    /// Registers the customer and the units of the request with this id, and the rate of the customer's plan in units
+    /// per second.
     pub fn register_request(&self, id: &str, customer: &str, units: f64, units_per_s: f64) {
         let mut state = self
             .state
@@ -125,8 +127,9 @@
         state.requests.insert(id.to_owned(), request);
     }
 
-    /// Counts an attempt at a backend, if it is the first one there. Returns the usage of its customer in the last
-    /// finished period as a percentage of the plan's rate.
+    /// Counts the units of an attempt, if it is the first of its request at the backend. Returns the usage of the
+    /// customer in the last finished period as a percentage of the plan's rate; `None` if the id is not registered or
+    /// the plan has no rate.
     fn record_attempt(&self, id: &str, is_first: bool, now_us: u64) -> Option<f64> {
         let mut state = self
             .state
@@ -154,20 +157,21 @@
     }
 }
 
-/// How a backend behaves from now on.
+/// How a backend handles requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BackendBehavior {
-    /// How long a request runs, ms.
+    /// The processing time of a request, ms.
     pub work_ms: f64,
-    /// It accepts requests and never responds.
+    /// Whether the backend accepts requests and never responds.
     pub hangs: bool,
-    /// It runs requests and responds with 500.
+    /// Whether the backend runs requests and responds with status 500.
     pub fails: bool,
-    /// It rejects all requests as not started.
+    /// Whether the backend rejects all requests as not started.
     #[serde(rename = "full")]
     pub rejects_all: bool,
-    /// The requests that it runs at once; further ones are rejected. Only the value at its start counts.
+    /// The most requests that the backend runs at once; further ones are rejected. Only the value at the start of the
+    /// backend counts.
     #[serde(rename = "slots")]
     pub concurrency_limit: usize,
 }
@@ -186,6 +190,7 @@
 
 struct Backend {
     name: String,
+    /// One permit for each request that may run at once.
     slots: Semaphore,
     /// The ids of the requests that have come to this backend.
     seen_ids: Mutex<HashSet<String>>,
@@ -193,7 +198,7 @@
     history: Arc<History>,
 }
 
-/// Starts a backend with this name, which behaves at each moment as `behavior` says.
+/// Starts a backend with this name. Each request is handled by the value that `behavior` has when the request arrives.
 ///
 /// # Errors
 ///
@@ -265,7 +270,7 @@
         response
     }
 
-    /// Remembers the id of a request; `true` if it has not come to this backend before.
+    /// Remembers the id of a request. Returns `true` if the id has not come to this backend before.
     fn remember(&self, id: &str) -> bool {
         let mut seen_ids = self
             .seen_ids
@@ -299,7 +304,8 @@
     }
 }
 
-/// The endpoint list that a discovery service serves; `{"seq":…,"whole":true,"hosts":[…]}`. Each change is a watch event.
+/// The endpoint list that a discovery service serves: `{"seq":…,"whole":true,"hosts":[…]}`. Each change is sent to
+/// watchers as an event.
 pub type EndpointListSender = watch::Sender<Value>;
 
 /// Starts a discovery service. Each watch event holds the complete list, which the protocol allows at any time.
@@ -329,7 +335,7 @@
     .await
 }
 
-/// Sends the list and each change of it, with heartbeats between, until the caller disconnects.
+/// Sends the list, and again after each change, with heartbeats in between, until the caller disconnects.
 async fn send_watch_events(
     mut list: watch::Receiver<Value>,
     mut sender: http_body_util::channel::Sender<Bytes, Infallible>,
@@ -355,7 +361,7 @@
     lifetime_ms: u64,
 }
 
-/// A named total that is forgotten when its lifetime is over.
+/// A named total that is removed when its lifetime has passed.
 struct Counter {
     total: f64,
     /// µs of the monotonic clock.
--- a/crates/fault-injection/tests/checkers.rs
+++ b/crates/fault-injection/tests/checkers.rs
@@ -1,11 +1,12 @@
-//! Each checker on histories that break its rule, and on similar histories that do not.
+//! Runs each checker on histories that break its rule, and on similar histories that do not.
 
 use cometspool_fault_injection::check::{
     check_all, final_responses, no_crash, non_idempotent_once, Checker,
 };
 use cometspool_fault_injection::history::{read, Event};
 
-/// A history in short notation: events separated by semicolons, `who what field=value …`; the time is the event's index.
+/// Reads a history in short notation: events separated by semicolons, each `who what field=value …`. The time of an
+/// event is its index. An underscore in a value that is not JSON stands for a space.
 fn history(text: &str) -> Vec<Event> {
     let lines = text
         .split(';')
@@ -25,7 +26,8 @@
     read(&lines.collect::<Vec<_>>().join("\n")).expect("a history")
 }
 
-/// Each checker finds the violations of its rule, and only those: without this, a checker that finds nothing would pass.
+/// Each checker finds the violations of its rule, and only those. Guards against a checker that finds nothing, with
+/// which every run would pass.
 #[test]
 fn each_checker_finds_exactly_the_violations_of_its_rule() {
     const SENT: &str = "clients asked id=a process=n0 effect=unsafe";
@@ -57,7 +59,7 @@
         let found = checker(&history(&format!("{SENT}; {text}")));
         assert_eq!(found.len(), expected, "{text}: {found:?}");
     }
-    // A process that was unavailable only before a request may not lose it.
+    // A process that was unavailable only before a request must not lose that request.
     let text = "rig signal process=n0 signal=SIGSTOP; rig signal process=n0 signal=SIGCONT";
     let found = final_responses(&history(&format!(
         "{text}; {SENT}; clients unanswered id=a process=n0 why=late"
--- a/crates/fault-injection/tests/clusters.rs
+++ b/crates/fault-injection/tests/clusters.rs
@@ -1,4 +1,5 @@
-//! Clusters of more than a thousand processes and backends: distinct addresses, and links only where they are needed.
+//! Clusters of more than a thousand processes and backends: distinct addresses, and links only between configured
+//! peers.
 
 use cometspool_fault_injection::address_block::{AddressBlock, MAX_PROCESSES, MAX_STUBS};
 use cometspool_fault_injection::{Cluster, ClusterConfig};
@@ -6,10 +7,10 @@
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 
-/// Processes and stub services that a cluster has to support at least.
-const MANY: usize = 1_024;
+/// The number of processes, and of stub services, that a cluster must support.
+const LARGE_CLUSTER_SIZE: usize = 1_024;
 
-/// All addresses of a block with so many processes and stub services.
+/// All addresses of a block with `count` processes and as many stub services.
 fn all_addresses(block: &AddressBlock, count: usize) -> Vec<SocketAddr> {
     let own = (0..count).flat_map(|i| {
         [
@@ -25,17 +26,20 @@
         .collect()
 }
 
-/// No two uses share an address: 1,024 processes, their stub services and the links of all pairs, and those of a second
-/// cluster beside them.
+/// No address is used twice among 1,024 processes, as many stub services and the links between all pairs of processes,
+/// nor by a second cluster of this size beside the first.
 #[test]
 fn addresses_of_a_thousand_processes_and_of_two_clusters_are_distinct() {
     let one = AddressBlock::acquire().expect("addresses");
     let other = AddressBlock::acquire().expect("addresses");
-    let mut all = all_addresses(&one, MANY);
-    all.extend(all_addresses(&other, MANY));
+    let mut all = all_addresses(&one, LARGE_CLUSTER_SIZE);
+    all.extend(all_addresses(&other, LARGE_CLUSTER_SIZE));
     assert!(all.iter().all(|address| address.ip().is_loopback()));
     assert_eq!(all.iter().collect::<HashSet<_>>().len(), all.len());
-    assert_eq!(all.len(), 2 * (3 * MANY + MANY * (MANY - 1)));
+    assert_eq!(
+        all.len(),
+        2 * (3 * LARGE_CLUSTER_SIZE + LARGE_CLUSTER_SIZE * (LARGE_CLUSTER_SIZE - 1))
+    );
     // The last addresses of a range do not reach into the next range.
     let last = [
         one.client_address(MAX_PROCESSES - 1),
@@ -46,7 +50,7 @@
     assert!(hosts.is_sorted_by(|a, b| a < b), "{hosts:?}");
 }
 
-/// There are no links without a fleet section, and otherwise only to the peers that a process is configured with.
+/// Without a fleet section there are no links; with one, there are links only between configured peers.
 #[test]
 fn links_exist_only_between_configured_peers() {
     let config = |fleet, peers_per_process| ClusterConfig {
@@ -64,18 +68,18 @@
     assert!(linked(4, 0) && linked(0, 4) && !linked(0, 2) && !linked(2, 0));
 }
 
-/// A cluster of more than a thousand works: the first and the last of 1,024 processes find each other over their link and
-/// serve from a list of 1,100 backends.
+/// A cluster of more than a thousand processes works: the first and the last of 1,024 discover each other over their
+/// link and serve with a list of 1,100 backends.
 #[test]
 fn the_first_and_the_last_of_a_thousand_processes_find_each_other() {
     let config = ClusterConfig {
-        processes: MANY,
+        processes: LARGE_CLUSTER_SIZE,
         backends: 1_100,
         peers_per_process: Some(1),
         ..ClusterConfig::default()
     };
     let first = 0;
-    let last = MANY - 1;
+    let last = LARGE_CLUSTER_SIZE - 1;
     let mut cluster = Cluster::new(&config).expect("a cluster");
     cluster.start_process(first).expect("a start");
     cluster.start_process(last).expect("a start");
--- a/crates/fault-injection/tests/link_faults.rs
+++ b/crates/fault-injection/tests/link_faults.rs
@@ -1,4 +1,4 @@
-//! Each fault of a link as its two ends observe it: what passes with the fault is compared with what was sent.
+//! The effect of each link fault as the two ends of the link observe it: compares what arrives with what was sent.
 
 use cometspool_fault_injection::address_block::AddressBlock;
 use cometspool_fault_injection::link::{Direction, LinkConditions, LinkCounters};
@@ -16,12 +16,12 @@
 const MAX_WAIT: Duration = Duration::from_secs(30);
 /// The pause between two attempts to connect.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// The time in which nothing may arrive; too short a time would only make a test weaker.
+/// How long nothing may arrive. Too short a time would make a test weaker, but never fail it.
 const SILENCE: Duration = Duration::from_millis(300);
-/// Datagrams of one run: enough that a fault with a fraction affects neither none nor all of them.
+/// The datagrams of one run, so many that a fault with a fraction affects some of them but not all.
 const DATAGRAMS: u32 = 400;
 
-/// A proxy in front of a listener and a UDP socket, with the conditions of both directions.
+/// A proxy in front of a listener and a UDP socket, with both directions of the link.
 struct LinkFixture {
     listener: TcpListener,
     socket: UdpSocket,
@@ -36,11 +36,11 @@
     far: TcpStream,
 }
 
-/// What arrived of the numbered datagrams.
+/// The numbered datagrams that arrived.
 struct Arrivals {
     /// The numbers of intact datagrams, in the order of arrival.
     numbers: Vec<u32>,
-    /// Datagrams that are not as they were sent.
+    /// The count of datagrams that differ from those sent.
     corrupted: u32,
 }
 
@@ -53,7 +53,7 @@
         self.numbers.iter().collect::<BTreeSet<_>>().len()
     }
 
-    /// Numbers that arrived exactly twice.
+    /// The count of numbers that arrived exactly twice.
     fn duplicates(&self) -> usize {
         let mut counts = BTreeMap::new();
         for number in &self.numbers {
@@ -62,7 +62,7 @@
         counts.values().filter(|count| **count == 2).count()
     }
 
-    /// Neighbours in the wrong order.
+    /// The count of adjacent arrivals in the wrong order.
     fn reordered(&self) -> usize {
         self.numbers
             .windows(2)
@@ -72,7 +72,7 @@
 }
 
 impl LinkFixture {
-    /// A link from process 0 to this process.
+    /// A link from process 0 to process `to`.
     async fn new(addresses: &AddressBlock, to: usize) -> LinkFixture {
         let target_address = addresses.fleet_address(to);
         let proxy_address = addresses.link_address(0, to);
@@ -105,7 +105,8 @@
         Connection { near, far }
     }
 
-    /// Sends numbered datagrams at a steady rate. The last one is sent after the fault has ended, so that it must arrive.
+    /// Sends `DATAGRAMS` numbered datagrams at a steady rate, and one more after the fault has ended, which must
+    /// arrive.
     async fn send_datagrams(&self) {
         let near = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         for number in 0..DATAGRAMS + 1 {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Receives datagrams until the last one has arrived and no more follow: it may overtake those that were delayed.
+    /// Receives datagrams until the last one has arrived and no more follow, since it may overtake delayed ones.
     async fn receive_datagrams(&self) -> Arrivals {
         let mut arrivals = Arrivals {
             numbers: Vec::new(),
@@ -145,14 +146,14 @@
         arrivals
     }
 
-    /// What arrives of `DATAGRAMS` datagrams.
+    /// Sends `DATAGRAMS` datagrams and returns those that arrived.
     async fn exchange_datagrams(&self) -> Arrivals {
         let ((), arrivals) = tokio::join!(self.send_datagrams(), self.receive_datagrams());
         arrivals
     }
 }
 
-/// The next bytes of a stream, none if it has ended, or `None` if nothing arrives in time.
+/// The next bytes of a stream: empty if the stream has ended, `None` if nothing arrives in time or the read fails.
 async fn receive(stream: &mut TcpStream, wait: Duration) -> Option<Vec<u8>> {
     let mut buffer = vec![0; 4096];
     let length = timeout(wait, stream.read(&mut buffer)).await.ok()?.ok()?;
@@ -160,7 +161,7 @@
     Some(buffer)
 }
 
-/// A fault on datagrams and what must hold with it.
+/// A fault on datagrams, and the condition that the arrivals and the counters must meet.
 struct DatagramCase {
     name: &'static str,
     conditions: LinkConditions,
@@ -281,7 +282,8 @@
     }
 }
 
-/// A blackhole may affect one direction only; it notifies neither side, and what TCP has buffered passes when it ends.
+/// A blackhole can affect one direction only. It notifies neither side, and data that TCP has buffered passes when it
+/// ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_blackhole_is_silent_and_loses_no_buffered_data() {
     let addresses = AddressBlock::acquire().expect("addresses");
@@ -301,7 +303,7 @@
         Some(&b"forth"[..])
     );
     assert_eq!(link.outbound.counters.stalled.load(Ordering::Relaxed), 1);
-    // A close is kept back too: the other side is not notified of it.
+    // A close is held back too: the other side is not notified.
     link.outbound.set_conditions(LinkConditions::blackhole());
     drop(near);
     assert_eq!(receive(&mut far, SILENCE).await, None);
@@ -309,7 +311,7 @@
     assert_eq!(receive(&mut far, MAX_WAIT).await.as_deref(), Some(&b""[..]));
 }
 
-/// Resets and rejected connections close what is open at once, and connections are rejected until the fault ends.
+/// Resets and rejections close open connections at once, and new connections are rejected until the fault ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn rejections_and_resets_close_open_connections_at_once() {
     let addresses = AddressBlock::acquire().expect("addresses");
@@ -357,7 +359,8 @@
     let sent: Vec<u8> = (0..20_000u32).flat_map(u32::to_be_bytes).collect();
     let mut received = vec![0; sent.len()];
 
-    // Delay and loss show as time; a slow machine cannot fall below the lower bounds.
+    // Delay and loss show only in the elapsed time, of which the test checks lower bounds: a slow machine meets them
+    // too.
     link.outbound.set_conditions(LinkConditions {
         delay_ms: 40.0,
         jitter_ms: 20.0,
--- a/crates/fault-injection/tests/schedules.rs
+++ b/crates/fault-injection/tests/schedules.rs
@@ -2,8 +2,8 @@
 
 use cometspool_fault_injection::schedule::{shrink, FaultAction, Schedule};
 
-/// A generated schedule can be written and read; a seed generates the same schedule each time; an error names the number of
-/// a process that does not exist.
+/// A generated schedule can be written and read, and a seed generates the same schedule each time. The error for a
+/// process that does not exist names the fault and the process; unknown keys are errors too.
 #[test]
 fn generated_schedules_survive_writing_and_reading() {
     for seed in 0..200 {
@@ -24,7 +24,8 @@
     assert!(Schedule::read("seed = 1\nprocesses = 2\nseconds = 1.0\nnonsense = 1\n").is_err());
 }
 
-/// Shrinking keeps the two faults of twenty that matter, in their order, and no candidate has more faults than the schedule.
+/// Shrinking keeps only the two of twenty faults that are needed for the failure, and no candidate has more faults than
+/// the schedule.
 #[test]
 fn shrinking_keeps_only_the_faults_that_matter() {
     let (schedule, kill, blackhole) = (0..100)
@@ -60,14 +61,14 @@
     );
 }
 
-/// Schedules that stand as text in a file of their own: the seed, processes, seconds, faults, and the text.
+/// Arguments of [`Schedule::generate`] (seed, processes, seconds, faults), each with the expected text of the schedule.
 const GENERATED: [(u64, usize, f64, usize, &str); 3] = [
     (1, 5, 10.0, 6, include_str!("generated/seed-1.toml")),
     (100, 5, 8.0, 8, include_str!("generated/seed-100.toml")),
     (500, 7, 7.0, 10, include_str!("generated/seed-500.toml")),
 ];
 
-/// FNV-1a over the texts of the schedules of seeds 0 to 499, five processes, 10 s, eight faults each.
+/// The 64-bit FNV-1a hash of the texts of the schedules of seeds 0 to 499, each for 5 processes, 10 s and 8 faults.
 const DIGEST: u64 = 0x7614_5ece_eb01_9afc;
 
 /// A seed must generate the same schedule in every version, since seeds are recorded instead of schedules.
@@ -86,7 +87,8 @@
     assert_eq!(digest, DIGEST, "{digest:#x}");
 }
 
-/// The names of fields in schedules, histories and reports are read by tools and by stored files.
+/// The names of fields in schedules, histories and reports stay the same: stored files contain them and tools read
+/// them.
 #[test]
 fn the_stored_forms_keep_their_field_names() {
     let keys = |value: serde_json::Value| -> Vec<String> {
