--- a/crates/fault-injection/src/address_block.rs
+++ b/crates/fault-injection/src/address_block.rs
@@ -83,12 +83,12 @@
         SocketAddr::new(self.ip_address(FIRST_PROCESS_BYTE, process), port)
     }
 
-    /// Where a process serves clients.
+    /// The address on which a process serves clients.
     pub fn client_address(&self, process: usize) -> SocketAddr {
         self.process_address(process, CLIENT_PORT)
     }
 
-    /// Where a process receives traffic of other gateways.
+    /// The address on which a process receives traffic of other gateways.
     pub fn fleet_address(&self, process: usize) -> SocketAddr {
         self.process_address(process, FLEET_PORT)
     }
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -26,12 +26,12 @@
 /// An event of a history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// When it was observed, µs of the monotonic clock.
+    /// When the event was observed, µs of the monotonic clock.
     pub at_us: u64,
-    /// Who observed it: [`CLUSTER`], [`CLIENTS`], or a process or stub service by name.
+    /// Who observed the event: [`CLUSTER`], [`CLIENTS`], or the name of a process or stub service.
     #[serde(rename = "who")]
     pub source: String,
-    /// What kind of event it is; the other fields depend on it.
+    /// The kind of the event, on which the other fields depend.
     #[serde(rename = "what")]
     pub kind: String,
     /// The other fields.
@@ -144,8 +144,8 @@
     /// Writes the buffered events to the file.
     pub fn flush(&self) {
         if let Some(file) = &mut self.lock().file {
-            // An earlier failed write has been reported. If only this flush fails, the file ends with an incomplete
-            // line, which its reader reports.
+            // An earlier failed write has been reported. If only this flush fails, no report is made: the reader of the
+            // file finds it incomplete.
             let _ = file.flush();
         }
     }
--- a/crates/fault-injection/src/link.rs
+++ b/crates/fault-injection/src/link.rs
@@ -14,8 +14,8 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The delay that a lost packet causes on a TCP stream: the minimum retransmission timeout of Linux (RFC 6298,
-/// `RTO_MIN`).
+/// The delay that a lost packet causes on a TCP stream: the minimum retransmission timeout (RFC 6298) of Linux,
+/// `RTO_MIN`.
 pub const RETRANSMISSION: Duration = Duration::from_millis(200);
 /// The longest queue of a rate limit, as the time that a datagram waits in it; datagrams beyond it are lost.
 const MAX_QUEUE: Duration = Duration::from_secs(1);
--- a/crates/fault-injection/src/load_generator.rs
+++ b/crates/fault-injection/src/load_generator.rs
@@ -23,7 +23,7 @@
 const DETECTION_DELAY_S: std::ops::Range<f64> = 1.3..3.0;
 /// The pause between two health checks of a gateway.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// The time after which a health check counts as failed.
+/// The time after which a health check without a response counts as failed.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a client waits beyond the timeout of its request before it records that there is no response.
 const RESPONSE_GRACE: Duration = Duration::from_millis(700);
@@ -70,12 +70,12 @@
     pub units_per_s: f64,
 }
 
-/// What the clients send.
+/// The rate and the mix of the requests that the clients send.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
     /// Mean rate, requests per second; the times between requests are exponentially distributed.
     pub requests_per_s: f64,
-    /// Number of customers, from whom each request's is drawn uniformly.
+    /// Number of customers; the customer of each request is drawn uniformly.
     pub customers: u32,
     /// Number of gateways in the set of each customer.
     pub gateways_per_customer: usize,
@@ -115,9 +115,9 @@
 /// A gateway to which requests are sent.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The name of its process.
+    /// The name of the gateway's process.
     pub name: String,
-    /// Where it serves clients.
+    /// The address on which the gateway serves clients.
     pub address: SocketAddr,
 }
 
@@ -152,7 +152,7 @@
 }
 
 impl LoadGenerator {
-    /// Starts health checks and clients on the present runtime.
+    /// Starts health checks and clients on the current runtime.
     pub(crate) fn start(
         profile: LoadProfile,
         targets: Vec<Target>,
--- a/crates/fault-injection/src/proxy.rs
+++ b/crates/fault-injection/src/proxy.rs
@@ -36,9 +36,9 @@
     pub listen_address: SocketAddr,
     /// The address of the process behind the proxy.
     pub target_address: SocketAddr,
-    /// From the connecting process to the target.
+    /// The direction from the connecting process to the target.
     pub outbound: Arc<Direction>,
-    /// From the target to the connecting process.
+    /// The direction from the target to the connecting process.
     pub inbound: Arc<Direction>,
 }
 
--- a/crates/fault-injection/src/stub_services.rs
+++ b/crates/fault-injection/src/stub_services.rs
@@ -26,7 +26,7 @@
 
 /// The longest body that the protocol allows.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The interval of heartbeats on a watch while the endpoint list does not change.
+/// The interval of heartbeats to watchers while the endpoint list does not change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// The usage meter's period, µs. [`crate::scripted_peers::default_settings`] configure gateways with the same period.
 pub const METER_PERIOD_US: u64 = 500_000;
@@ -34,7 +34,7 @@
 const METER_PERIODS: u64 = 4;
 /// The most request ids that the meter and each backend remember. Before one more is added, they forget all.
 const MAX_REMEMBERED_IDS: usize = 100_000;
-/// The longest lifetime of a counter, ms.
+/// The longest lifetime of a counter; a longer one in a call is reduced to it, ms.
 const MAX_COUNTER_LIFETIME_MS: u64 = 60_000;
 /// The longest name of a counter, bytes.
 const MAX_COUNTER_NAME: usize = 64;
@@ -89,7 +89,7 @@
 struct MeterState {
     /// The requests that were registered, by id.
     requests: HashMap<String, MeteredRequest>,
-    /// Units.
+    /// The units that each customer used in each period.
     usage: HashMap<UsageKey, f64>,
 }
 
--- a/crates/fault-injection/tests/link_faults.rs
+++ b/crates/fault-injection/tests/link_faults.rs
@@ -32,8 +32,10 @@
 
 /// The two ends of a connection through the proxy.
 struct Connection {
-    near: TcpStream,
-    far: TcpStream,
+    /// The end that connected to the proxy.
+    downstream: TcpStream,
+    /// The end that accepted the connection from the proxy.
+    upstream: TcpStream,
 }
 
 /// The numbered datagrams that arrived.
@@ -95,27 +97,33 @@
     }
 
     async fn connect(&self) -> Connection {
-        let near = TcpStream::connect(self.proxy_address)
+        let downstream = TcpStream::connect(self.proxy_address)
             .await
             .expect("a proxy that listens");
-        let (far, _) = timeout(MAX_WAIT, self.listener.accept())
+        let (upstream, _) = timeout(MAX_WAIT, self.listener.accept())
             .await
             .expect("a connection in time")
             .expect("a connection");
-        Connection { near, far }
+        Connection {
+            downstream,
+            upstream,
+        }
     }
 
     /// Sends `DATAGRAMS` numbered datagrams at a steady rate, and one more after the fault has ended, which must
     /// arrive.
     async fn send_datagrams(&self) {
-        let near = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+        let downstream = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         for number in 0..DATAGRAMS + 1 {
             if number == DATAGRAMS {
                 self.outbound.set_conditions(LinkConditions::default());
             }
             let mut datagram = number.to_be_bytes().to_vec();
             datagram.extend([0xAA; 16]);
-            near.send_to(&datagram, self.proxy_address).await.unwrap();
+            downstream
+                .send_to(&datagram, self.proxy_address)
+                .await
+                .unwrap();
             tokio::time::sleep(Duration::from_micros(500)).await;
         }
     }
@@ -288,27 +296,33 @@
 async fn a_blackhole_is_silent_and_loses_no_buffered_data() {
     let addresses = AddressBlock::acquire().expect("addresses");
     let link = LinkFixture::new(&addresses, 1).await;
-    let Connection { mut near, mut far } = link.connect().await;
+    let Connection {
+        mut downstream,
+        mut upstream,
+    } = link.connect().await;
     link.outbound.set_conditions(LinkConditions::blackhole());
-    near.write_all(b"forth").await.unwrap();
-    far.write_all(b"back").await.unwrap();
+    downstream.write_all(b"forth").await.unwrap();
+    upstream.write_all(b"back").await.unwrap();
     assert_eq!(
-        receive(&mut near, MAX_WAIT).await.as_deref(),
+        receive(&mut downstream, MAX_WAIT).await.as_deref(),
         Some(&b"back"[..])
     );
-    assert_eq!(receive(&mut far, SILENCE).await, None);
+    assert_eq!(receive(&mut upstream, SILENCE).await, None);
     link.outbound.set_conditions(LinkConditions::default());
     assert_eq!(
-        receive(&mut far, MAX_WAIT).await.as_deref(),
+        receive(&mut upstream, MAX_WAIT).await.as_deref(),
         Some(&b"forth"[..])
     );
     assert_eq!(link.outbound.counters.stalled.load(Ordering::Relaxed), 1);
     // A close is held back too: the other side is not notified.
     link.outbound.set_conditions(LinkConditions::blackhole());
-    drop(near);
-    assert_eq!(receive(&mut far, SILENCE).await, None);
+    drop(downstream);
+    assert_eq!(receive(&mut upstream, SILENCE).await, None);
     link.outbound.set_conditions(LinkConditions::default());
-    assert_eq!(receive(&mut far, MAX_WAIT).await.as_deref(), Some(&b""[..]));
+    assert_eq!(
+        receive(&mut upstream, MAX_WAIT).await.as_deref(),
+        Some(&b""[..])
+    );
 }
 
 /// Resets and rejections close open connections at once, and new connections are rejected until the fault ends.
@@ -316,9 +330,12 @@
 async fn rejections_and_resets_close_open_connections_at_once() {
     let addresses = AddressBlock::acquire().expect("addresses");
     let link = LinkFixture::new(&addresses, 1).await;
-    let Connection { mut near, mut far } = link.connect().await;
+    let Connection {
+        mut downstream,
+        mut upstream,
+    } = link.connect().await;
     link.inbound.reset_connections();
-    for stream in [&mut near, &mut far] {
+    for stream in [&mut downstream, &mut upstream] {
         let error = timeout(MAX_WAIT, stream.read(&mut [0; 8]))
             .await
             .expect("an end")
@@ -355,7 +372,10 @@
 async fn stream_faults_never_lose_or_reorder_bytes() {
     let addresses = AddressBlock::acquire().expect("addresses");
     let link = LinkFixture::new(&addresses, 1).await;
-    let Connection { mut near, mut far } = link.connect().await;
+    let Connection {
+        mut downstream,
+        mut upstream,
+    } = link.connect().await;
     let sent: Vec<u8> = (0..20_000u32).flat_map(u32::to_be_bytes).collect();
     let mut received = vec![0; sent.len()];
 
@@ -367,8 +387,8 @@
         ..LinkConditions::default()
     });
     let start = Instant::now();
-    near.write_all(&sent).await.unwrap();
-    timeout(MAX_WAIT, far.read_exact(&mut received))
+    downstream.write_all(&sent).await.unwrap();
+    timeout(MAX_WAIT, upstream.read_exact(&mut received))
         .await
         .expect("all")
         .unwrap();
@@ -378,9 +398,9 @@
         ..LinkConditions::default()
     });
     let start = Instant::now();
-    near.write_all(b"late").await.unwrap();
+    downstream.write_all(b"late").await.unwrap();
     assert_eq!(
-        receive(&mut far, MAX_WAIT).await.as_deref(),
+        receive(&mut upstream, MAX_WAIT).await.as_deref(),
         Some(&b"late"[..])
     );
     assert!(start.elapsed() >= Duration::from_millis(200));
@@ -391,8 +411,8 @@
         ..LinkConditions::default()
     });
     let start = Instant::now();
-    near.write_all(&sent).await.unwrap();
-    timeout(MAX_WAIT, far.read_exact(&mut received))
+    downstream.write_all(&sent).await.unwrap();
+    timeout(MAX_WAIT, upstream.read_exact(&mut received))
         .await
         .expect("all")
         .unwrap();
@@ -403,8 +423,8 @@
         corrupt: 1.0,
         ..LinkConditions::default()
     });
-    near.write_all(b"frame").await.unwrap();
-    let received = receive(&mut far, MAX_WAIT).await.expect("a frame");
+    downstream.write_all(b"frame").await.unwrap();
+    let received = receive(&mut upstream, MAX_WAIT).await.expect("a frame");
     let changed: u32 = received
         .iter()
         .zip(b"frame")
@@ -415,9 +435,9 @@
     // A truncated frame is followed by a reset.
     link.outbound.set_conditions(LinkConditions::default());
     link.outbound.truncate_connection(3);
-    near.write_all(b"frame").await.unwrap();
+    downstream.write_all(b"frame").await.unwrap();
     let mut truncated = Vec::new();
-    let error = timeout(MAX_WAIT, far.read_to_end(&mut truncated))
+    let error = timeout(MAX_WAIT, upstream.read_to_end(&mut truncated))
         .await
         .expect("an end")
         .expect_err("a reset");
