--- a/crates/fault-injection/tests/link_faults.rs
+++ b/crates/fault-injection/tests/link_faults.rs
@@ -1,4 +1,4 @@
-//! Each fault of a link as its two ends observe it: what passes with the fault is compared with what was sent.
+//! The effect of each link fault as the two ends of the link observe it: compares what arrives with what was sent.
 
 use cometspool_fault_injection::address_block::AddressBlock;
 use cometspool_fault_injection::link::{Direction, LinkConditions, LinkCounters};
@@ -16,12 +16,12 @@
 const MAX_WAIT: Duration = Duration::from_secs(30);
 /// The pause between two attempts to connect.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// The time in which nothing may arrive; too short a time would only make a test weaker.
+/// How long nothing may arrive. Too short a time would make a test weaker, but never fail it.
 const SILENCE: Duration = Duration::from_millis(300);
-/// Datagrams of one run: enough that a fault with a fraction affects neither none nor all of them.
+/// The datagrams of one run, so many that a fault with a fraction affects some of them but not all.
 const DATAGRAMS: u32 = 400;
 
-/// A proxy in front of a listener and a UDP socket, with the conditions of both directions.
+/// A proxy in front of a listener and a UDP socket, with both directions of the link.
 struct LinkFixture {
     listener: TcpListener,
     socket: UdpSocket,
@@ -32,15 +32,17 @@
 
 /// The two ends of a connection through the proxy.
 struct Connection {
-    near: TcpStream,
-    far: TcpStream,
+    /// The end that connected to the proxy.
+    downstream: TcpStream,
+    /// The end that accepted the connection from the proxy.
+    upstream: TcpStream,
 }
 
-/// What arrived of the numbered datagrams.
+/// The numbered datagrams that arrived.
 struct Arrivals {
     /// The numbers of intact datagrams, in the order of arrival.
     numbers: Vec<u32>,
-    /// Datagrams that are not as they were sent.
+    /// The count of datagrams that differ from those sent.
     corrupted: u32,
 }
 
@@ -53,7 +55,7 @@
         self.numbers.iter().collect::<BTreeSet<_>>().len()
     }
 
-    /// Numbers that arrived exactly twice.
+    /// The count of numbers that arrived exactly twice.
     fn duplicates(&self) -> usize {
         let mut counts = BTreeMap::new();
         for number in &self.numbers {
@@ -62,7 +64,7 @@
         counts.values().filter(|count| **count == 2).count()
     }
 
-    /// Neighbours in the wrong order.
+    /// The count of adjacent arrivals in the wrong order.
     fn reordered(&self) -> usize {
         self.numbers
             .windows(2)
@@ -72,7 +74,7 @@
 }
 
 impl LinkFixture {
-    /// A link from process 0 to this process.
+    /// A link from process 0 to process `to`.
     async fn new(addresses: &AddressBlock, to: usize) -> LinkFixture {
         let target_address = addresses.fleet_address(to);
         let proxy_address = addresses.link_address(0, to);
@@ -95,31 +97,38 @@
     }
 
     async fn connect(&self) -> Connection {
-        let near = TcpStream::connect(self.proxy_address)
+        let downstream = TcpStream::connect(self.proxy_address)
             .await
             .expect("a proxy that listens");
-        let (far, _) = timeout(MAX_WAIT, self.listener.accept())
+        let (upstream, _) = timeout(MAX_WAIT, self.listener.accept())
             .await
             .expect("a connection in time")
             .expect("a connection");
-        Connection { near, far }
+        Connection {
+            downstream,
+            upstream,
+        }
     }
 
-    /// Sends numbered datagrams at a steady rate. The last one is sent after the fault has ended, so that it must arrive.
+    /// Sends `DATAGRAMS` numbered datagrams at a steady rate, and one more after the fault has ended, which must
+    /// arrive.
     async fn send_datagrams(&self) {
-        let near = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+        let downstream = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         for number in 0..DATAGRAMS + 1 {
             if number == DATAGRAMS {
                 self.outbound.set_conditions(LinkConditions::default());
             }
             let mut datagram = number.to_be_bytes().to_vec();
             datagram.extend([0xAA; 16]);
-            near.send_to(&datagram, self.proxy_address).await.unwrap();
+            downstream
+                .send_to(&datagram, self.proxy_address)
+                .await
+                .unwrap();
             tokio::time::sleep(Duration::from_micros(500)).await;
         }
     }
 
-    /// Receives datagrams until the last one has arrived and no more follow: it may overtake those that were delayed.
+    /// Receives datagrams until the last one has arrived and no more follow, since it may overtake delayed ones.
     async fn receive_datagrams(&self) -> Arrivals {
         let mut arrivals = Arrivals {
             numbers: Vec::new(),
@@ -145,14 +154,14 @@
         arrivals
     }
 
-    /// What arrives of `DATAGRAMS` datagrams.
+    /// Sends `DATAGRAMS` datagrams and returns those that arrived.
     async fn exchange_datagrams(&self) -> Arrivals {
         let ((), arrivals) = tokio::join!(self.send_datagrams(), self.receive_datagrams());
         arrivals
     }
 }
 
-/// The next bytes of a stream, none if it has ended, or `None` if nothing arrives in time.
+/// The next bytes of a stream: empty if the stream has ended, `None` if nothing arrives in time or the read fails.
 async fn receive(stream: &mut TcpStream, wait: Duration) -> Option<Vec<u8>> {
     let mut buffer = vec![0; 4096];
     let length = timeout(wait, stream.read(&mut buffer)).await.ok()?.ok()?;
@@ -160,7 +169,7 @@
     Some(buffer)
 }
 
-/// A fault on datagrams and what must hold with it.
+/// A fault on datagrams, and the condition that the arrivals and the counters must meet.
 struct DatagramCase {
     name: &'static str,
     conditions: LinkConditions,
@@ -281,42 +290,52 @@
     }
 }
 
-/// A blackhole may affect one direction only; it notifies neither side, and what TCP has buffered passes when it ends.
+/// A blackhole can affect one direction only. It notifies neither side, and data that TCP has buffered passes when it
+/// ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_blackhole_is_silent_and_loses_no_buffered_data() {
     let addresses = AddressBlock::acquire().expect("addresses");
     let link = LinkFixture::new(&addresses, 1).await;
-    let Connection { mut near, mut far } = link.connect().await;
+    let Connection {
+        mut downstream,
+        mut upstream,
+    } = link.connect().await;
     link.outbound.set_conditions(LinkConditions::blackhole());
-    near.write_all(b"forth").await.unwrap();
-    far.write_all(b"back").await.unwrap();
+    downstream.write_all(b"forth").await.unwrap();
+    upstream.write_all(b"back").await.unwrap();
     assert_eq!(
-        receive(&mut near, MAX_WAIT).await.as_deref(),
+        receive(&mut downstream, MAX_WAIT).await.as_deref(),
         Some(&b"back"[..])
     );
-    assert_eq!(receive(&mut far, SILENCE).await, None);
+    assert_eq!(receive(&mut upstream, SILENCE).await, None);
     link.outbound.set_conditions(LinkConditions::default());
     assert_eq!(
-        receive(&mut far, MAX_WAIT).await.as_deref(),
+        receive(&mut upstream, MAX_WAIT).await.as_deref(),
         Some(&b"forth"[..])
     );
     assert_eq!(link.outbound.counters.stalled.load(Ordering::Relaxed), 1);
-    // A close is kept back too: the other side is not notified of it.
+    // A close is held back too: the other side is not notified.
     link.outbound.set_conditions(LinkConditions::blackhole());
-    drop(near);
-    assert_eq!(receive(&mut far, SILENCE).await, None);
+    drop(downstream);
+    assert_eq!(receive(&mut upstream, SILENCE).await, None);
     link.outbound.set_conditions(LinkConditions::default());
-    assert_eq!(receive(&mut far, MAX_WAIT).await.as_deref(), Some(&b""[..]));
+    assert_eq!(
+        receive(&mut upstream, MAX_WAIT).await.as_deref(),
+        Some(&b""[..])
+    );
 }
 
-/// Resets and rejected connections close what is open at once, and connections are rejected until the fault ends.
+/// Resets and rejections close open connections at once, and new connections are rejected until the fault ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn rejections_and_resets_close_open_connections_at_once() {
     let addresses = AddressBlock::acquire().expect("addresses");
     let link = LinkFixture::new(&addresses, 1).await;
-    let Connection { mut near, mut far } = link.connect().await;
+    let Connection {
+        mut downstream,
+        mut upstream,
+    } = link.connect().await;
     link.inbound.reset_connections();
-    for stream in [&mut near, &mut far] {
+    for stream in [&mut downstream, &mut upstream] {
         let error = timeout(MAX_WAIT, stream.read(&mut [0; 8]))
             .await
             .expect("an end")
@@ -353,19 +372,23 @@
 async fn stream_faults_never_lose_or_reorder_bytes() {
     let addresses = AddressBlock::acquire().expect("addresses");
     let link = LinkFixture::new(&addresses, 1).await;
-    let Connection { mut near, mut far } = link.connect().await;
+    let Connection {
+        mut downstream,
+        mut upstream,
+    } = link.connect().await;
     let sent: Vec<u8> = (0..20_000u32).flat_map(u32::to_be_bytes).collect();
     let mut received = vec![0; sent.len()];
 
-    // Delay and loss show as time; a slow machine cannot fall below the lower bounds.
+    // Delay and loss show only in the elapsed time, of which the test checks lower bounds: a slow machine meets them
+    // too.
     link.outbound.set_conditions(LinkConditions {
         delay_ms: 40.0,
         jitter_ms: 20.0,
         ..LinkConditions::default()
     });
     let start = Instant::now();
-    near.write_all(&sent).await.unwrap();
-    timeout(MAX_WAIT, far.read_exact(&mut received))
+    downstream.write_all(&sent).await.unwrap();
+    timeout(MAX_WAIT, upstream.read_exact(&mut received))
         .await
         .expect("all")
         .unwrap();
@@ -375,9 +398,9 @@
         ..LinkConditions::default()
     });
     let start = Instant::now();
-    near.write_all(b"late").await.unwrap();
+    downstream.write_all(b"late").await.unwrap();
     assert_eq!(
-        receive(&mut far, MAX_WAIT).await.as_deref(),
+        receive(&mut upstream, MAX_WAIT).await.as_deref(),
         Some(&b"late"[..])
     );
     assert!(start.elapsed() >= Duration::from_millis(200));
@@ -388,8 +411,8 @@
         ..LinkConditions::default()
     });
     let start = Instant::now();
-    near.write_all(&sent).await.unwrap();
-    timeout(MAX_WAIT, far.read_exact(&mut received))
+    downstream.write_all(&sent).await.unwrap();
+    timeout(MAX_WAIT, upstream.read_exact(&mut received))
         .await
         .expect("all")
         .unwrap();
@@ -400,8 +423,8 @@
         corrupt: 1.0,
         ..LinkConditions::default()
     });
-    near.write_all(b"frame").await.unwrap();
-    let received = receive(&mut far, MAX_WAIT).await.expect("a frame");
+    downstream.write_all(b"frame").await.unwrap();
+    let received = receive(&mut upstream, MAX_WAIT).await.expect("a frame");
     let changed: u32 = received
         .iter()
         .zip(b"frame")
@@ -412,9 +435,9 @@
     // A truncated frame is followed by a reset.
     link.outbound.set_conditions(LinkConditions::default());
     link.outbound.truncate_connection(3);
-    near.write_all(b"frame").await.unwrap();
+    downstream.write_all(b"frame").await.unwrap();
     let mut truncated = Vec::new();
-    let error = timeout(MAX_WAIT, far.read_to_end(&mut truncated))
+    let error = timeout(MAX_WAIT, upstream.read_to_end(&mut truncated))
         .await
         .expect("an end")
         .expect_err("a reset");
