--- a/src/bin/cometspool-simulator-adapter/codec.rs
+++ b/src/bin/cometspool-simulator-adapter/codec.rs
@@ -1,12 +1,13 @@
-//! The simulator's wire format: frames of little-endian records without padding.
+//! Codec for the simulator's wire format: length-prefixed frames of little-endian records without padding.
 //!
-//! A frame to the adapter has its payload's length (u32), the time (f64, ms) and event records; a frame from it has
-//! its payload's length, the number of action records (u32) and these. Each record starts with its code (u16) and the
-//! instance (u32) that it is for.
+//! The simulator sends event frames: the payload length in bytes (u32), the simulated time in ms (f64), then event
+//! records. The adapter answers each of them with an action frame: the payload length in bytes (u32), the number of
+//! action records (u32), then the action records. Every record starts with its record code (u16) and the number of the
+//! policy instance that it addresses (u32).
 
 use std::fmt;
 
-/// Codes of event records.
+/// Record codes of events, which the simulator sends.
 mod event_code {
     pub(super) const CREATE: u16 = 256;
     pub(super) const ENDPOINT_LIST: u16 = 257;
@@ -21,7 +22,7 @@
     pub(super) const COUNTER_REPLY: u16 = 266;
 }
 
-/// Codes of action records.
+/// Record codes of actions, which the adapter sends.
 mod action_code {
     pub(super) const SEND: u16 = 320;
     pub(super) const REJECT: u16 = 321;
@@ -36,17 +37,17 @@
     pub(super) const FETCH_LIST: u16 = 331;
 }
 
-/// Bit of a request's flags that marks a retry of the client.
+/// Bit mask of a request's flags: the client has sent the request before and retries it.
 const RETRY_FLAG: u8 = 2;
 
-/// A frame that cannot be decoded: where, and what was found there.
+/// Decoding error of a frame received from the simulator.
 #[derive(Debug, PartialEq)]
 pub(crate) struct MalformedFrame {
-    /// Offset in the frame's payload, bytes.
+    /// Position in the frame's payload at which decoding stopped, bytes.
     pub offset: usize,
-    /// Code of the record at fault, if it was read.
+    /// Code of the malformed record; `None` if decoding failed before the code was read.
     pub code: Option<u16>,
-    /// What is wrong.
+    /// Description of the error for the log.
     pub problem: &'static str,
 }
 
@@ -62,17 +63,17 @@
 
 impl std::error::Error for MalformedFrame {}
 
-/// One entry of an endpoint list.
+/// One backend of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ListEntry {
     pub zone: u8,
-    /// Time of the last start, ms; 0 if it was long ago.
+    /// Simulated time of the backend's last start, ms; 0 if the backend started too long ago to be in slow start.
     pub started_at: f64,
     pub backend: u32,
     pub cell: u16,
-    /// 2 ready, 1 draining, else removed.
+    /// Availability code: 2 is ready, 1 is draining, any other value is removed.
     pub availability: u8,
-    /// Capacity relative to the other backends.
+    /// Capacity of the backend relative to the other backends.
     pub weight: f32,
 }
 
@@ -80,59 +81,68 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct IncomingRequest {
     pub id: u32,
+    /// Number of gateways that the customer's requests are spread over.
     pub gateway_count: f32,
     pub customer: u64,
-    /// ms.
+    /// Simulated time at which the client stops waiting, ms.
     pub deadline: f64,
+    /// Index of the customer's plan in the settings.
     pub plan: u32,
+    /// Quota units that the request takes.
     pub units: f32,
+    /// Index of the request's class in the settings.
     pub class: u8,
     pub is_retry: bool,
 }
 
-/// The end of an attempt.
+/// Result of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct CompletedAttempt {
+    /// Id of the request that the attempt belongs to.
     pub request: u32,
+    /// Number of the attempt within its request.
     pub attempt: u16,
     pub backend: u32,
-    /// Code of the outcome.
+    /// Outcome code, which `translate` maps to [`cometspool::Outcome`].
     pub outcome: u16,
-    /// Time since it was sent, ms.
+    /// Time since the attempt was sent, ms.
     pub elapsed: f64,
+    /// Whether the request already has its final response.
     pub request_closed: bool,
-    /// The customer's usage in percent of its rate plus 1; 0 if it is not reported.
+    /// The customer's usage in percent of its rate, plus 1; 0 if the response does not report the usage.
     pub quota_usage: u16,
-    /// Units that the request took; 0 if they are not reported.
+    /// Quota units that the request actually took; 0 if the response does not report them.
     pub actual_units: u16,
-    /// The load report, in the order of the configured metrics.
+    /// Values of the load report, in the order of the configured metrics.
     pub metrics: Vec<f32>,
 }
 
-/// The end of a health check.
+/// Result of a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct CompletedHealthCheck {
-    /// ms.
+    /// Time since the health check was sent, ms.
     pub elapsed: f64,
     pub backend: u32,
-    /// Code of the outcome.
+    /// Outcome code, which `translate` maps to [`cometspool::Outcome`].
     pub outcome: u16,
-    /// The load report, in the order of the configured metrics.
+    /// Values of the load report, in the order of the configured metrics.
     pub metrics: Vec<f32>,
 }
 
-/// What an event record says.
+/// Body of an event record.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Record {
-    /// Start the instance.
+    /// Creates the policy instance.
     Create {
+        /// Seed of the policy's random number generator.
         seed: u64,
+        /// Settings of the policy, as lines of `key=value`.
         settings: String,
     },
-    /// End the instance.
+    /// Removes the policy instance.
     Retire,
     EndpointList {
-        /// 0 changes, 1 full, 2 cached, else failed.
+        /// Kind of list: 0 is changes, 1 is full, 2 is cached, any other value is a failed fetch.
         kind: u8,
         entries: Vec<ListEntry>,
     },
@@ -148,30 +158,32 @@
         timer: u64,
     },
     HealthCheckCompleted(CompletedHealthCheck),
-    /// Messages of peers and replies of the counter service, which the policy does not use.
+    /// A message of a peer or a reply of the counter service. The policy uses neither.
     Unused,
 }
 
-/// An event record, with the instance that it is for.
+/// An event record and the policy instance that it addresses.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct AddressedRecord {
+    /// Number that the simulator gave to the instance.
     pub instance: u32,
     pub record: Record,
 }
 
-/// A decoded frame: its time and its event records in order.
+/// A decoded event frame.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Batch {
-    /// ms.
+    /// Simulated time of all records of the frame, ms.
     pub now: f64,
+    /// Records in the order in which they have to be handled.
     pub records: Vec<AddressedRecord>,
 }
 
-/// Reads the fields of a payload in order.
+/// Cursor that reads the fields of a payload in order.
 struct Reader<'a> {
     bytes: &'a [u8],
     offset: usize,
-    /// Code of the record that is being read.
+    /// Code of the record that is being read, for error messages; `None` between two records.
     code: Option<u16>,
 }
 
@@ -232,7 +244,7 @@
     }
 }
 
-/// Decodes the payload of a frame.
+/// Decodes the payload of an event frame.
 pub(crate) fn decode(payload: &[u8]) -> Result<Batch, MalformedFrame> {
     let mut reader = Reader {
         bytes: payload,
@@ -286,7 +298,7 @@
 
 fn decode_endpoint_list(reader: &mut Reader<'_>) -> Result<Record, MalformedFrame> {
     let kind = reader.u8()?;
-    reader.u32()?; // the list's version
+    reader.u32()?; // version of the list, not used
     let count = reader.u32()?;
     let entries = (0..count)
         .map(|_| decode_list_entry(reader))
@@ -299,7 +311,7 @@
     let started_at = reader.f64()?;
     let backend = reader.u32()?;
     let cell = reader.u16()?;
-    reader.u8()?; // kind of machine
+    reader.u8()?; // machine type, not used
     Ok(ListEntry {
         zone,
         started_at,
@@ -313,7 +325,7 @@
 fn decode_request(reader: &mut Reader<'_>) -> Result<Record, MalformedFrame> {
     let id = reader.u32()?;
     let gateway_count = reader.f32()?;
-    reader.f32()?; // number of the first gateway of the set
+    reader.f32()?; // index of the customer's first gateway, not used
     Ok(Record::Request(IncomingRequest {
         id,
         gateway_count,
@@ -328,7 +340,7 @@
 
 fn decode_stream_started(reader: &mut Reader<'_>) -> Result<Record, MalformedFrame> {
     let request = reader.u32()?;
-    reader.take(8 + 2 + 4)?; // elapsed time, attempt, backend
+    reader.take(8 + 2 + 4)?; // elapsed time, attempt and backend, not used
     Ok(Record::StreamStarted { request })
 }
 
@@ -356,7 +368,7 @@
 }
 
 fn decode_peer_message(reader: &mut Reader<'_>) -> Result<Record, MalformedFrame> {
-    reader.u32()?; // the sender
+    reader.u32()?; // instance that sent the message, not used
     let length = reader.u16()? as usize;
     reader.take(length)?;
     Ok(Record::Unused)
@@ -367,14 +379,17 @@
     Ok(Record::Unused)
 }
 
-/// A frame of action records under construction.
+/// Builder of an action frame.
 #[derive(Default)]
 pub(crate) struct Reply {
+    /// Number of action records in `body`.
     count: u32,
+    /// Encoded action records.
     body: Vec<u8>,
 }
 
 impl Reply {
+    /// Appends the header of a record and returns the buffer for the record's fields.
     fn start(&mut self, code: u16, instance: u32) -> &mut Vec<u8> {
         self.count += 1;
         self.body.extend(code.to_le_bytes());
@@ -382,7 +397,7 @@
         &mut self.body
     }
 
-    /// Start an attempt; a timeout of 0 means none.
+    /// Appends an action that sends an attempt. `timeout` is in ms; 0 means that the attempt has no timeout.
     pub(crate) fn send(&mut self, instance: u32, request: u32, backend: u32, timeout: f64) {
         let body = self.start(action_code::SEND, instance);
         body.extend(request.to_le_bytes());
@@ -390,66 +405,67 @@
         body.extend(timeout.to_le_bytes());
     }
 
-    /// Reject a request; a `retry_after` of 0 means none.
+    /// Appends an action that rejects a request. `retry_after` is in ms; 0 means that the client gets no Retry-After.
     pub(crate) fn reject(&mut self, instance: u32, request: u32, retry_after: f64) {
         let body = self.start(action_code::REJECT, instance);
         body.extend(request.to_le_bytes());
         body.extend(retry_after.to_le_bytes());
     }
 
-    /// Fail a request.
+    /// Appends an action that fails a request.
     pub(crate) fn fail(&mut self, instance: u32, request: u32) {
         self.start(action_code::FAIL, instance)
             .extend(request.to_le_bytes());
     }
 
-    /// Cancel an attempt.
+    /// Appends an action that cancels an attempt, given by its number within the request.
     pub(crate) fn cancel_attempt(&mut self, instance: u32, request: u32, attempt: u16) {
         let body = self.start(action_code::CANCEL_ATTEMPT, instance);
         body.extend(request.to_le_bytes());
         body.extend(attempt.to_le_bytes());
     }
 
-    /// Set a timer.
+    /// Appends an action that sets a timer for the simulated time `at`, ms.
     pub(crate) fn set_timer(&mut self, instance: u32, at: f64, timer: u64) {
         let body = self.start(action_code::SET_TIMER, instance);
         body.extend(at.to_le_bytes());
         body.extend(timer.to_le_bytes());
     }
 
-    /// Check the health of a backend.
+    /// Appends an action that sends a health check to a backend.
     pub(crate) fn check_health(&mut self, instance: u32, backend: u32) {
         self.start(action_code::CHECK_HEALTH, instance)
             .extend(backend.to_le_bytes());
     }
 
-    /// Close the idle connections to a backend.
+    /// Appends an action that closes the idle connections to a backend.
     pub(crate) fn close_idle_connections(&mut self, instance: u32, backend: u32) {
         self.start(action_code::CLOSE_IDLE_CONNECTIONS, instance)
             .extend(backend.to_le_bytes());
     }
 
-    /// Subscribe to the endpoint list.
+    /// Appends an action that subscribes to changes of the endpoint list.
     pub(crate) fn subscribe(&mut self, instance: u32) {
         self.start(action_code::SUBSCRIBE, instance).push(1);
     }
 
-    /// Poll the endpoint list.
+    /// Appends an action that fetches the endpoint list once.
     pub(crate) fn fetch_list(&mut self, instance: u32) {
         self.start(action_code::FETCH_LIST, instance);
     }
 
-    /// Log a line.
+    /// Appends an action that writes a line to the simulator's log.
     pub(crate) fn log(&mut self, instance: u32, text: &str) {
         self.text(action_code::LOG, instance, text);
     }
 
-    /// Report that the instance failed and is gone.
+    /// Appends a report that the instance failed and was removed; `text` is the reason.
     pub(crate) fn instance_failed(&mut self, instance: u32, text: &str) {
         self.text(action_code::INSTANCE_FAILED, instance, text);
     }
 
-    /// A record of text, truncated at a character boundary to what its length field holds.
+    /// Appends a record with a text. The length field has 16 bits, so a longer text is truncated to at most 65535 bytes
+    /// at a character boundary.
     fn text(&mut self, code: u16, instance: u32, text: &str) {
         let mut length = text.len().min(usize::from(u16::MAX));
         while !text.is_char_boundary(length) {
@@ -460,7 +476,7 @@
         body.extend(&text.as_bytes()[..length]);
     }
 
-    /// The whole frame, header included.
+    /// Returns the encoded frame, including the payload length and the record count.
     pub(crate) fn into_frame(self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(8 + self.body.len());
         frame.extend((4 + self.body.len() as u32).to_le_bytes());
--- a/src/bin/cometspool-simulator-adapter/codec/tests.rs
+++ b/src/bin/cometspool-simulator-adapter/codec/tests.rs
@@ -1,7 +1,8 @@
-//! Unit tests of the wire format, on frames written by hand.
+//! Decodes and encodes hand-written frames of the simulator's wire format.
 
 use super::*;
 
+/// The bytes of a text of hexadecimal digits; all other characters are ignored.
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
     digits
--- a/src/bin/cometspool-simulator-adapter/instances.rs
+++ b/src/bin/cometspool-simulator-adapter/instances.rs
@@ -1,4 +1,4 @@
-//! The policy instances of a simulation. A failure of one ends that instance and no other.
+//! The policy instances that the simulator has created. An instance that fails is removed; the others keep running.
 
 use crate::codec::Record;
 use crate::translate;
@@ -8,21 +8,21 @@
 use std::panic::{self, AssertUnwindSafe};
 use std::sync::Mutex;
 
-/// Where and why the policy last panicked.
+/// Message and source location of the most recent panic of the policy.
 static LAST_PANIC: Mutex<String> = Mutex::new(String::new());
 
-/// Why an instance cannot start or go on; its text is what the simulator is sent.
+/// Why an instance could not be created or has failed. The error's text is sent to the simulator.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum InstanceError {
-    /// Its settings cannot be read.
+    /// The settings of the instance are invalid.
     #[error("{0}")]
     Settings(String),
-    /// The policy panicked.
+    /// The policy engine panicked.
     #[error("{0}")]
     Panicked(String),
 }
 
-/// Has the text of a panic kept for [`InstanceError::Panicked`], and not printed.
+/// Replaces the panic hook: the text of a panic is stored for [`InstanceError::Panicked`] instead of printed.
 pub(crate) fn install_panic_hook() {
     panic::set_hook(Box::new(|info| {
         if let Ok(mut text) = LAST_PANIC.lock() {
@@ -31,9 +31,10 @@
     }));
 }
 
+/// One policy engine with the configuration that is needed to decode its events.
 struct Instance {
     engine: PolicyEngine,
-    /// The metrics of its load reports, in order.
+    /// Metrics of the load reports, in the order in which the reports carry their values.
     metrics: Vec<Metric>,
 }
 
@@ -52,15 +53,15 @@
     }
 }
 
-/// All instances, by number.
+/// All running instances, by the number that the simulator gave them.
 #[derive(Default)]
 pub(crate) struct Instances {
     running: BTreeMap<u32, Instance>,
 }
 
 impl Instances {
-    /// Handles a record at its instance, and appends the actions of the policy. An instance that fails is gone;
-    /// a record for one that is not running is ignored.
+    /// Passes a record to the instance `number` and appends the resulting actions to `actions`. An instance that fails
+    /// is removed. A record for an instance that is not running is ignored.
     pub(crate) fn handle(
         &mut self,
         now: Millis,
@@ -96,7 +97,7 @@
                 let Some(instance) = self.running.get_mut(&number) else {
                     return Ok(());
                 };
-                let Some(event) = translate::event(record, &instance.metrics) else {
+                let Some(event) = translate::event_from_record(record, &instance.metrics) else {
                     return Ok(());
                 };
                 catch_panic(|| instance.engine.handle(now, event, actions))
@@ -105,6 +106,7 @@
     }
 }
 
+/// Calls the policy engine and turns a panic into an error, so that one instance cannot end the process.
 fn catch_panic<T>(call: impl FnOnce() -> T) -> Result<T, InstanceError> {
     panic::catch_unwind(AssertUnwindSafe(call)).map_err(|_| {
         let text = LAST_PANIC
--- a/src/bin/cometspool-simulator-adapter/main.rs
+++ b/src/bin/cometspool-simulator-adapter/main.rs
@@ -1,7 +1,8 @@
-//! Runs the policy of cometspool for a simulator, over its wire format on standard input and output.
+//! Runs the policy engine for an external simulator. The adapter reads event frames on standard input and writes one
+//! action frame for each of them on standard output.
 //!
-//! There is one [`PolicyEngine`](cometspool::PolicyEngine) for each instance that the simulator creates. This
-//! program translates, and decides nothing.
+//! Each instance that the simulator creates has a [`PolicyEngine`](cometspool::PolicyEngine) of its own. The adapter
+//! only translates between the simulator's records and the engine's events and actions; it makes no decisions.
 
 #![forbid(unsafe_code)]
 
@@ -14,22 +15,22 @@
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-/// Length of a frame's header, bytes.
+/// Length of the payload length field that precedes each frame, bytes.
 const HEADER_LENGTH: u64 = 4;
 
-/// Why the adapter ends before its input does.
+/// Error that stops the adapter before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
-    /// Standard input or output failed.
+    /// Reading standard input or writing standard output failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The input ended within a frame's header.
+    /// The input ended inside a frame's length field.
     #[error("truncated frame at offset {offset} of its header")]
     TruncatedHeader { offset: usize },
-    /// The input ended within a frame's payload.
+    /// The input ended inside a frame's payload.
     #[error("truncated frame at offset {offset} of {length}")]
     TruncatedPayload { offset: usize, length: u32 },
-    /// A frame cannot be decoded.
+    /// A frame could not be decoded.
     #[error(transparent)]
     Malformed(#[from] MalformedFrame),
 }
@@ -45,7 +46,7 @@
     }
 }
 
-/// Answers each frame of the input with one frame, until the input ends.
+/// Reads event frames until the input ends and answers each with one action frame.
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut instances = Instances::default();
     let mut payload = Vec::new();
@@ -57,7 +58,7 @@
     Ok(())
 }
 
-/// Reads the payload of the next frame; `false` at the end of the input.
+/// Reads the payload of the next frame into `payload`; returns `false` at the end of the input.
 fn read_frame(input: &mut impl Read, payload: &mut Vec<u8>) -> Result<bool, AdapterError> {
     let Some(length) = read_frame_length(input)? else {
         return Ok(false);
@@ -70,7 +71,7 @@
     Ok(true)
 }
 
-/// Reads the length of the next frame's payload; `None` at the end of the input.
+/// Reads the payload length of the next frame, bytes; returns `None` at the end of the input.
 fn read_frame_length(input: &mut impl Read) -> Result<Option<u32>, AdapterError> {
     let mut header = Vec::with_capacity(HEADER_LENGTH as usize);
     input.take(HEADER_LENGTH).read_to_end(&mut header)?;
@@ -83,7 +84,7 @@
     }
 }
 
-/// Handles the records of a frame in order, and collects the actions.
+/// Handles the records of a frame in order and collects the resulting actions in the reply.
 fn handle_frame(instances: &mut Instances, payload: &[u8]) -> Result<Reply, MalformedFrame> {
     let batch = codec::decode(payload)?;
     let mut reply = Reply::default();
--- a/src/bin/cometspool-simulator-adapter/translate.rs
+++ b/src/bin/cometspool-simulator-adapter/translate.rs
@@ -1,4 +1,5 @@
-//! Translates records of the wire into events of the policy, and its actions into records.
+//! Conversion of the simulator's event records into events of the policy engine, and of the engine's actions into
+//! action records.
 
 use crate::codec::{
     CompletedAttempt, CompletedHealthCheck, IncomingRequest, ListEntry, Record, Reply,
@@ -6,8 +7,9 @@
 use cometspool::settings::{self, Metric};
 use cometspool::*;
 
-/// The event that a record stands for, if the policy has one for it; `metrics` are those of load reports.
-pub(crate) fn event(record: Record, metrics: &[Metric]) -> Option<Event> {
+/// Converts a record into an event; returns `None` if the policy engine has no event for the record. `metrics` gives
+/// the order of the values in load reports.
+pub(crate) fn event_from_record(record: Record, metrics: &[Metric]) -> Option<Event> {
     Some(match record {
         Record::EndpointList { kind, entries } => {
             let entries = entries.iter().map(backend_entry).collect();
@@ -102,7 +104,7 @@
     }
 }
 
-/// Appends the record of an action to a reply.
+/// Appends the record for an action to the reply.
 pub(crate) fn encode_action(reply: &mut Reply, instance: u32, action: Action) {
     match action {
         Action::Send {
@@ -124,7 +126,7 @@
         Action::SetTimer { at, timer } => reply.set_timer(instance, at, timer.0),
         Action::CheckHealth(backend) => reply.check_health(instance, backend.0),
         Action::CloseIdleConnections(backend) => reply.close_idle_connections(instance, backend.0),
-        // The simulator opens connections as they are needed.
+        // The simulator opens connections on demand, so it has no action for opening them in advance.
         Action::Preconnect { .. } => {}
         Action::Subscribe => reply.subscribe(instance),
         Action::FetchList => reply.fetch_list(instance),
