--- a/crates/fleet-simulation/src/client_population/account.rs
+++ b/crates/fleet-simulation/src/client_population/account.rs
@@ -1,37 +1,38 @@
-//! The account of how gateways kept to the customers' quotas, over all attempts of all customers.
+//! Totals that measure how well the gateways enforce the quotas, over all attempts of all customers.
 
 use std::collections::BTreeMap;
 
-/// What became of all attempts of clients. Weights are priority weights times the plan's weight factor; a unit is a
-/// request that is forwarded.
+/// Totals over all requests of clients. Weights are priority weights multiplied by the plan's weight factor. Every
+/// request counts as one unit, and only forwarded requests take units from a quota.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuotaAccount {
-    /// Weight requested: that of the requests a single gateway that sees all requests would admit within quota, and
-    /// the reduced weight that the plan gives to the rest.
+    /// Weight of the requests that clients sent, retries not included. A request counts with its full weight if a
+    /// single gateway that sees all requests would admit it within quota, and with the plan's over-quota weight
+    /// otherwise.
     pub offered: f64,
-    /// Weight served in time within the quotas.
+    /// Weight of the requests within quota that were served in time.
     pub served: f64,
-    /// Reduced weight of what was served in time over the quotas.
+    /// Weight of the over-quota requests that were served in time, reduced to the plan's over-quota weight.
     pub served_over_quota: f64,
-    /// Cost of what was forwarded over the quotas.
+    /// Cost of the over-quota requests that were forwarded.
     pub over_quota_cost: f64,
-    /// Units forwarded within the quotas.
+    /// Units forwarded within quota.
     pub units_within_quota: f64,
-    /// Units forwarded over the quotas.
+    /// Units forwarded over quota.
     pub units_over_quota: f64,
-    /// All attempts of clients, retries included.
+    /// Number of requests that clients sent, retries included.
     pub attempts: u64,
-    /// Rejected attempts whose customer had at least half of its quota's burst unused.
+    /// Number of rejected requests whose customer had at least half of its quota's burst unused.
     pub rejected_within_quota: u64,
-    /// Rejected attempts by the name of the reason.
+    /// Number of rejected requests by the name of the reject reason.
     pub rejections_by_reason: BTreeMap<String, u64>,
-    /// Least margin left below any ceiling with its slack, as a fraction of the slack; negative where a ceiling was
-    /// exceeded, infinite where no plan has one.
+    /// Minimum distance to any ceiling plus its slack, as a fraction of the slack. Negative if a ceiling plus its slack
+    /// was exceeded, infinite if no plan has a ceiling.
     pub min_ceiling_margin: f64,
 }
 
 impl QuotaAccount {
-    /// Weight served less the cost of what was forwarded over the quotas, as a fraction of the weight offered.
+    /// Returns the served weight minus the cost of over-quota requests, as a fraction of the offered weight.
     pub fn net_value(&self) -> f64 {
         (self.served + self.served_over_quota - self.over_quota_cost) / self.offered.max(1e-9)
     }
--- a/crates/fleet-simulation/src/client_population/customer.rs
+++ b/crates/fleet-simulation/src/client_population/customer.rs
@@ -1,34 +1,34 @@
-//! A customer: its usage pattern, the gateways that its requests come through, and the true state of its quota.
+//! Model of one customer: its usage pattern, the gateways that it sends requests to, and the true state of its quota.
 
 use super::spec::{ClientPopulationSpec, Interval, UsageShares};
 use crate::RandomSource;
 use cometspool::{Millis, Plan};
 use std::collections::VecDeque;
 
-/// Length of a meter period, the time that one figure of the usage meter covers, ms.
+/// Length of a meter period, the interval over which the usage meter sums the usage of a customer, ms.
 pub const METER_PERIOD: Millis = 500.0;
 
-/// Meter periods that are retained for each customer.
+/// Maximum number of meter periods that are retained for each customer.
 const MAX_METERED_PERIODS: usize = 40;
 
-/// Usage of a customer that stays near its limit, as a fraction of its quota's rate; so are the usages below.
+/// Usage of a customer that stays near its limit, as a fraction of its quota's rate.
 const NEAR_LIMIT_USAGE: f64 = 0.95;
-/// Usage of a customer that requests more than its quota all the time.
+/// Usage of a customer that constantly requests more than its quota, as a fraction of its quota's rate.
 const OVER_LIMIT_USAGE: Interval = Interval {
     least: 1.6,
     most: 3.8,
 };
-/// Usage of all others, and between bursts.
+/// Usage of all other customers, and of bursty customers between bursts, as a fraction of the quota's rate.
 const CALM_USAGE: Interval = Interval {
     least: 0.15,
     most: 0.5,
 };
-/// Usage during a burst.
+/// Usage during a burst, as a fraction of the quota's rate.
 const BURST_USAGE: Interval = Interval {
     least: 2.0,
     most: 6.5,
 };
-/// Time from the start of one burst to that of the next, ms.
+/// Time from the start of one burst to the start of the next, ms.
 const BURST_INTERVAL: Interval = Interval {
     least: 10e3,
     most: 25e3,
@@ -39,12 +39,13 @@
     most: 3300.0,
 };
 
-/// The true state of a token bucket, with all gateways' requests taken from it. It may be overdrawn.
+/// The true state of a token bucket, from which the requests of all gateways are taken. No single gateway knows this
+/// state, so the bucket may be overdrawn.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QuotaBucket {
-    /// Units left; negative where overdrawn.
+    /// Units left; negative if the bucket is overdrawn.
     pub(super) units: f64,
-    /// Last refill, ms.
+    /// Simulated time of the last refill, ms.
     refilled_at: Millis,
 }
 
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Adds the units accrued since the last refill, at `rate` a second and up to `burst`, and returns the units left.
+    /// Adds the units accrued since the last refill at `rate` units per second, up to `burst`, and returns the units
+    /// left.
     pub(super) fn refill(&mut self, now: Millis, rate: f64, burst: f64) -> f64 {
         self.units = (self.units + rate * (now - self.refilled_at) / 1000.0).min(burst);
         self.refilled_at = now;
@@ -64,24 +66,24 @@
     }
 }
 
-/// How a customer uses its quota. Usages are fractions of the quota's rate.
+/// How a customer's usage changes over time. Usages are fractions of the quota's rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum UsagePattern {
-    /// The same usage all the time.
+    /// Constant usage.
     Steady { usage: f64 },
     /// Bursts at a fixed interval.
     Bursty {
         calm_usage: f64,
         burst_usage: f64,
-        /// From the start of one burst to that of the next, ms.
+        /// Time from the start of one burst to the start of the next, ms.
         interval: Millis,
-        /// Of a burst, ms.
+        /// Duration of a burst, ms.
         duration: Millis,
     },
 }
 
 impl UsagePattern {
-    /// Draws the pattern of a customer.
+    /// Draws the usage pattern of a customer.
     fn draw(shares: UsageShares, random: &mut RandomSource) -> UsagePattern {
         let point = random.uniform();
         let calm_usage = CALM_USAGE.draw(random);
@@ -108,7 +110,8 @@
         UsagePattern::Steady { usage: calm_usage }
     }
 
-    /// The part of the usage that is within the quota, bursts not included.
+    /// Returns the part of the usage that is within the quota, as a fraction of the quota's rate; bursts are not
+    /// included.
     fn usage_within_quota(self) -> f64 {
         match self {
             UsagePattern::Steady { usage } => usage.min(1.0),
@@ -116,7 +119,8 @@
         }
     }
 
-    /// The usage of a customer now. The customer's index spreads the bursts of different customers.
+    /// Returns the usage of a customer at the time `now`. The customer's index shifts the phase, so that the bursts of
+    /// different customers do not coincide.
     fn current_usage(self, now: Millis, customer: usize) -> CurrentUsage {
         match self {
             UsagePattern::Steady { usage } => CurrentUsage {
@@ -144,7 +148,7 @@
 
 /// A usage that changes at a known time.
 struct CurrentUsage {
-    /// As a fraction of the quota's rate.
+    /// Usage as a fraction of the quota's rate.
     usage: f64,
     /// When it changes, ms.
     valid_until: Millis,
@@ -157,13 +161,13 @@
     pub(super) valid_until: Millis,
 }
 
-/// A flood by one customer.
+/// A flood of additional requests by one customer.
 pub(super) struct CustomerFlood {
-    /// Units a second on top of its usual rate.
+    /// Rate in addition to the usage pattern, units per second.
     pub(super) units_per_second: f64,
-    /// When it begins, ms.
+    /// Simulated time at which the flood begins, ms.
     pub(super) from: Millis,
-    /// When it ends, ms.
+    /// Simulated time at which the flood ends, ms.
     pub(super) until: Millis,
 }
 
@@ -174,28 +178,28 @@
     units: f64,
 }
 
-/// A customer.
+/// A customer and the true state of its quota.
 pub struct Customer {
-    /// Index of its plan.
+    /// Index of the customer's plan.
     pub plan: usize,
-    /// The gateways that its requests come through.
+    /// Indices of the gateways that the customer sends requests to.
     pub gateways: Vec<usize>,
     usage_pattern: UsagePattern,
-    /// Its flood on top of its usage pattern.
+    /// Flood in addition to the usage pattern; `None` for all customers but one.
     pub(super) flood: Option<CustomerFlood>,
-    /// Cumulative weights of its gateways.
+    /// Cumulative Zipf weights of `gateways`, in the same order; empty before the first request.
     cumulative_weights: Vec<f64>,
-    /// When the weights are drawn again, ms.
+    /// Simulated time at which the weights are drawn again, ms.
     weights_valid_until: Millis,
     /// Exponent of the Zipf weights.
     weight_exponent: f64,
-    /// Its quota, from which forwarded requests are taken.
+    /// Quota, from which each forwarded request takes one unit if it is within the quota.
     pub(super) quota: QuotaBucket,
-    /// Its quota as it would be if a single gateway saw all of its requests.
+    /// State that the quota would have if a single gateway saw all requests of the customer.
     pub(super) ideal_quota: QuotaBucket,
-    /// Its ceiling, from which forwarded requests are taken.
+    /// Ceiling, from which every forwarded request takes one unit.
     pub(super) ceiling: QuotaBucket,
-    /// Attempts of gateways for it that are in flight.
+    /// Number of attempts in flight, over all gateways.
     pub attempts_in_flight: u32,
     /// Units forwarded, by meter period, oldest first; at most [`MAX_METERED_PERIODS`].
     metered_periods: VecDeque<MeteredPeriod>,
@@ -214,7 +218,8 @@
         let usage_pattern = UsagePattern::draw(spec.usage_shares, random);
         let ceiling_burst = settings.ceiling.map(|ceiling| ceiling.burst);
         let drawn_count = spec.gateway_fraction.draw(random) * gateway_count as f64;
-        // A ceiling is divided among the customer's gateways: each must get at least two units of its burst.
+        // A ceiling is divided among the customer's gateways, and each gateway must get at least two units of the
+        // burst.
         let count_limit = ceiling_burst.map_or(f64::INFINITY, |burst| burst / 2.0);
         let wanted_count = drawn_count.min(count_limit).max(2.0) as usize;
         let count = wanted_count.min(gateway_count);
@@ -237,12 +242,13 @@
         }
     }
 
-    /// The part of its usage that is within its quota, as a fraction of the quota's rate.
+    /// Returns the part of the customer's usage that is within its quota, as a fraction of the quota's rate.
     pub(super) fn usage_within_quota(&self) -> f64 {
         self.usage_pattern.usage_within_quota()
     }
 
-    /// Units a second that it requests now; `index` is its own, `quota_rate` its plan's rate in units a second.
+    /// Returns the rate of the customer's requests at the time `now`. `index` is the customer's own index, `quota_rate`
+    /// the rate of its plan in units per second.
     pub(super) fn current_rate(&self, now: Millis, index: usize, quota_rate: f64) -> CurrentRate {
         let current_usage = self.usage_pattern.current_usage(now, index);
         let mut current = CurrentRate {
@@ -261,7 +267,8 @@
         current
     }
 
-    /// Draws the gateway that its next request comes through; `lifetime` is that of the weights, ms.
+    /// Draws the gateway that the next request is sent to. `lifetime` is the time after which the weights are drawn
+    /// again, ms.
     pub(super) fn choose_gateway(
         &mut self,
         now: Millis,
@@ -281,7 +288,7 @@
         self.gateways[index.min(self.gateways.len() - 1)]
     }
 
-    /// Assigns Zipf weights to the gateways in a random order.
+    /// Assigns Zipf weights to the customer's gateways in a random order.
     fn draw_weights(&mut self, random: &mut RandomSource) {
         let mut ranks: Vec<usize> = (1..=self.gateways.len()).collect();
         for i in (1..ranks.len()).rev() {
@@ -309,7 +316,7 @@
         }
     }
 
-    /// Units forwarded in the meter period with this number; 0 where it is not retained.
+    /// Returns the units forwarded in the meter period with this number; 0 if the period is not retained.
     pub(super) fn metered_units(&self, number: u64) -> f64 {
         self.metered_periods
             .iter()
--- a/crates/fleet-simulation/src/client_population/mod.rs
+++ b/crates/fleet-simulation/src/client_population/mod.rs
@@ -1,5 +1,6 @@
-//! Customers with quotas. For each customer the model has the true state of its quota and ceiling, which no single
-//! gateway sees, and the usage meter, whose figures are delayed. The account measures all gateways' decisions by these.
+//! Model of customers with quotas. For each customer, the model keeps the true state of its quota and ceiling, which no
+//! single gateway sees, and the figures of the usage meter, which gateways receive with a delay. [`QuotaAccount`]
+//! measures the decisions of all gateways against the true state.
 
 mod account;
 mod customer;
@@ -13,26 +14,26 @@
 use cometspool::{Millis, Plan};
 use customer::CustomerFlood;
 
-/// All customers of a run, and the account of their attempts.
+/// All customers of a run, with the totals of their requests.
 pub struct ClientPopulation {
     spec: ClientPopulationSpec,
     plans: Vec<Plan>,
-    /// The customers.
+    /// The customers, by index.
     pub customers: Vec<Customer>,
-    /// The account of their attempts.
+    /// Totals over the requests of all customers.
     pub account: QuotaAccount,
 }
 
 /// The next event of a customer.
 pub struct NextRequest {
-    /// When it is due, ms.
+    /// Simulated time at which the event is due, ms.
     pub at: Millis,
-    /// Whether a request is sent then; otherwise only the customer's rate changes.
+    /// Whether the customer sends a request at that time; otherwise only its request rate changes.
     pub is_request: bool,
 }
 
 impl ClientPopulation {
-    /// Draws the customers of these plans, in a fleet of `gateway_count` gateways.
+    /// Draws the customers of all plans, in a fleet of `gateway_count` gateways.
     pub fn new(
         spec: ClientPopulationSpec,
         plans: &[Plan],
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Draws when a customer sends its next request, or returns when its rate changes if that is earlier.
+    /// Draws the time of a customer's next request. If the customer's rate changes before that time, returns the time
+    /// of the change instead.
     pub fn next_request(
         &self,
         customer: usize,
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Draws the gateway that a request of a customer comes through.
+    /// Draws the gateway that a request of a customer is sent to.
     pub fn choose_gateway(
         &mut self,
         customer: usize,
@@ -99,8 +101,9 @@
         self.customers[customer].choose_gateway(now, lifetime, random)
     }
 
-    /// Accounts for a client's request, retries not included: its full weight is offered where a single gateway that
-    /// sees all requests would admit it within quota, otherwise the reduced weight.
+    /// Accounts for a client's request; not to be called for retries. The request counts with its full weight if a
+    /// single gateway that sees all requests would admit it within quota, and with the plan's over-quota weight
+    /// otherwise.
     pub fn record_offered(&mut self, customer: usize, now: Millis, weight: f64) {
         let customer = &mut self.customers[customer];
         let plan = &self.plans[customer.plan];
@@ -116,7 +119,7 @@
         self.account.offered += weight * plan.weight_factor * weight_fraction;
     }
 
-    /// Accounts for the first attempt that a gateway sends for a request; returns whether it is within the quota.
+    /// Accounts for the first attempt that a gateway sends for a request; returns whether it is within the true quota.
     pub fn record_forwarded(&mut self, customer: usize, now: Millis, weight: f64) -> bool {
         let customer = &mut self.customers[customer];
         let plan = &self.plans[customer.plan];
@@ -160,7 +163,8 @@
         }
     }
 
-    /// The usage that a response reports, as a fraction of the quota's rate; `None` where the meter reports nothing.
+    /// Returns the usage that a response reports, as a fraction of the quota's rate; `None` if the meter reports
+    /// nothing.
     pub fn reported_usage(
         &self,
         customer: usize,
@@ -182,7 +186,7 @@
         })
     }
 
-    /// How clients retry.
+    /// Returns how clients retry rejected requests.
     pub fn retry_behavior(&self) -> RetryBehavior {
         self.spec.retries
     }
--- a/crates/fleet-simulation/src/client_population/spec.rs
+++ b/crates/fleet-simulation/src/client_population/spec.rs
@@ -1,89 +1,91 @@
-//! The parameters of a client population: plans in use, traffic patterns, the usage meter, and retries.
+//! Parameters of a client population: distribution over the plans, traffic patterns, the usage meter, and retries.
 
 use crate::RandomSource;
 use cometspool::Millis;
 
-/// The customers of a run, and how the usage meter reports on them.
+/// Parameters from which the customers of a run are drawn, and of the usage meter that reports their usage.
 #[derive(Clone, Debug)]
 pub struct ClientPopulationSpec {
-    /// Units a second that all customers request within their quotas, on average.
+    /// Mean rate at which all customers together request within their quotas, units per second.
     pub units_per_second: f64,
-    /// Each plan's share of that, by the plan's index.
+    /// Share of [`Self::units_per_second`] that each plan's customers request, by the plan's index.
     pub plan_shares: Vec<f64>,
-    /// Fraction of the gateways that a customer's requests come through; a ceiling limits it further.
+    /// Fraction of the gateways over which a customer's requests are spread. A ceiling of the plan can reduce the
+    /// number of gateways further.
     pub gateway_fraction: Interval,
-    /// Exponent of the Zipf weights by which a customer's requests are spread over its gateways.
+    /// Exponent of the Zipf weights with which a customer's requests are spread over its gateways.
     pub weight_exponent: Interval,
-    /// How long these weights are valid before they are drawn again, ms.
+    /// Time after which a customer's Zipf weights are drawn again, ms.
     pub weight_lifetime: Interval,
-    /// Fractions of the customers by how they use their quotas.
+    /// Distribution of the customers over the usage patterns.
     pub usage_shares: UsageShares,
-    /// A flood by one customer on top of the rest.
+    /// Flood of requests by one customer; `None` for no flood.
     pub flood: Option<Flood>,
-    /// Delay of the meter's figures, ms.
+    /// Delay of the figures that the usage meter reports, ms.
     pub meter_delay: Interval,
-    /// What the meter reports.
+    /// Behavior of the usage meter.
     pub meter: Meter,
     /// How clients retry.
     pub retries: RetryBehavior,
 }
 
-/// A closed interval that figures are drawn from uniformly.
+/// An interval from which values are drawn uniformly.
 #[derive(Clone, Copy, Debug)]
 pub struct Interval {
-    /// The lower end.
+    /// Lower bound.
     pub least: f64,
-    /// The upper end.
+    /// Upper bound.
     pub most: f64,
 }
 
 impl Interval {
-    /// Draws a figure from the interval.
+    /// Draws a value from the interval.
     pub(super) fn draw(self, random: &mut RandomSource) -> f64 {
         self.least + (self.most - self.least) * random.uniform()
     }
 }
 
-/// Fractions of the customers by how they use their quotas; the rest stay well below them.
+/// Fractions of the customers with each usage pattern. The remaining customers stay well below their quotas.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageShares {
-    /// Those that use nearly all of it.
+    /// Customers that constantly use nearly all of their quota.
     pub near_limit: f64,
-    /// Those that request more than it all the time.
+    /// Customers that constantly request more than their quota.
     pub over_limit: f64,
-    /// Those that request more than it in bursts.
+    /// Customers that request more than their quota in bursts.
     pub bursty: f64,
 }
 
-/// A flood of requests by one customer on top of its usual ones.
+/// A flood: additional requests by one customer during an interval.
 #[derive(Clone, Copy, Debug)]
 pub struct Flood {
-    /// Index of the plan whose first customer floods.
+    /// Index of the plan whose first customer sends the flood.
     pub plan: usize,
-    /// Its rate, as a fraction of [`ClientPopulationSpec::units_per_second`].
+    /// Rate of the additional requests, as a fraction of [`ClientPopulationSpec::units_per_second`].
     pub share: f64,
-    /// When it begins, ms.
+    /// Simulated time at which the flood begins, ms.
     pub from: Millis,
-    /// When it ends, ms.
+    /// Simulated time at which the flood ends, ms.
     pub until: Millis,
 }
 
 /// How clients retry rejected requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBehavior {
-    /// Most retries of one request.
+    /// Maximum number of retries of one request.
     pub max_retries: u32,
-    /// Backoff before the first retry where there is no Retry-After, ms; it doubles with each retry.
+    /// Mean backoff before the first retry of a request rejected without Retry-After, ms. The backoff doubles with each
+    /// retry.
     pub mean_wait: Millis,
 }
 
-/// What the usage meter reports.
+/// Behavior of the usage meter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Meter {
-    /// The true usage.
+    /// Reports the true usage.
     Accurate,
-    /// Nothing.
+    /// Reports nothing.
     Silent,
-    /// At random NaN, the usage negated, or a thousand times the usage.
+    /// Reports at random NaN, the negated usage, or a thousand times the usage.
     Nonsense,
 }
--- a/crates/fleet-simulation/src/experiments/health.rs
+++ b/crates/fleet-simulation/src/experiments/health.rs
@@ -1,4 +1,5 @@
-//! Backends that answer with errors: how soon, and with how many requests to them, gateways avoid them.
+//! Experiment with backends that answer with errors: how soon gateways avoid them, and how many requests gateways still
+//! send to them.
 
 use super::{backend_fault, pools, settings};
 use cometspool_fleet_simulation::*;
@@ -16,19 +17,19 @@
     "ejected/gw/h",
 ];
 
-/// Second at which the faults begin.
+/// Second of simulated time at which the faults begin.
 const FAULT_START: usize = 10;
-/// First second of the last 20, in which gateways should avoid the faulty backends.
+/// First of the last 20 seconds of the run, in which gateways should avoid the faulty backends.
 const LATE_START: usize = 30;
-/// Seconds in which clients send requests.
+/// Time during which clients send requests, seconds.
 const SECONDS: usize = 50;
-/// One backend in this many becomes faulty.
+/// Every backend whose index is a multiple of this becomes faulty.
 const FAULTY_INTERVAL: usize = 8;
-/// Fraction of errors of a healthy backend.
+/// Error rate of a healthy backend, as a fraction of its responses.
 const HEALTHY_ERROR_FRACTION: f64 = 0.002;
 
-/// All responses of one backend in eight are errors from 10 s on. The load is six tenths of the backends' capacity, and
-/// one response in five hundred of the healthy ones is an error too.
+/// From 10 s on, one backend in eight answers every request with an error. The load is 60 % of the capacity of all
+/// backends. Of the responses of healthy backends, 0.2 % are errors as well.
 fn scenario(gateways: u32, seed: u64) -> Scenario {
     let backend_count = if gateways < 30 {
         12
@@ -63,7 +64,7 @@
     }
 }
 
-/// Runs the experiment; the figures are in the order of [`COLUMNS`].
+/// Runs the experiment and returns its figures in the order of [`COLUMNS`].
 pub(crate) fn row(gateways: u32, seed: u64) -> Vec<f64> {
     let scenario = scenario(gateways, seed);
     let faulty_backends = scenario.backends.len().div_ceil(FAULTY_INTERVAL) as f64;
@@ -85,7 +86,7 @@
     ]
 }
 
-/// The first attempts of several seconds together.
+/// Returns the sums of the first attempts over several seconds.
 fn sum(seconds: &[FirstAttempts]) -> FirstAttempts {
     let mut sum = FirstAttempts::default();
     for second in seconds {
@@ -95,7 +96,7 @@
     sum
 }
 
-/// The fraction of first attempts that were sent to faulty backends.
+/// Returns the fraction of first attempts that were sent to faulty backends.
 fn faulty_share(attempts: FirstAttempts) -> f64 {
     attempts.to_faulty as f64 / attempts.total.max(1) as f64
 }
--- a/crates/fleet-simulation/src/experiments/mod.rs
+++ b/crates/fleet-simulation/src/experiments/mod.rs
@@ -1,4 +1,4 @@
-//! The experiments: the scenario of each, and the figures that are printed for a run.
+//! The experiments: each has a scenario and a function that computes the figures of a run.
 
 pub(crate) mod health;
 pub(crate) mod multi_stage;
@@ -8,19 +8,19 @@
 use cometspool::*;
 use cometspool_fleet_simulation::{BackendFault, ClassSpec, FleetFault, ScheduledFault, SlowStart};
 
-/// Fraction of its capacity that the policy's settings give a backend at its start.
+/// Capacity that the policy settings assume for a backend at its start, as a fraction of the full capacity.
 const START_CAPACITY: f64 = 0.19;
-/// Time after its start at which a backend has its full capacity by the policy's settings, ms.
+/// Time that the policy settings assume from the start of a backend until it has its full capacity, ms.
 const WARM_UP: Millis = 16_000.0;
-/// Slow start of the modelled backends where it is as the settings state it.
+/// Slow start of the modelled backends in scenarios where it is as the policy settings assume.
 const CONFIGURED_SLOW_START: SlowStart = SlowStart {
     initial_fraction: START_CAPACITY,
     duration: WARM_UP,
 };
-/// Time from the drain of a backend that is replaced to the end of its process, ms.
+/// Time from the start of draining of a replaced backend until its process ends, ms.
 const DRAIN_DURATION: Millis = 1500.0;
 
-/// The classes of a booking service: idempotent, idempotent with a key, and non-idempotent.
+/// The request classes of a booking service: idempotent, idempotent with a key, and non-idempotent.
 fn classes() -> Vec<ClassSpec> {
     let with_key = Idempotency::WithKey {
         scope: DeduplicationScope::Cell,
@@ -48,7 +48,7 @@
     ]
 }
 
-/// A class with a latency objective and a deadline in milliseconds.
+/// A class with the given latency objective and deadline, ms.
 fn class(
     latency_objective: Millis,
     deadline: Millis,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The policy's settings in a fleet of `gateways` gateways, with one plan whose quota is never exhausted.
+/// The policy settings for a fleet of `gateways` gateways, with one plan whose quota is never exhausted.
 fn settings(gateways: u32) -> Settings {
     Settings {
         gateways,
@@ -89,12 +89,12 @@
     }
 }
 
-/// A fault of a backend from `at` (ms) on.
+/// Sets the fault of a backend at the simulated time `at`, ms.
 fn backend_fault(at: Millis, backend: usize, fault: BackendFault) -> ScheduledFault {
     ScheduledFault::new(at, FleetFault::Backend { backend, fault })
 }
 
-/// A notification of all gateways, from `at` (ms) on.
+/// Notifies all gateways of a backend's availability; the announcement is made at the simulated time `at`, ms.
 fn announcement(at: Millis, backend: usize, availability: Availability) -> ScheduledFault {
     ScheduledFault::new(
         at,
@@ -105,8 +105,8 @@
     )
 }
 
-/// The replacement of a backend from `at` (ms) on: a copy starts, the backend drains, ends and leaves the endpoint
-/// list.
+/// Replaces a backend from the simulated time `at` (ms) on: a copy starts and the backend drains. After
+/// [`DRAIN_DURATION`], the backend's process ends and the backend leaves the endpoint list.
 fn replacement(at: Millis, backend: usize) -> [ScheduledFault; 4] {
     let end = at + DRAIN_DURATION;
     [
--- a/crates/fleet-simulation/src/experiments/multi_stage.rs
+++ b/crates/fleet-simulation/src/experiments/multi_stage.rs
@@ -1,4 +1,4 @@
-//! Backends that call each other in three tiers: wasted work and late failures when one tier is slow.
+//! Experiment with backends that call each other in three tiers: wasted work and late failures when one tier is slow.
 
 use super::{backend_fault, classes, settings, CONFIGURED_SLOW_START};
 use cometspool::Millis;
@@ -15,21 +15,22 @@
     "rejected share",
 ];
 
-/// Gateways of the fleet.
+/// Number of gateways in the fleet.
 const GATEWAYS: u32 = 20;
-/// How long clients send requests, ms.
+/// Time during which clients send requests, ms.
 const DURATION: Millis = 45_000.0;
-/// Backends of the first tier, the only one that gateways see.
+/// Indices of the backends of the first tier, the only ones on the endpoint list of the gateways.
 const FIRST_TIER: Range<usize> = 0..24;
-/// Backends that the first tier calls.
+/// Indices of the backends that the first tier calls.
 const SECOND_TIER: Range<usize> = 24..36;
-/// Backends that the second tier calls.
+/// Indices of the backends that the second tier calls.
 const THIRD_TIER: Range<usize> = 36..48;
-/// Mean time between two stalls of a gateway in [`impatient_clients`], ms.
+/// Mean time from the end of a gateway's stall to the next stall in [`impatient_clients`], ms.
 const MEAN_STALL_INTERVAL: Millis = 6000.0;
 
-/// Three tiers, each calling the next while its own core waits. From 10 s to 30 s three in ten of the last tier take
-/// five times as long, and from 18 s to 22 s one in four of the first tier does not respond.
+/// Three tiers of backends. A backend that calls the next tier keeps its own core occupied until the call returns. From
+/// 10 s to 30 s, three in ten backends of the last tier take five times as long. From 18 s to 22 s, one in four
+/// backends of the first tier does not respond.
 pub(crate) fn scenario(seed: u64) -> Scenario {
     let mut random = RandomSource::new(seed ^ 0x9e37);
     let mut backends = Vec::new();
@@ -73,7 +74,7 @@
     }
 }
 
-/// An unlisted backend that calls those of the next tier.
+/// A backend that is not on the endpoint list and calls the backends `next_tier`.
 fn backend(cores: usize, next_tier: Range<usize>, random: &mut RandomSource) -> BackendSpec {
     BackendSpec {
         cores,
@@ -98,8 +99,8 @@
     faults
 }
 
-/// The three tiers with clients that wait for as little as 3 % of their class's deadline, and with gateways that stall
-/// from time to time, each for 0.2 s to 1 s.
+/// The three tiers of [`scenario`], with clients that wait for as little as 3 % of their class's deadline, and with
+/// gateways that stall at random times for 0.2 s to 1 s.
 pub(crate) fn impatient_clients(seed: u64) -> Scenario {
     let mut random = RandomSource::new(seed ^ 0x517c);
     let mut gateway_stalls = Vec::new();
@@ -123,7 +124,7 @@
     }
 }
 
-/// The figures of a run, in the order of [`COLUMNS`].
+/// Returns the figures of a run in the order of [`COLUMNS`].
 pub(crate) fn row(statistics: &RunStatistics) -> Vec<f64> {
     vec![
         statistics.wasted_work / statistics.work,
--- a/crates/fleet-simulation/src/experiments/pools.rs
+++ b/crates/fleet-simulation/src/experiments/pools.rs
@@ -1,4 +1,5 @@
-//! Backends that are replaced while many gateways hold few connections to each: dials, peaks and slow start.
+//! Experiment with backends that are replaced while each of many gateways holds few connections to each backend: dials,
+//! peaks of the connection counts, and slow start.
 
 use super::{classes, replacement, settings};
 use cometspool_fleet_simulation::*;
@@ -15,13 +16,13 @@
     "peak over cold",
 ];
 
-/// Seconds in which clients send requests.
+/// Time during which clients send requests, seconds.
 const SECONDS: usize = 45;
-/// Part of the mean attempts of all backends at which a backend has its fair share.
+/// Attempts at which a backend has its fair share, as a fraction of the mean over all running backends.
 const FAIR_SHARE: f64 = 0.8;
 
-/// The fleet of [`scenario`] under ordinary load: 40 backends are replaced one by one within 20 s, and no zone is cut
-/// off.
+/// The fleet of [`scenario`] in a rolling replacement: 40 backends are replaced one by one within 20 s. There is no
+/// partition.
 pub(crate) fn rolling_replacement(seed: u64) -> Scenario {
     let mut faults = Vec::new();
     for backend in 0..40 {
@@ -34,8 +35,9 @@
     }
 }
 
-/// 300 gateways and 200 backends that accept few connections, in two zones. From 10 s on, 120 of the backends are
-/// replaced within 7 s, each drained and announced; from 32 s to 37 s a zone is cut off.
+/// 300 gateways and 200 backends in two zones; each backend accepts few connections. From 10 s on, 120 of the backends
+/// are replaced within 7 s; each is drained, and its replacement is announced. From 32 s to 37 s, the zones are
+/// partitioned.
 pub(crate) fn scenario(seed: u64) -> Scenario {
     let mut random = RandomSource::new(seed ^ 0x2b99);
     let mut backends = Vec::new();
@@ -85,7 +87,8 @@
     }
 }
 
-/// The figures of a run, in the order of [`COLUMNS`]. With `DETAIL` set, prints the dials by second too.
+/// Returns the figures of a run in the order of [`COLUMNS`]. If the environment variable `DETAIL` is set, also prints
+/// the dials by second on standard error.
 pub(crate) fn row(statistics: &RunStatistics) -> Vec<f64> {
     if std::env::var("DETAIL").is_ok() {
         eprintln!("dials by second: {:?}", statistics.dials_by_second);
@@ -104,13 +107,13 @@
     ]
 }
 
-/// Attempts that were sent to a backend in a second.
+/// Returns the number of attempts that were sent to a backend in a second.
 fn attempts_in(statistics: &RunStatistics, backend: usize, second: usize) -> f64 {
     let by_second = &statistics.attempts_by_backend[backend];
     f64::from(by_second.get(second).copied().unwrap_or(0))
 }
 
-/// Mean attempts in a second, over the backends that run when it begins.
+/// Returns the mean number of attempts in a second over the backends that are running when the second begins.
 fn mean_attempts_in(statistics: &RunStatistics, second: usize) -> f64 {
     let begin = second as f64 * 1000.0;
     let mut sum = 0.0;
@@ -124,7 +127,8 @@
     sum / f64::max(count, 1.0)
 }
 
-/// For each backend that started during the run, the seconds until it gets its fair share of the attempts.
+/// Returns, for each backend that started during the run, the time in seconds until it gets its fair share of the
+/// attempts. A backend that never gets it counts until the end of the run.
 fn times_to_fair_share(statistics: &RunStatistics) -> Vec<f64> {
     let means: Vec<f64> = (0..SECONDS)
         .map(|second| mean_attempts_in(statistics, second))
--- a/crates/fleet-simulation/src/experiments/quotas.rs
+++ b/crates/fleet-simulation/src/experiments/quotas.rs
@@ -1,5 +1,5 @@
-//! Quotas: customers with plans, through three hundred gateways, in ordinary and in adverse scenarios. Every attempt is
-//! measured by the true state of its customer's quota.
+//! Experiment with quotas: customers with plans send requests through 300 gateways (three in `few`), in ordinary and in
+//! adverse scenarios. Every request is measured against the true state of its customer's quota.
 
 use super::{pools, settings};
 use cometspool::*;
@@ -8,7 +8,7 @@
 };
 use cometspool_fleet_simulation::*;
 
-/// The scenarios, in the order in which they are run: see [`scenario`].
+/// Names of the scenarios, in the order in which they are run; [`scenario`] describes them.
 pub(crate) const SCENARIOS: [&str; 9] = [
     "calm", "silent", "late", "absurd", "moving", "rolling", "killed", "flood", "few",
 ];
@@ -28,11 +28,11 @@
     "ceiling margin",
 ];
 
-/// Gateways that restart together in the scenario `rolling`.
+/// Number of gateways that restart together in the scenario `rolling`.
 const RESTART_GROUP: u32 = 30;
 
-/// The plans of the service: many small customers, with a cost or a reduced weight beyond their quota, and few large
-/// ones with a ceiling.
+/// The plans: two for many small customers, with a cost or a reduced weight for over-quota requests, and one for few
+/// large customers, with a ceiling.
 fn plans() -> Vec<Plan> {
     let ceiling = Ceiling {
         rate: 22.0,
@@ -66,12 +66,13 @@
     ]
 }
 
-/// 300 gateways (three in `few`) at half of their backends' capacity within the quotas.
+/// 300 gateways (three in `few`). The requests within the quotas take half of the capacity of the backends.
 ///
-/// - `silent`, `late`, `absurd`: the meter reports nothing, reports 5 s late, or reports nonsense.
-/// - `moving`: customers move all of their traffic from gateway to gateway.
-/// - `rolling`, `killed`: gateways restart a tenth at a time, or seven in ten at once during a flood.
-/// - `flood`, `few`: one customer requests a quarter of all traffic on top.
+/// - `calm`: no disturbance.
+/// - `silent`, `late`, `absurd`: the usage meter reports nothing, reports 5 s to 6.4 s late, or reports nonsense.
+/// - `moving`: customers move nearly all of their traffic from one gateway to another every few seconds.
+/// - `rolling`, `killed`: the gateways restart in groups of a tenth, or seven in ten restart at once during a flood.
+/// - `flood`, `few`: one customer floods the fleet with additional requests, a quarter of the rate of all customers.
 fn scenario(name: &str, seed: u64) -> Scenario {
     let is_small = name == "few";
     let gateways: u32 = if is_small { 3 } else { 300 };
@@ -93,7 +94,7 @@
     }
 }
 
-/// The customers of a scenario.
+/// Returns the parameters of the customers in a scenario.
 fn clients(name: &str, units_per_second: f64) -> ClientPopulationSpec {
     let is_moving = name == "moving";
     ClientPopulationSpec {
@@ -142,7 +143,7 @@
     Interval { least, most }
 }
 
-/// The restarts of gateways in a scenario.
+/// Returns the restarts of gateways in a scenario.
 fn faults(name: &str, gateways: u32) -> Vec<ScheduledFault> {
     match name {
         "rolling" => restarts(6_000.0, 1_500.0, gateways),
@@ -151,7 +152,8 @@
     }
 }
 
-/// Restarts the first `gateways` gateways from `from` on, with `step` between two groups; times in ms.
+/// Restarts the first `gateways` gateways in groups of [`RESTART_GROUP`]. The first group restarts at the simulated
+/// time `from`, and each further group `step` later; both are in ms.
 fn restarts(from: Millis, step: Millis, gateways: u32) -> Vec<ScheduledFault> {
     let mut faults = Vec::new();
     for gateway in 0..gateways {
@@ -162,7 +164,7 @@
     faults
 }
 
-/// Runs a scenario; the figures are in the order of [`COLUMNS`].
+/// Runs a scenario and returns its figures in the order of [`COLUMNS`].
 pub(crate) fn row(name: &str, seed: u64) -> Vec<f64> {
     let account = run(scenario(name, seed)).quota_account;
     let units = account.units_within_quota + account.units_over_quota;
@@ -181,7 +183,7 @@
     ]
 }
 
-/// The fraction of all attempts that were rejected for a reason.
+/// Returns the fraction of all client requests that gateways rejected for a reason.
 fn rejected_share(account: &QuotaAccount, reason: &str) -> f64 {
     let rejected = account.rejections_by_reason.get(reason).copied();
     rejected.unwrap_or(0) as f64 / account.attempts as f64
--- a/crates/fleet-simulation/src/lib.rs
+++ b/crates/fleet-simulation/src/lib.rs
@@ -1,12 +1,12 @@
-//! A seeded simulation of a fleet: many gateways before modelled backends and clients. Time is simulated; a seed
-//! determines a run on every machine.
+//! Discrete-event simulation of a fleet: many gateways in front of modelled backends and clients. Time is simulated,
+//! and a run depends only on its scenario and seed, so it has the same result on every machine.
 //!
-//! Each gateway runs the policy engine ([`cometspool::PolicyEngine`]) and the connection pool
-//! ([`cometspool::connection_pool`]) that gateways run in service. All else is a model: the network and the backends
-//! are described by a [`Scenario`], clients with quotas by [`client_population`].
+//! Each gateway runs the production policy engine ([`cometspool::PolicyEngine`]) and the production connection pool
+//! ([`cometspool::connection_pool`]). Everything else is a model: a [`Scenario`] describes the network, the backends
+//! and the faults, and [`client_population`] models customers with quotas.
 //!
 //! [`run`] runs a scenario and returns its [`RunStatistics`]. The program `cometspool-fleet-simulation` runs the
-//! experiments behind the figures in `docs/`.
+//! experiments that the figures in `docs/` come from.
 
 #![forbid(unsafe_code)]
 
--- a/crates/fleet-simulation/src/main.rs
+++ b/crates/fleet-simulation/src/main.rs
@@ -1,7 +1,8 @@
-//! Runs an experiment: `cometspool-fleet-simulation chain [seeds]`.
+//! Command line program that runs one experiment, for example `cometspool-fleet-simulation chain 8`. The second
+//! argument is the number of seeds.
 //!
-//! Prints a row of figures for every seed, then the mean, least and most of each column. `experiments/compare` runs the
-//! same scenario with the policy of an earlier commit beside it.
+//! Prints a row of figures for every seed, then the mean, the minimum and the maximum of each column.
+//! `experiments/compare` runs the same scenario a second time, with the policy of an earlier commit.
 
 #![forbid(unsafe_code)]
 
@@ -13,7 +14,7 @@
 use std::process::ExitCode;
 use table::print_table;
 
-/// Number of seeds where the command line gives none.
+/// Number of seeds that an experiment is run with if the command line gives none.
 const DEFAULT_SEEDS: u64 = 8;
 
 fn main() -> ExitCode {
--- a/crates/fleet-simulation/src/pooling.rs
+++ b/crates/fleet-simulation/src/pooling.rs
@@ -1,4 +1,4 @@
-//! A gateway's connection pool: the core that gateways use in service, addressed by the indices of the simulation.
+//! Adapter for the production connection pool: translates its ids to and from indices of the simulation.
 
 use cometspool::connection_pool::{
     Checkout, ConnectionId, ConnectionPool, DialFailure, DialId, PoolAction, PoolError, PoolLimits,
@@ -6,59 +6,61 @@
 };
 use cometspool::Millis;
 
-/// An action of a pool that the simulation carries out.
+/// An action that a pool requests from the simulation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum PoolStep {
     /// Dial a backend.
     Dial { backend: usize, dial: DialId },
-    /// Send a waiting call on this connection.
+    /// Send a waiting call over this connection.
     Assign { call: usize, connection: usize },
-    /// End a waiting call without a connection: its backend has no room for one, or is unreachable.
+    /// Fail a waiting call that gets no connection, because its backend has no room for another one (`is_full`) or is
+    /// unreachable.
     Fail { call: usize, is_full: bool },
     /// Close a connection.
     Close { connection: usize },
-    /// Wake the pool for a backend at this time, ms.
+    /// Call [`Pool::wake`] for this backend at the simulated time `at`, ms.
     Wake { backend: usize, at: Millis },
 }
 
 /// The immediate result of a checkout.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum CheckoutResult {
-    /// A pooled connection.
+    /// The call gets this pooled connection.
     Reused { connection: usize },
-    /// The call waits for a connection.
+    /// The call is queued until a connection is available.
     Queued,
-    /// The gateway already has as many connections as its limit allows.
+    /// The gateway has reached its connection limit.
     Exhausted,
 }
 
-/// A checkout's result and the steps to carry out before it is used.
+/// Result of a checkout, and the steps to execute before the result is used.
 pub(crate) struct PoolCheckout {
     pub(crate) result: CheckoutResult,
     pub(crate) steps: Vec<PoolStep>,
 }
 
-/// How a dial ended.
+/// Result of a dial.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum DialResult {
-    /// With this connection.
+    /// The dial opened this connection.
     Connected { connection: usize },
-    /// Without one: the backend rejected it, or it timed out.
+    /// The backend rejected the connection, or the dial timed out.
     Failed,
 }
 
-/// Connections that a gateway may have: two fifths of a limit of 576 file descriptors.
+/// Maximum number of connections of a gateway, about two fifths of a limit of 576 file descriptors.
 const MAX_CONNECTIONS: usize = 220;
 /// Idle time after which a backend closes a connection, ms.
 const BACKEND_IDLE_TIMEOUT: Millis = 30_000.0;
-/// Price of a handshake, as the settings give it to a pool.
+/// Cost of a handshake in the limits of the pool, for each first attempt of the fleet.
 const HANDSHAKE_COST: f64 = 0.02;
 
-/// The connection pool of one gateway. Times are in milliseconds, `backend` and `call` are indices in the simulation.
+/// The connection pool of one gateway. Times are in milliseconds; `backend`, `call` and `connection` are indices of the
+/// simulation.
 pub(crate) struct Pool(ConnectionPool<usize>);
 
 impl Pool {
-    /// An empty pool of one of `gateway_count` gateways.
+    /// Creates an empty pool for one of `gateway_count` gateways.
     pub(crate) fn new(gateway_count: u32, seed: u64) -> Pool {
         let limits = PoolLimits {
             max_connections: MAX_CONNECTIONS,
@@ -70,8 +72,8 @@
         Pool(ConnectionPool::new(limits, seed))
     }
 
-    /// Takes a connection for a call, or queues the call. A call that must run at most once (`run_once`) gets no
-    /// connection of an idle age at which connections have broken recently.
+    /// Checks out a connection for a call, or queues the call. A call that must execute at most once (`run_once`) gets
+    /// no connection that has been idle for as long as connections that broke recently.
     pub(crate) fn checkout(
         &mut self,
         now: Millis,
@@ -120,12 +122,12 @@
         steps(actions)
     }
 
-    /// Removes a call from those that wait for a connection.
+    /// Removes a call from the queue for a connection.
     pub(crate) fn cancel_wait(&mut self, now: Millis, backend: usize, call: usize) {
         self.0.cancel_wait(now, backend, WaiterId(call as u64));
     }
 
-    /// Returns a connection that can be used again.
+    /// Returns a reusable connection to the pool.
     pub(crate) fn release(
         &mut self,
         now: Millis,
@@ -138,14 +140,14 @@
         steps(actions)
     }
 
-    /// Reports that a connection that was checked out is closed.
+    /// Reports that a checked-out connection was closed.
     pub(crate) fn connection_closed(&mut self, now: Millis, backend: usize) -> Vec<PoolStep> {
         let mut actions = Vec::new();
         self.0.connection_closed(now, backend, &mut actions);
         steps(actions)
     }
 
-    /// Forgets a backend that has left the endpoint list or is draining.
+    /// Removes a backend that is draining or has left the endpoint list.
     pub(crate) fn remove_endpoint(&mut self, backend: usize) -> Vec<PoolStep> {
         let mut actions = Vec::new();
         self.0.remove_endpoint(backend, &mut actions);
@@ -159,7 +161,7 @@
         steps(actions)
     }
 
-    /// Opens a connection to a backend in advance, at some time `within` from now, ms.
+    /// Opens a connection to a backend in advance, at some time within the next `within` ms.
     pub(crate) fn preconnect(
         &mut self,
         now: Millis,
@@ -171,14 +173,14 @@
         steps(actions)
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections whose idle time has expired.
     pub(crate) fn evict_expired(&mut self, now: Millis) -> Vec<PoolStep> {
         let mut actions = Vec::new();
         self.0.evict_expired(now, &mut actions);
         steps(actions)
     }
 
-    /// Wakes the pool for a backend, as [`PoolStep::Wake`] requested.
+    /// Handles the wake-up that the pool requested for a backend with [`PoolStep::Wake`].
     pub(crate) fn wake(&mut self, now: Millis, backend: usize) -> Vec<PoolStep> {
         let mut actions = Vec::new();
         self.0.wake(now, backend, &mut actions);
--- a/crates/fleet-simulation/src/random.rs
+++ b/crates/fleet-simulation/src/random.rs
@@ -3,12 +3,12 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// A seeded random number generator; a seed gives the same sequence on every machine.
+/// A seeded random number generator. A seed gives the same sequence on every machine.
 #[derive(Clone)]
 pub struct RandomSource(Pcg32);
 
 impl RandomSource {
-    /// The generator for a seed.
+    /// Creates the generator for a seed.
     pub fn new(seed: u64) -> RandomSource {
         RandomSource(Pcg32::seed_from_u64(seed))
     }
@@ -18,7 +18,7 @@
         f64::from(self.0.next_u32()) / 4_294_967_296.0
     }
 
-    /// Draws an integer uniformly from 0 to `limit - 1`; 0 where `limit` is 0.
+    /// Draws an integer uniformly from 0 to `limit - 1`; returns 0 if `limit` is 0.
     pub fn below(&mut self, limit: usize) -> usize {
         ((self.uniform() * limit as f64) as usize).min(limit.saturating_sub(1))
     }
@@ -37,7 +37,7 @@
         mean * (variance.sqrt() * normal - variance / 2.0).exp()
     }
 
-    /// The next 32 random bits.
+    /// Draws 32 random bits.
     pub(crate) fn next_u32(&mut self) -> u32 {
         self.0.next_u32()
     }
--- a/crates/fleet-simulation/src/scenario.rs
+++ b/crates/fleet-simulation/src/scenario.rs
@@ -1,12 +1,12 @@
-//! A scenario: the gateways, the backends, the clients and the faults of a run.
+//! Description of a run: the gateways, the backends, the clients, the network and the faults.
 
 use crate::client_population::ClientPopulationSpec;
 use cometspool::{Availability, Class, Millis, Settings};
 
-/// The complete input of a run: the same scenario always gives the same statistics.
+/// The complete input of a run. The same scenario always gives the same statistics.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The settings of every gateway; index, zone and classes are filled in for each.
+    /// The policy settings of all gateways. Index, zone and classes are filled in for each gateway.
     pub settings: Settings,
     /// The classes of requests.
     pub classes: Vec<ClassSpec>,
@@ -14,74 +14,78 @@
     pub backends: Vec<BackendSpec>,
     /// Number of zones; gateway `i` is in zone `i % zones`.
     pub zones: u32,
-    /// Requests a second that each gateway gets on average, where there are no [`Scenario::clients`].
+    /// Mean arrival rate at each gateway if there are no [`Scenario::clients`], requests per second.
     pub requests_per_second: f64,
     /// Whether a gateway deducts the one-way network delay from the deadline that it passes to a backend.
     pub deducts_network_delay: bool,
     /// Whether the time that a request waited unread during a stall counts against its deadline.
     pub charges_stalls: bool,
-    /// Least fraction of its class's deadline that a client waits; the fraction is drawn uniformly between this and 1.
+    /// Minimum time that a client waits for a response, as a fraction of the deadline of the request's class. The
+    /// fraction is drawn for each request, uniformly between this value and 1.
     pub min_deadline_fraction: f64,
-    /// Times in which a gateway's process is stopped.
+    /// Intervals in which a gateway's process is stopped.
     pub gateway_stalls: Vec<GatewayStall>,
-    /// One-way network delays.
+    /// One-way network delays between two processes.
     pub one_way_delays: NetworkDelays,
-    /// Time within which all gateways have received a change of the endpoint list, ms.
+    /// Maximum time until a gateway receives a change of the endpoint list, ms. The delay is drawn for each gateway,
+    /// uniformly between 0 and this value.
     pub propagation_delay: Millis,
-    /// How long clients send requests, ms.
+    /// Time during which clients send new requests, ms. The run ends when no scheduled event is left.
     pub duration: Millis,
-    /// How a backend's capacity grows after its start.
+    /// Slow start of the backends.
     pub slow_start: SlowStart,
-    /// Most connections that a backend accepts; `None` leaves connections out of the model.
+    /// Maximum number of connections that a backend accepts; with `None`, connections are not modelled.
     pub max_connections_per_backend: Option<usize>,
-    /// The seed of every random draw.
+    /// Seed of the random number generator of the run.
     pub seed: u64,
     /// Faults and other changes of the fleet.
     pub faults: Vec<ScheduledFault>,
-    /// Customers with quotas; `None` gives each gateway requests that are all within quota.
+    /// Customers with quotas. With `None`, requests arrive at each gateway at [`Scenario::requests_per_second`] and are
+    /// all within quota.
     pub clients: Option<ClientPopulationSpec>,
 }
 
-/// An interval in which a gateway's process is stopped: it neither reads nor writes.
+/// An interval in which a gateway's process is stopped, so that it neither reads nor writes.
 #[derive(Clone, Copy, Debug)]
 pub struct GatewayStall {
-    /// The gateway's index.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// When it stops, ms.
+    /// Simulated time at which the process stops, ms.
     pub from: Millis,
-    /// When it resumes, ms.
+    /// Simulated time at which the process resumes, ms.
     pub until: Millis,
 }
 
-/// How long a message takes one way.
+/// One-way network delays.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkDelays {
-    /// Between two processes of one zone, ms.
+    /// Delay between two processes in the same zone, ms.
     pub within_zone: Millis,
-    /// Between two processes of different zones, ms.
+    /// Delay between two processes in different zones, ms.
     pub between_zones: Millis,
 }
 
-/// How a backend's capacity grows, linearly, after its start.
+/// Slow start: the capacity of a backend grows linearly after its start. A backend in slow start is called cold, one
+/// with its full capacity warm.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Fraction of its full capacity that it starts with.
+    /// Capacity at the start, as a fraction of the full capacity.
     pub initial_fraction: f64,
-    /// Time after its start at which it has its full capacity, ms.
+    /// Time from the start of a backend until it has its full capacity, ms.
     pub duration: Millis,
 }
 
-/// A fault and the time at which it happens.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Debug)]
 pub struct ScheduledFault {
-    /// When it happens, ms.
+    /// Simulated time of the injection, ms.
     pub at: Millis,
-    /// What happens.
+    /// The fault or other change of the fleet.
     pub fault: FleetFault,
 }
 
 impl ScheduledFault {
-    /// A fault at a time in milliseconds.
+    /// Schedules a fault for the simulated time `at`, ms.
     pub fn new(at: Millis, fault: FleetFault) -> ScheduledFault {
         ScheduledFault { at, fault }
     }
@@ -90,36 +94,37 @@
 /// A class of requests: its settings, its share of the traffic, and the work of its requests.
 #[derive(Clone, Debug)]
 pub struct ClassSpec {
-    /// The settings of the class.
+    /// The policy settings of the class.
     pub class: Class,
-    /// Its share of the requests; the shares are normalized by their sum.
+    /// Share of the requests that are of this class, relative to the sum of all shares.
     pub share: f64,
-    /// Mean work of a request at each backend that processes it, in milliseconds of one core of reference speed.
+    /// Mean work of a request at each backend that processes it, in milliseconds on one core of reference speed.
     pub mean_work: f64,
-    /// Coefficient of variation of the work.
+    /// Coefficient of variation of the work, which has a log-normal distribution.
     pub coefficient_of_variation: f64,
 }
 
 /// The model of a backend.
 #[derive(Clone, Debug)]
 pub struct BackendSpec {
-    /// Its zone.
+    /// Zone in which the backend runs.
     pub zone: u32,
-    /// Requests that it processes concurrently.
+    /// Number of cores; each processes one request at a time.
     pub cores: usize,
-    /// Requests that its queue holds; it rejects further ones unprocessed.
+    /// Maximum number of queued requests; further requests are rejected without being processed.
     pub queue_capacity: usize,
-    /// Its speed as a multiple of the reference speed.
+    /// Speed of a core, as a multiple of the reference speed.
     pub speed: f64,
-    /// Whether it drops queued requests whose deadline has passed.
+    /// Whether the backend drops queued requests whose deadline has passed.
     pub drops_expired: bool,
-    /// Its present fault.
+    /// Current fault.
     pub fault: BackendFault,
-    /// When it started, ms; `None` for a backend that has always been at full capacity.
+    /// Simulated time of the last start, ms; `None` for a backend that has had its full capacity from the start of the
+    /// run.
     pub started_at: Option<Millis>,
-    /// Backends of the next tier; it calls one of them for each request before it responds.
+    /// Indices of the backends of the next tier. The backend calls one of them for each request before it responds.
     pub next_tier: Vec<usize>,
-    /// Whether it is on the endpoint list of the gateways.
+    /// Whether the backend is on the endpoint list of the gateways.
     pub is_listed: bool,
 }
 
@@ -142,49 +147,50 @@
 /// A fault of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendFault {
-    /// It is healthy.
+    /// The backend is healthy.
     None,
-    /// It answers this fraction of its requests at once with an error.
+    /// The backend answers this fraction of its requests immediately with an error.
     Errors(f64),
-    /// Its processing time is multiplied by this factor.
+    /// The processing time of each request is multiplied by this factor.
     Slow(f64),
-    /// It accepts requests and never responds.
+    /// The backend accepts requests and never responds.
     Silent,
-    /// Its process has ended: connecting to it fails at once.
+    /// The process has ended, and connection attempts fail immediately.
     Crashed,
 }
 
-/// A change of the fleet during a run. Backends and gateways are named by their indices.
+/// A change of the fleet during a run. Backends and gateways are given by their indices.
 #[derive(Clone, Debug)]
 pub enum FleetFault {
-    /// A backend has this fault from now on.
+    /// Sets the fault of a backend.
     Backend {
         /// The backend's index.
         backend: usize,
-        /// Its fault from now on.
+        /// The fault that the backend has from now on.
         fault: BackendFault,
     },
-    /// A zone is cut off from the other zones, or connected again. Messages across the cut are lost without an error.
+    /// Partitions a zone from the other zones, or ends the partition. Messages to or from a partitioned zone are lost
+    /// without an error.
     Partition {
         /// The zone.
         zone: u32,
-        /// Whether it is cut off from now on.
+        /// Whether the zone is partitioned from now on.
         is_partitioned: bool,
     },
-    /// All gateways are notified of a backend's availability, each after its own delay within
+    /// Notifies all gateways of a backend's availability, each after a delay of its own of at most
     /// [`Scenario::propagation_delay`].
     Announce {
         /// The backend's index.
         backend: usize,
-        /// The availability that the endpoint list gives it.
+        /// Availability of the backend on the endpoint list.
         availability: Availability,
     },
-    /// A new backend with the properties of this one starts in slow start, under a new id.
+    /// Starts a new backend with the properties of the given one, under a new id and in slow start.
     StartBackend(usize),
-    /// A backend restarts in slow start under its old id; its queued requests are lost.
+    /// Restarts a backend under its old id and in slow start; its queued requests are lost.
     RestartBackend(usize),
-    /// Requests a second that each gateway gets from now on.
+    /// Sets the mean arrival rate at each gateway, requests per second.
     SetRequestRate(f64),
-    /// A gateway is killed and restarts at once with the endpoint list of that time.
+    /// Kills a gateway and restarts it immediately with the current endpoint list.
     RestartGateway(usize),
 }
--- a/crates/fleet-simulation/src/simulation.rs
+++ b/crates/fleet-simulation/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The state of a simulated fleet, and how a run starts and ends.
+//! State of a simulated fleet, setup of a run, and its event loop.
 
 mod attempts;
 mod backends;
@@ -25,16 +25,17 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Time between two evictions of expired connections from a pool, ms; the first is at a random time within it.
+/// Interval at which a pool evicts expired connections, ms. The first eviction of each pool is at a random time within
+/// the first interval.
 const EVICTION_INTERVAL: Millis = 500.0;
 
-/// The fleet at one instant of simulated time. Gateways, backends, requests, calls and connections are named by their
-/// indices and stay in place for the whole run.
+/// The state of the fleet at the current simulated time. Gateways, backends, requests, calls and connections refer to
+/// each other by their indices and are never removed during a run.
 pub(crate) struct Simulation {
     scenario: Scenario,
-    /// Simulated time, ms.
+    /// Current simulated time, ms.
     now: Millis,
-    /// Events scheduled so far; orders those of one instant.
+    /// Number of events scheduled so far; the source of [`Scheduled::sequence`].
     scheduled_count: u64,
     queue: BinaryHeap<Reverse<Scheduled>>,
     gateways: Vec<SimulatedGateway>,
@@ -42,7 +43,7 @@
     backend_by_id: BTreeMap<BackendId, usize>,
     requests: Vec<ClientRequest>,
     calls: Vec<Call>,
-    /// Whether a zone is cut off; absent if it never was.
+    /// Whether each zone is partitioned now; a zone that never was has no entry.
     partitioned_zones: BTreeMap<u32, bool>,
     random: RandomSource,
     connections: Vec<Connection>,
@@ -63,8 +64,8 @@
 impl Simulation {
     /// Sets up the fleet of a scenario and schedules its first events.
     ///
-    /// The order of the random draws is part of what a seed means: gateways, backends, each gateway's first events,
-    /// customers.
+    /// The random draws are made in a fixed order: gateways, backends, first events of each gateway, customers. Another
+    /// order would change the results of every seed.
     fn new(scenario: Scenario) -> Simulation {
         let mut random = RandomSource::new(scenario.seed);
         let gateways = (0..scenario.settings.gateways)
@@ -101,7 +102,7 @@
         simulation
     }
 
-    /// The endpoint list at the start of a run.
+    /// Returns the endpoint list at the start of a run.
     fn listed_endpoints(&self) -> Vec<BackendEntry> {
         let mut endpoints = Vec::new();
         for (index, backend) in self.backends.iter().enumerate() {
@@ -112,7 +113,7 @@
         endpoints
     }
 
-    /// Gives a gateway its first endpoint list and schedules its first request and eviction.
+    /// Passes the initial endpoint list to a gateway and schedules its first request and its first eviction.
     fn start_gateway(&mut self, gateway: usize, endpoints: Vec<BackendEntry>) {
         self.notify_gateway(
             gateway,
--- a/crates/fleet-simulation/src/simulation/attempts.rs
+++ b/crates/fleet-simulation/src/simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! Calls: the attempts that gateways send to backends, and the calls that backends make to the next tier.
+//! Calls to backends: the attempts that gateways send, and the calls that backends make to the next tier.
 
 use super::clients::RequestOutcome;
 use super::event_queue::SimEvent;
@@ -9,14 +9,14 @@
 /// The process that made a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CallOrigin {
-    /// A gateway, as the attempt with this number of its request.
+    /// A gateway, as an attempt of its request; `attempt` is the attempt's number within the request, from 0.
     Gateway { gateway: usize, attempt: u32 },
-    /// A backend, as part of another call.
+    /// A backend, while it processed the call `parent`.
     Backend { parent: usize },
 }
 
 impl CallOrigin {
-    /// The gateway that made the call, unless a backend did.
+    /// Returns the gateway that made the call; `None` if a backend did.
     pub(super) fn gateway(self) -> Option<usize> {
         match self {
             CallOrigin::Gateway { gateway, .. } => Some(gateway),
@@ -25,30 +25,31 @@
     }
 }
 
-/// An attempt of a gateway, or a call of one backend to another.
+/// A call to a backend: an attempt of a gateway, or a call of a backend to the next tier.
 pub(super) struct Call {
-    /// The client request that it serves.
+    /// Index of the client request that the call is part of.
     pub(super) request: u32,
     pub(super) origin: CallOrigin,
     pub(super) backend: usize,
-    /// When it was made, ms.
+    /// Simulated time at which the call was made, ms.
     sent_at: Millis,
-    /// The deadline that was passed to the backend, ms.
+    /// Deadline that was passed to the backend, simulated time in ms.
     pub(super) deadline: Millis,
-    /// Work that it takes, in milliseconds of one core of reference speed.
+    /// Work of the call, in milliseconds on one core of reference speed.
     pub(super) work: f64,
-    /// Work that its backend has done for it, calls to the next tier not included.
+    /// Work that the backend has done for the call, in the same unit; calls to the next tier are not included.
     pub(super) completed_work: f64,
-    /// Whether it has ended for its origin.
-    pub(super) is_settled: bool,
-    /// The connection that it uses; none where connections are not modelled.
+    /// Whether the call is complete for its origin; the backend may still process it.
+    pub(super) is_completed: bool,
+    /// Index of the connection in use; `None` before one is assigned, or if connections are not modelled.
     pub(super) connection: Option<usize>,
-    /// Whether it is queued in its gateway's pool.
+    /// Whether the call is queued in its gateway's pool.
     pub(super) waits_for_connection: bool,
 }
 
 impl Simulation {
-    /// Sends an attempt of a request to a backend; `timeout` (ms) is absent where only the client's deadline limits it.
+    /// Sends an attempt of a request to a backend. `timeout` is in ms; with `None`, only the client's deadline limits
+    /// the attempt.
     pub(super) fn send(
         &mut self,
         gateway: usize,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Accounts for an attempt in its customer's quota; only a request's first attempt takes units.
+    /// Accounts for an attempt in its customer's quota. Only the first attempt of a request takes units.
     fn account_for_attempt(&mut self, request: u32, attempt: u32) {
         let weight = self.priority_weight(request);
         let request = &mut self.requests[request as usize];
@@ -115,7 +116,8 @@
         by_second[second] += 1;
     }
 
-    /// Adds a call of a gateway or a backend to a backend; `deadline` is in ms, `work` in milliseconds of one core.
+    /// Adds a call to a backend. `deadline` is simulated time in ms, `work` is in milliseconds on one core of reference
+    /// speed.
     pub(super) fn add_call(
         &mut self,
         request: u32,
@@ -133,13 +135,13 @@
             deadline,
             work,
             completed_work: 0.0,
-            is_settled: false,
+            is_completed: false,
             connection: None,
             waits_for_connection: false,
         });
     }
 
-    /// Transmits a gateway's attempt to its backend; it is lost where the backend is unreachable or silent.
+    /// Transmits a gateway's attempt to its backend. The attempt is lost if the backend is unreachable or silent.
     pub(super) fn transmit(&mut self, call: usize) {
         let Some(gateway) = self.calls[call].origin.gateway() else {
             return;
@@ -156,13 +158,13 @@
                 self.schedule(self.now + 2.0 * delay, event);
             }
             BackendFault::Silent => {}
-            _ => self.schedule(self.now + delay, SimEvent::RequestAtBackend { call }),
+            _ => self.schedule(self.now + delay, SimEvent::CallArrival { call }),
         }
     }
 
-    /// Ends a call for its origin; only the first end counts.
-    pub(super) fn settle(&mut self, call: usize, outcome: Outcome) {
-        if std::mem::replace(&mut self.calls[call].is_settled, true) {
+    /// Completes a call for its origin with an outcome. If the call is already complete, the outcome is ignored.
+    pub(super) fn complete_call(&mut self, call: usize, outcome: Outcome) {
+        if std::mem::replace(&mut self.calls[call].is_completed, true) {
             return;
         }
         if matches!(outcome, Outcome::Timeout | Outcome::Cancelled) {
@@ -171,7 +173,7 @@
         self.return_connection(call, outcome);
         match self.calls[call].origin {
             CallOrigin::Gateway { gateway, attempt } => {
-                self.settle_attempt(call, gateway, attempt, outcome);
+                self.complete_attempt(call, gateway, attempt, outcome);
             }
             CallOrigin::Backend { parent } => {
                 self.release_core(self.calls[parent].backend);
@@ -185,8 +187,9 @@
         }
     }
 
-    /// Ends an attempt of a gateway: its request is served if it succeeded, and the policy is notified.
-    fn settle_attempt(&mut self, call: usize, gateway: usize, attempt: u32, outcome: Outcome) {
+    /// Completes an attempt of a gateway: a successful attempt ends its request as served, and the policy engine is
+    /// notified.
+    fn complete_attempt(&mut self, call: usize, gateway: usize, attempt: u32, outcome: Outcome) {
         let request = self.calls[call].request;
         let customer = self.requests[request as usize].customer;
         let quota_usage = self.reported_usage(customer, outcome);
@@ -215,8 +218,8 @@
         self.notify_gateway(gateway, Event::AttemptCompleted(completed));
     }
 
-    /// Ends an attempt in its customer's account; returns the usage of the quota that a response reports, if there is
-    /// one.
+    /// Removes an attempt from its customer's attempts in flight; returns the quota usage that the response reports, if
+    /// there is a response and it reports one.
     fn reported_usage(&mut self, customer: usize, outcome: Outcome) -> Option<f64> {
         let clients = self.clients.as_mut()?;
         clients.customers[customer].attempts_in_flight -= 1;
@@ -228,9 +231,10 @@
         }
     }
 
-    /// Drops a call whose origin has closed the connection, unless a core already works on it.
+    /// Removes a call from its backend's queue after its origin has closed the connection. A call that a core already
+    /// processes is not stopped.
     fn remove_from_queue(&mut self, call: usize) {
         let backend = &mut self.backends[self.calls[call].backend];
-        backend.waiting.retain(|waiting| *waiting != call);
+        backend.queued_calls.retain(|queued| *queued != call);
     }
 }
--- a/crates/fleet-simulation/src/simulation/backends.rs
+++ b/crates/fleet-simulation/src/simulation/backends.rs
@@ -1,4 +1,4 @@
-//! The backends: their queues, their cores, and their capacity during slow start.
+//! The simulated backends: their queues, their cores, and their capacity during slow start.
 
 use super::attempts::CallOrigin;
 use super::event_queue::SimEvent;
@@ -8,46 +8,47 @@
 use cometspool::{Availability, BackendEntry, BackendId, CellId, Outcome, ZoneId};
 use std::collections::VecDeque;
 
-/// Tenths of a second over which the load of a backend is summed.
-const LOAD_TENTHS: u64 = 20;
-/// Length of a tenth of a second, ms.
-const TENTH: f64 = 100.0;
-/// Fraction of errors below which a backend counts as healthy.
+/// Number of buckets of [`LOAD_BUCKET_DURATION`] over which the load of a backend is summed.
+const LOAD_WINDOW_BUCKETS: u64 = 20;
+/// Duration of a load bucket, ms.
+const LOAD_BUCKET_DURATION: f64 = 100.0;
+/// Error rate below which a backend counts as healthy, as a fraction of its responses.
 const HEALTHY_ERROR_FRACTION: f64 = 0.1;
 
-/// A backend: its model and its present state.
+/// A backend: its parameters and its current state.
 pub(super) struct Backend {
     pub(super) spec: BackendSpec,
     pub(super) id: BackendId,
-    /// Calls in its queue.
-    pub(super) waiting: VecDeque<usize>,
-    /// Cores in use.
+    /// Indices of the queued calls, oldest first.
+    pub(super) queued_calls: VecDeque<usize>,
+    /// Number of cores that process a call or wait for a call to the next tier.
     busy_cores: usize,
-    /// Work that arrived in the last [`LOAD_TENTHS`], oldest first.
-    recent_work: VecDeque<TenthOfWork>,
+    /// Work that arrived in the last [`LOAD_WINDOW_BUCKETS`] buckets, oldest first; empty buckets are left out.
+    recent_work: VecDeque<LoadBucket>,
     pub(super) open_connections: usize,
-    /// Whether each gateway has been notified of its last start.
-    pub(super) knows_start: Vec<bool>,
+    /// Whether each gateway has been notified of the backend's last start, by the gateway's index.
+    pub(super) notified_of_start: Vec<bool>,
 }
 
-/// Work that arrived in one tenth of a second, in milliseconds of one core of reference speed.
-struct TenthOfWork {
-    /// Number of the tenth since the start of the run.
-    tenth: u64,
+/// Work that arrived at a backend within one [`LOAD_BUCKET_DURATION`].
+struct LoadBucket {
+    /// Number of the bucket since the start of the run.
+    number: u64,
+    /// Sum of the work, in milliseconds on one core of reference speed.
     work: f64,
 }
 
 impl Backend {
-    /// Adds work that arrives now to the load of the last [`LOAD_TENTHS`].
-    fn add_work(&mut self, tenth: u64, work: f64) {
+    /// Adds work to the bucket `number`, the current one, and drops buckets older than [`LOAD_WINDOW_BUCKETS`].
+    fn add_work(&mut self, number: u64, work: f64) {
         match self.recent_work.back_mut() {
-            Some(last) if last.tenth == tenth => last.work += work,
-            _ => self.recent_work.push_back(TenthOfWork { tenth, work }),
+            Some(last) if last.number == number => last.work += work,
+            _ => self.recent_work.push_back(LoadBucket { number, work }),
         }
         while self
             .recent_work
             .front()
-            .is_some_and(|first| first.tenth + LOAD_TENTHS <= tenth)
+            .is_some_and(|first| first.number + LOAD_WINDOW_BUCKETS <= number)
         {
             self.recent_work.pop_front();
         }
@@ -57,7 +58,7 @@
 impl Simulation {
     /// Adds a backend and returns its index.
     pub(super) fn add_backend(&mut self, spec: BackendSpec) -> usize {
-        // Ids are spread over the whole range, as hashes of names are, and must be unique.
+        // Ids are drawn from the whole range of u32, as if they were hashes of names. They must be unique.
         let mut id = BackendId(self.random.next_u32());
         while self.backend_by_id.contains_key(&id) {
             id = BackendId(self.random.next_u32());
@@ -73,17 +74,17 @@
         self.backends.push(Backend {
             spec,
             id,
-            waiting: VecDeque::new(),
+            queued_calls: VecDeque::new(),
             busy_cores: 0,
             recent_work: VecDeque::new(),
             open_connections: 0,
-            // A gateway can send to a new id only once it has been notified of it.
-            knows_start: vec![true; self.gateways.len()],
+            // A gateway sends to a new id only after it has been notified of the backend's start.
+            notified_of_start: vec![true; self.gateways.len()],
         });
         self.backends.len() - 1
     }
 
-    /// The entry of a backend in the endpoint list.
+    /// Returns the entry of a backend in the endpoint list.
     pub(super) fn endpoint(&self, index: usize, availability: Availability) -> BackendEntry {
         let backend = &self.backends[index];
         BackendEntry {
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Whether a backend is faulty, or unreachable from this gateway. Rare errors are no fault.
+    /// Whether a backend is faulty, or unreachable from this gateway. An error rate below [`HEALTHY_ERROR_FRACTION`]
+    /// does not count as a fault.
     pub(super) fn is_impaired(&self, gateway: usize, backend: usize) -> bool {
         let is_healthy = match self.backends[backend].spec.fault {
             BackendFault::None => true,
@@ -106,7 +108,7 @@
         !is_healthy || !self.is_backend_reachable(gateway, backend)
     }
 
-    /// Fraction of its full capacity that a backend has now.
+    /// Returns the current capacity of a backend, as a fraction of its full capacity.
     fn slow_start_fraction(&self, backend: usize) -> f64 {
         let Some(started_at) = self.backends[backend].spec.started_at else {
             return 1.0;
@@ -116,8 +118,8 @@
         slow_start.initial_fraction + (1.0 - slow_start.initial_fraction) * progress
     }
 
-    /// A call arrives at its backend, which queues it, rejects it or answers with an error.
-    pub(super) fn arrive_at_backend(&mut self, call: usize) {
+    /// Handles the arrival of a call at its backend, which queues it, rejects it or answers with an error.
+    pub(super) fn handle_call_arrival(&mut self, call: usize) {
         let backend = self.calls[call].backend;
         let fault = self.backends[backend].spec.fault;
         if fault == BackendFault::Silent {
@@ -131,38 +133,43 @@
                 return;
             }
         }
-        if self.backends[backend].waiting.len() >= self.backends[backend].spec.queue_capacity {
+        if self.backends[backend].queued_calls.len() >= self.backends[backend].spec.queue_capacity {
             self.respond(call, Outcome::Rejected);
             return;
         }
-        self.backends[backend].waiting.push_back(call);
+        self.backends[backend].queued_calls.push_back(call);
         self.start_work(backend);
     }
 
-    /// Records work that arrives at a backend from a gateway, or from a backend (`None`), against its capacity.
+    /// Records work that arrives at a backend and compares the recent load with the backend's slow-start capacity.
+    /// `sender` is the gateway that sent the work, or `None` if a backend did.
     pub(super) fn record_load(&mut self, index: usize, sender: Option<usize>, work: f64) {
         let fraction = self.slow_start_fraction(index);
         let backend = &mut self.backends[index];
-        backend.add_work((self.now / TENTH) as u64, work);
+        backend.add_work((self.now / LOAD_BUCKET_DURATION) as u64, work);
         if fraction >= 1.0 {
             return;
         }
         let spec = &backend.spec;
-        let capacity = fraction * spec.cores as f64 * spec.speed * TENTH * LOAD_TENTHS as f64;
+        let capacity = fraction
+            * spec.cores as f64
+            * spec.speed
+            * LOAD_BUCKET_DURATION
+            * LOAD_WINDOW_BUCKETS as f64;
         let recent = backend.recent_work.iter().map(|recent| recent.work);
         let load = recent.sum::<f64>() / capacity;
         self.statistics.peak_over_capacity = self.statistics.peak_over_capacity.max(load);
         self.statistics.cold_work[index].push(ColdWork {
             at: self.now,
             work,
-            sender_knew_start: sender.is_none_or(|gateway| backend.knows_start[gateway]),
+            sender_knew_start: sender.is_none_or(|gateway| backend.notified_of_start[gateway]),
         });
     }
 
     /// Starts queued calls on the cores that are free.
     fn start_work(&mut self, backend: usize) {
         while self.backends[backend].busy_cores < self.backends[backend].spec.cores {
-            let Some(call) = self.backends[backend].waiting.pop_front() else {
+            let Some(call) = self.backends[backend].queued_calls.pop_front() else {
                 return;
             };
             if self.backends[backend].spec.drops_expired && self.now >= self.calls[call].deadline {
@@ -180,7 +187,8 @@
         }
     }
 
-    /// A core has done the work of a call: the backend responds, or calls the next tier and keeps the core until then.
+    /// Handles the end of a call's work: the backend responds, or calls the next tier and keeps the core occupied until
+    /// that call has ended.
     pub(super) fn complete_work(&mut self, call: usize) {
         let backend = self.calls[call].backend;
         self.calls[call].completed_work += self.calls[call].work;
@@ -199,7 +207,7 @@
         self.call_next_tier(call, target);
     }
 
-    /// Makes a call to a backend of the next tier, with what is left of the deadline.
+    /// Makes a call to a backend of the next tier, with the remaining deadline of the parent call.
     fn call_next_tier(&mut self, parent: usize, target: usize) {
         let zone = self.backends[self.calls[parent].backend].spec.zone;
         let delay = self.one_way_delay(zone, self.backends[target].spec.zone);
@@ -215,16 +223,16 @@
         let origin = CallOrigin::Backend { parent };
         self.add_call(request, origin, target, deadline - deducted_delay, work);
         self.schedule(deadline, SimEvent::CallTimeout { call });
-        self.schedule(self.now + delay, SimEvent::RequestAtBackend { call });
+        self.schedule(self.now + delay, SimEvent::CallArrival { call });
     }
 
-    /// Frees a core, which takes the next queued call.
+    /// Frees a core and starts the next queued call.
     pub(super) fn release_core(&mut self, backend: usize) {
         self.backends[backend].busy_cores -= 1;
         self.start_work(backend);
     }
 
-    /// Sends a backend's response to the origin of a call; it is lost where the origin is unreachable.
+    /// Sends a backend's response to the origin of a call. The response is lost if the origin is unreachable.
     pub(super) fn respond(&mut self, call: usize, outcome: Outcome) {
         let from = self.backends[self.calls[call].backend].spec.zone;
         let to = match self.calls[call].origin {
--- a/crates/fleet-simulation/src/simulation/clients.rs
+++ b/crates/fleet-simulation/src/simulation/clients.rs
@@ -1,18 +1,18 @@
-//! The clients: their requests, their retries, and the one final outcome of each.
+//! The simulated clients: their requests and retries, and the final outcome of each.
 
 use super::event_queue::SimEvent;
 use super::Simulation;
 use cometspool::{ClassId, CustomerId, Event, Millis, PlanId, Request, RequestId};
 
-/// Number of customers that share the requests of a scenario without a client population.
+/// Number of customers among which the requests are divided in a scenario without a client population.
 const ANONYMOUS_CUSTOMERS: usize = 64;
 
-/// How a request ends.
+/// Final outcome of a request.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum RequestOutcome {
     /// A response arrived before the deadline.
     Served,
-    /// A gateway rejected it.
+    /// A gateway rejected the request.
     Rejected,
     /// All attempts failed, or the deadline passed.
     Failed,
@@ -22,30 +22,30 @@
 pub(super) struct ClientRequest {
     pub(super) gateway: usize,
     pub(super) customer: usize,
-    /// How many times the client has retried: 0 for its first request.
+    /// Number of the retry; 0 for the client's first request.
     retry_count: u32,
-    /// When the client's first request arrived, ms.
+    /// Simulated time at which the client sent the first request, before any retry, ms.
     first_arrived_at: Millis,
-    /// Whether its first attempt was within the customer's quota.
+    /// Whether the first attempt was within the customer's quota.
     pub(super) is_within_quota: bool,
     pub(super) class: usize,
-    /// When it was sent to its gateway, ms.
+    /// Simulated time at which the client sent this request or retry, ms.
     arrived_at: Millis,
-    /// When its client stops waiting, ms.
+    /// Simulated time at which the client stops waiting, ms.
     pub(super) deadline: Millis,
-    /// The attempts that its gateway waits for, as calls.
+    /// Indices of the calls of the attempts that are in flight.
     pub(super) in_flight: Vec<usize>,
-    /// Attempts sent so far.
+    /// Number of attempts that the gateway has sent.
     pub(super) sent_attempts: u32,
-    /// Whether its client has a final outcome.
+    /// Whether the request has its final outcome.
     pub(super) has_ended: bool,
-    /// Work of a call at each tier, in milliseconds of one core of reference speed.
+    /// Work of one call at each tier, in milliseconds on one core of reference speed.
     pub(super) work: f64,
-    /// All calls made for it, by gateways and backends.
+    /// Indices of all calls that gateways and backends made for the request.
     pub(super) calls: Vec<usize>,
-    /// Whether it was served within its latency objective.
+    /// Whether the request was served within the latency objective of its class.
     pub(super) is_served_in_time: bool,
-    /// Whether the first of its attempts to end succeeded.
+    /// Result of the attempt that ended first; `None` if none has ended.
     pub(super) first_attempt_succeeded: Option<bool>,
 }
 
@@ -79,8 +79,8 @@
 }
 
 impl Simulation {
-    /// A request arrives at a gateway, and the next is scheduled.
-    pub(super) fn arrive(&mut self, gateway: usize) {
+    /// Handles the arrival of a request at a gateway, and schedules the next arrival.
+    pub(super) fn handle_request_arrival(&mut self, gateway: usize) {
         if self.now > self.scenario.duration {
             return;
         }
@@ -91,7 +91,7 @@
         self.issue_request(gateway, customer);
     }
 
-    /// Schedules a customer's next request, or the next change of its rate.
+    /// Schedules a customer's next request, or the next change of its request rate if that comes first.
     pub(super) fn schedule_next_request(&mut self, customer: usize) {
         let Some(clients) = &self.clients else {
             return;
@@ -107,8 +107,8 @@
         );
     }
 
-    /// Sends a customer's request if one is due, and schedules the next.
-    pub(super) fn customer_request_due(&mut self, customer: usize, is_request: bool) {
+    /// Schedules a customer's next event, and sends a request if `is_request` is set.
+    pub(super) fn handle_customer_request(&mut self, customer: usize, is_request: bool) {
         if self.now > self.scenario.duration {
             return;
         }
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Retries a rejected request under a new id, with its original deadline.
+    /// Retries a rejected request under a new id and with the original deadline.
     pub(super) fn retry(&mut self, rejected: u32) {
         let rejected = &self.requests[rejected as usize];
         if self.now >= rejected.deadline {
@@ -165,13 +165,14 @@
         index
     }
 
-    /// The priority weight of a request.
+    /// Returns the priority weight of a request's class.
     pub(super) fn priority_weight(&self, request: u32) -> f64 {
         let class = self.requests[request as usize].class;
         self.scenario.classes[class].class.priority_weight
     }
 
-    /// Rejects a request; its client may retry after `retry_after` ms or a backoff of its own.
+    /// Rejects a request. The client may retry after `retry_after` ms, or after its own backoff if that is `None`; the
+    /// wait is jittered by up to 25 % in both directions.
     pub(super) fn reject(&mut self, request: u32, retry_after: Option<Millis>, reason: String) {
         let rejected = &self.requests[request as usize];
         let had_ended = rejected.has_ended;
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Draws a customer's request and sends it to a gateway; returns its index.
+    /// Draws class, deadline and work of a customer's request, sends it to a gateway and returns its index.
     fn issue_request(&mut self, gateway: usize, customer: usize) -> u32 {
         let class = self.draw_class();
         let spec = &self.scenario.classes[class];
@@ -213,7 +214,7 @@
         ))
     }
 
-    /// Draws the index of a class by the classes' shares.
+    /// Draws the index of a class with probabilities proportional to the shares of the classes.
     fn draw_class(&mut self) -> usize {
         let classes = &self.scenario.classes;
         let total = classes.iter().map(|class| class.share).sum::<f64>();
@@ -226,7 +227,8 @@
         class
     }
 
-    /// A gateway reads a request: when it arrives, or when the gateway's stall ends.
+    /// Handles the event that a gateway reads a request, which is when the request arrives or when the gateway's stall
+    /// ends.
     pub(super) fn receive_request(&mut self, id: u32) {
         let received = &self.requests[id as usize];
         let gateway = received.gateway;
@@ -257,7 +259,7 @@
         self.notify_gateway(gateway, Event::RequestArrived(request));
     }
 
-    /// Records the outcome of a request; only the first counts.
+    /// Records the final outcome of a request. Later outcomes of the same request are ignored.
     pub(super) fn finish(&mut self, request: u32, outcome: RequestOutcome) {
         let request = &mut self.requests[request as usize];
         if std::mem::replace(&mut request.has_ended, true) {
@@ -278,7 +280,7 @@
             return;
         }
         let weight = class.priority_weight;
-        // The account of a customer's quota measures from its first request, retries included.
+        // The quota account measures latency from the client's first request, so it includes the time of retries.
         if self.now - request.first_arrived_at <= class.latency_objective {
             if let Some(clients) = &mut self.clients {
                 clients.record_served(request.customer, weight, request.is_within_quota);
--- a/crates/fleet-simulation/src/simulation/connections.rs
+++ b/crates/fleet-simulation/src/simulation/connections.rs
@@ -1,4 +1,4 @@
-//! The connections between gateways and backends: checkouts, dials, handshakes and resets.
+//! Connections between gateways and backends: checkouts, dials, handshakes and resets.
 
 use super::event_queue::SimEvent;
 use super::Simulation;
@@ -7,22 +7,22 @@
 use cometspool::connection_pool::DialId;
 use cometspool::{Idempotency, Millis, Outcome};
 
-/// Time after which an unanswered dial fails, ms.
+/// Time after which an unanswered dial, or the wait of a queued call for a connection, fails, ms.
 const DIAL_TIMEOUT: Millis = 250.0;
-/// Work of a handshake at the backend, in milliseconds of one core of reference speed.
+/// Work of a handshake at the backend, in milliseconds on one core of reference speed.
 const HANDSHAKE_WORK: f64 = 1.0;
 
 /// A connection between a gateway and a backend.
 pub(super) struct Connection {
     backend: usize,
-    /// Whether neither end has closed it.
+    /// Whether neither the gateway nor the backend has closed the connection.
     is_open: bool,
-    /// Whether the backend's process ended, which reset the connection.
+    /// Whether the connection was reset because the backend's process ended.
     is_reset: bool,
 }
 
 impl Simulation {
-    /// Carries out the steps that a gateway's pool returned.
+    /// Executes the steps that a gateway's pool returned.
     pub(super) fn apply_pool_steps(&mut self, gateway: usize, steps: Vec<PoolStep>) {
         for step in steps {
             match step {
@@ -39,7 +39,7 @@
                     } else {
                         Outcome::ConnectFailed
                     };
-                    self.settle(call, outcome);
+                    self.complete_call(call, outcome);
                 }
                 PoolStep::Close { connection } => self.close_connection(connection),
                 PoolStep::Wake { backend, at } => {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes a connection for a gateway's call, and transmits the call as soon as it has one.
+    /// Checks out a connection for a gateway's call, and transmits the call as soon as it has one.
     pub(super) fn check_out_connection(&mut self, call: usize) {
         let Some(gateway) = self.calls[call].origin.gateway() else {
             return;
@@ -64,7 +64,8 @@
                 .checkout(self.now, backend, call, run_once);
             self.apply_pool_steps(gateway, checkout.steps);
             match checkout.result {
-                // A gateway detects at once that a pooled connection was reset.
+                // The gateway detects a reset of a pooled connection at checkout, without delay, and checks out
+                // another.
                 CheckoutResult::Reused { connection } if self.connections[connection].is_reset => {
                     let steps = self.gateways[gateway]
                         .pool
@@ -81,16 +82,17 @@
                     return;
                 }
                 CheckoutResult::Exhausted => {
-                    self.settle(call, Outcome::NotSent);
+                    self.complete_call(call, Outcome::NotSent);
                     return;
                 }
             }
         }
     }
 
-    /// Marks a queued call as waiting, unless a step of its checkout gave it a connection or ended it.
+    /// Marks a queued call as waiting and schedules its checkout timeout, unless a step of the checkout has already
+    /// assigned it a connection or completed it.
     fn wait_for_connection(&mut self, call: usize) {
-        if self.calls[call].connection.is_none() && !self.calls[call].is_settled {
+        if self.calls[call].connection.is_none() && !self.calls[call].is_completed {
             self.calls[call].waits_for_connection = true;
             self.schedule(self.now + DIAL_TIMEOUT, SimEvent::CheckoutTimeout { call });
         }
@@ -120,7 +122,8 @@
         );
     }
 
-    /// Opens the connection of a dial that was answered, if the backend accepts it, and reports to the pool.
+    /// Handles the end of a dial: opens the connection if the backend answered and accepts it, and reports the result
+    /// to the pool.
     pub(super) fn finish_dial(
         &mut self,
         gateway: usize,
@@ -181,7 +184,8 @@
         self.backends[backend].open_connections = 0;
     }
 
-    /// Returns the connection of a settled call to its pool; closes it where the response was not read to its end.
+    /// Returns the connection of a completed call to its pool, or closes it if there was no complete response. A call
+    /// that still waits for a connection is removed from the pool's queue.
     pub(super) fn return_connection(&mut self, call: usize, outcome: Outcome) {
         let Some(gateway) = self.calls[call].origin.gateway() else {
             return;
--- a/crates/fleet-simulation/src/simulation/dispatch.rs
+++ b/crates/fleet-simulation/src/simulation/dispatch.rs
@@ -1,4 +1,4 @@
-//! Passes each event that is due to the part of the simulation that handles it.
+//! Dispatches each due event to the part of the simulation that handles it.
 
 use super::clients::RequestOutcome;
 use super::event_queue::SimEvent;
@@ -6,7 +6,7 @@
 use cometspool::{Availability, BackendEntry, Event, ListKind, Millis, Outcome, RequestId};
 
 impl Simulation {
-    /// Handles an event that is due, or postpones it where its gateway is stalled.
+    /// Handles a due event. If the gateway that handles it is stalled, postpones the event to the end of the stall.
     pub(super) fn dispatch(&mut self, event: SimEvent) {
         if let Some(stall_end) = self.stalled_until(&event) {
             self.schedule(stall_end, event);
@@ -18,19 +18,19 @@
                 let gateway = self.requests[request as usize].gateway;
                 self.notify_gateway(gateway, Event::ClientDisconnected(RequestId(request)));
             }
-            SimEvent::RequestArrival { gateway } => self.arrive(gateway),
+            SimEvent::RequestArrival { gateway } => self.handle_request_arrival(gateway),
             SimEvent::CustomerRequest {
                 customer,
                 is_request,
-            } => self.customer_request_due(customer, is_request),
+            } => self.handle_customer_request(customer, is_request),
             SimEvent::Retry { request } => self.retry(request),
             SimEvent::PolicyTimer { gateway, timer } => {
                 self.notify_gateway(gateway, Event::TimerFired(timer));
             }
-            SimEvent::RequestAtBackend { call } => self.arrive_at_backend(call),
+            SimEvent::CallArrival { call } => self.handle_call_arrival(call),
             SimEvent::WorkCompleted { call } => self.complete_work(call),
-            SimEvent::CallEnded { call, outcome } => self.settle(call, outcome),
-            SimEvent::CallTimeout { call } => self.settle(call, Outcome::Timeout),
+            SimEvent::CallEnded { call, outcome } => self.complete_call(call, outcome),
+            SimEvent::CallTimeout { call } => self.complete_call(call, Outcome::Timeout),
             SimEvent::Deadline { request } => self.expire_request(request),
             SimEvent::EndpointsChanged { gateway, entries } => {
                 self.update_endpoints(gateway, entries);
@@ -42,8 +42,8 @@
                 is_answered,
             } => self.finish_dial(gateway, backend, dial, is_answered),
             SimEvent::CheckoutTimeout { call } => {
-                if self.calls[call].waits_for_connection && !self.calls[call].is_settled {
-                    self.settle(call, Outcome::ConnectFailed);
+                if self.calls[call].waits_for_connection && !self.calls[call].is_completed {
+                    self.complete_call(call, Outcome::ConnectFailed);
                 }
             }
             SimEvent::EvictExpired { gateway } => self.evict_expired(gateway),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Fails a request whose client stops waiting, unless it has ended.
+    /// Fails a request whose deadline has passed and disconnects its client, unless the request has ended.
     fn expire_request(&mut self, request: u32) {
         if !self.requests[request as usize].has_ended {
             self.finish(request, RequestOutcome::Failed);
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Passes changed entries of the endpoint list to a gateway's pool and policy.
+    /// Passes changed entries of the endpoint list to a gateway's pool and policy engine.
     fn update_endpoints(&mut self, gateway: usize, entries: Vec<BackendEntry>) {
         for entry in &entries {
             if entry.availability != Availability::Ready {
@@ -74,7 +74,7 @@
         }
         for entry in &entries {
             let backend = &mut self.backends[self.backend_by_id[&entry.id]];
-            backend.knows_start[gateway] |= entry.started_at == backend.spec.started_at;
+            backend.notified_of_start[gateway] |= entry.started_at == backend.spec.started_at;
         }
         self.notify_gateway(gateway, Event::EndpointsChanged(ListKind::Changes, entries));
     }
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The end of the stall of the gateway that handles this event, ms, if it is stalled now.
+    /// Returns the end of the stall, ms, if the gateway that handles this event is stalled now.
     fn stalled_until(&self, event: &SimEvent) -> Option<Millis> {
         let gateway = match event {
             SimEvent::RequestReceived { request } | SimEvent::ClientDisconnected { request } => {
--- a/crates/fleet-simulation/src/simulation/event_queue.rs
+++ b/crates/fleet-simulation/src/simulation/event_queue.rs
@@ -1,26 +1,27 @@
-//! The queue of scheduled events: ordered by time, those of one instant in the order in which they were scheduled.
+//! Queue of scheduled events. Events are ordered by time; events with the same time keep the order in which they were
+//! scheduled.
 
 use super::Simulation;
 use cometspool::connection_pool::DialId;
 use cometspool::{BackendEntry, Millis, Outcome, TimerId};
 use std::cmp::{Ordering, Reverse};
 
-/// Something that happens at a scheduled time. Fields are indices in the [`Simulation`].
+/// An event of the simulation. Its fields are indices into the tables of the [`Simulation`].
 #[derive(Clone, Debug)]
 pub(super) enum SimEvent {
-    /// A gateway's next request arrives, where the scenario has no customers.
+    /// The next request arrives at a gateway; only in scenarios without customers.
     RequestArrival { gateway: usize },
-    /// A customer's next request is due, or only the rate of its requests changes.
+    /// A customer sends its next request, or (`is_request` is false) only the rate of its requests changes.
     CustomerRequest { customer: usize, is_request: bool },
     /// A client retries a rejected request.
     Retry { request: u32 },
     /// A gateway reads a request.
     RequestReceived { request: u32 },
-    /// A timer that a gateway's policy set fires.
+    /// A timer of a gateway's policy expires.
     PolicyTimer { gateway: usize, timer: TimerId },
     /// A call arrives at its backend.
-    RequestAtBackend { call: usize },
-    /// A core has done the work of a call.
+    CallArrival { call: usize },
+    /// A core has finished the work of a call.
     WorkCompleted { call: usize },
     /// A call's response, or the error of its connection, arrives at its origin.
     CallEnded { call: usize, outcome: Outcome },
@@ -35,7 +36,7 @@
         gateway: usize,
         entries: Vec<BackendEntry>,
     },
-    /// A fault of the scenario happens, by its index there.
+    /// The fault with this index in the scenario is due.
     Fault { index: usize },
     /// A dial is answered or times out.
     DialCompleted {
@@ -44,19 +45,19 @@
         dial: DialId,
         is_answered: bool,
     },
-    /// A call has waited for a connection for as long as a dial may take.
+    /// A call has waited for a connection for the duration of the dial timeout.
     CheckoutTimeout { call: usize },
-    /// A gateway's pool closes expired connections.
+    /// A gateway's pool evicts its expired connections.
     EvictExpired { gateway: usize },
-    /// A gateway's pool is woken for a backend, as it requested.
+    /// The wake-up that a gateway's pool requested for a backend is due.
     PoolWake { gateway: usize, backend: usize },
 }
 
 /// An entry of the queue.
 pub(super) struct Scheduled {
-    /// When it is due, ms.
+    /// Simulated time at which the event is due, ms.
     pub(super) at: Millis,
-    /// Its number among all events scheduled in the run.
+    /// Number of the event in the order of scheduling; breaks ties between events that are due at the same time.
     pub(super) sequence: u64,
     pub(super) event: SimEvent,
 }
@@ -84,7 +85,7 @@
 impl Eq for Scheduled {}
 
 impl Simulation {
-    /// Schedules an event at a time, ms.
+    /// Schedules an event for the simulated time `at`, ms.
     pub(super) fn schedule(&mut self, at: Millis, event: SimEvent) {
         self.scheduled_count += 1;
         self.queue.push(Reverse(Scheduled {
--- a/crates/fleet-simulation/src/simulation/faults.rs
+++ b/crates/fleet-simulation/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a scenario, and how gateways are notified of changes of the endpoint list.
+//! Injection of the scenario's faults, and notification of the gateways about changes of the endpoint list.
 
 use super::event_queue::SimEvent;
 use super::Simulation;
@@ -6,7 +6,7 @@
 use cometspool::Availability;
 
 impl Simulation {
-    /// Applies the fault with this index in the scenario.
+    /// Injects the fault with this index in the scenario.
     pub(super) fn inject_fault(&mut self, index: usize) {
         match self.scenario.faults[index].fault.clone() {
             FleetFault::Backend { backend, fault } => self.set_backend_fault(backend, fault),
@@ -23,7 +23,7 @@
             FleetFault::RestartGateway(gateway) => self.restart_gateway(gateway),
             FleetFault::SetRequestRate(rate) => self.scenario.requests_per_second = rate,
             FleetFault::RestartBackend(backend) => self.restart_backend(backend),
-            FleetFault::StartBackend(backend) => self.start_copy(backend),
+            FleetFault::StartBackend(backend) => self.start_backend_copy(backend),
         }
     }
 
@@ -32,12 +32,12 @@
         if fault == BackendFault::Crashed {
             self.reset_connections(backend);
             self.statistics.incarnations[backend].ended_at = self.now;
-            self.backends[backend].waiting.clear();
+            self.backends[backend].queued_calls.clear();
         }
     }
 
-    /// Starts a healthy backend with the properties of another, and announces it.
-    fn start_copy(&mut self, backend: usize) {
+    /// Starts a healthy backend with the properties of another one and announces it to the gateways.
+    fn start_backend_copy(&mut self, backend: usize) {
         let spec = BackendSpec {
             started_at: Some(self.now),
             fault: BackendFault::None,
@@ -47,18 +47,19 @@
         self.announce_endpoint(copy, Availability::Ready);
     }
 
+    /// Restarts a backend in slow start under its old id. Its connections are reset and its queued calls are lost.
     fn restart_backend(&mut self, index: usize) {
         self.reset_connections(index);
         let backend = &mut self.backends[index];
-        backend.waiting.clear();
+        backend.queued_calls.clear();
         backend.spec.started_at = Some(self.now);
         backend.spec.fault = BackendFault::None;
-        backend.knows_start = vec![false; self.gateways.len()];
+        backend.notified_of_start = vec![false; self.gateways.len()];
         self.statistics.incarnations[index].started_at = self.now;
         self.announce_endpoint(index, Availability::Ready);
     }
 
-    /// Notifies all gateways of a backend's availability, each after its own delay.
+    /// Notifies all gateways of a backend's availability, each after a random delay of its own.
     fn announce_endpoint(&mut self, backend: usize, availability: Availability) {
         let entry = self.endpoint(backend, availability);
         for gateway in 0..self.gateways.len() {
--- a/crates/fleet-simulation/src/simulation/gateways.rs
+++ b/crates/fleet-simulation/src/simulation/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways: passes events to their policy engines and carries out the actions that these return.
+//! The simulated gateways: passes events to their policy engines and executes the resulting actions.
 
 use super::attempts::CallOrigin;
 use super::clients::RequestOutcome;
@@ -12,7 +12,7 @@
     ZoneId,
 };
 
-/// A gateway: the policy engine and the connection pool as they run in service.
+/// A gateway, with the production policy engine and the production connection pool.
 pub(super) struct SimulatedGateway {
     pub(super) engine: PolicyEngine,
     pub(super) zone: u32,
@@ -20,7 +20,7 @@
 }
 
 impl SimulatedGateway {
-    /// The gateway with this index; draws the seed of its policy and pool.
+    /// Creates the gateway with this index and draws the seed that its policy engine and pool share.
     pub(super) fn new(
         scenario: &Scenario,
         index: u32,
@@ -37,7 +37,7 @@
     }
 }
 
-/// The settings of one gateway of a scenario.
+/// Returns the settings of one gateway of a scenario.
 fn gateway_settings(scenario: &Scenario, index: u32, zone: u32) -> Settings {
     let classes = scenario
         .classes
@@ -53,18 +53,18 @@
 }
 
 impl Simulation {
-    /// Passes an event to a gateway's policy and carries out the resulting actions.
+    /// Passes an event to a gateway's policy engine and executes the resulting actions.
     pub(super) fn notify_gateway(&mut self, gateway: usize, event: Event) {
         let mut actions = Vec::new();
         self.gateways[gateway]
             .engine
             .handle(self.now, event, &mut actions);
         for action in actions {
-            self.carry_out(gateway, action);
+            self.execute_action(gateway, action);
         }
     }
 
-    fn carry_out(&mut self, gateway: usize, action: Action) {
+    fn execute_action(&mut self, gateway: usize, action: Action) {
         match action {
             Action::Send {
                 request,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Cancels an attempt of a request, given by its number within the request, if it is in flight.
+    /// Cancels an attempt of a request if it is in flight. `attempt` is the attempt's number within the request.
     fn cancel_attempt(&mut self, request: u32, attempt: u32) {
         let in_flight = &self.requests[request as usize].in_flight;
         let call = in_flight.iter().copied().find(|call| {
@@ -105,11 +105,12 @@
             matches!(origin, CallOrigin::Gateway { attempt: number, .. } if number == attempt)
         });
         if let Some(call) = call {
-            self.settle(call, Outcome::Cancelled);
+            self.complete_call(call, Outcome::Cancelled);
         }
     }
 
-    /// Counts the ejection of a backend, whose id is the second word of the policy's log line.
+    /// Counts the ejection of a backend. The backend's id is the second word of the policy's log line
+    /// `backend N set aside: ...`.
     fn record_ejection(&mut self, gateway: usize, log_line: &str) {
         let id = log_line.split(' ').nth(1).and_then(|id| id.parse().ok());
         let backend = id
@@ -131,8 +132,8 @@
         self.apply_pool_steps(gateway, steps);
     }
 
-    /// Restarts a gateway's policy with the endpoint list of this time. The requests that it had are lost: their
-    /// clients wait until the deadline.
+    /// Restarts a gateway's policy engine with the current endpoint list. The engine loses the requests that it had,
+    /// and their clients wait until the deadline.
     pub(super) fn restart_gateway(&mut self, gateway: usize) {
         let zone = self.gateways[gateway].zone;
         let seed = u64::from(self.random.next_u32());
--- a/crates/fleet-simulation/src/simulation/network.rs
+++ b/crates/fleet-simulation/src/simulation/network.rs
@@ -1,10 +1,10 @@
-//! The network between zones: reachability and delays.
+//! Model of the network: reachability of zones and one-way delays.
 
 use super::Simulation;
 use cometspool::Millis;
 
 impl Simulation {
-    /// How long a message takes from one zone to another, ms.
+    /// Returns the one-way delay of a message from one zone to another, ms.
     pub(super) fn one_way_delay(&self, from: u32, to: u32) -> Millis {
         if from == to {
             self.scenario.one_way_delays.within_zone
@@ -13,12 +13,13 @@
         }
     }
 
-    /// Whether messages from one zone arrive in another.
+    /// Whether messages from one zone reach another. A partition of either zone prevents it; messages within a zone
+    /// always arrive.
     pub(super) fn is_reachable(&self, from: u32, to: u32) -> bool {
         from == to || !(self.is_partitioned(from) || self.is_partitioned(to))
     }
 
-    /// Whether messages between a gateway and a backend arrive.
+    /// Whether messages between a gateway and a backend arrive; false if a partition separates their zones.
     pub(super) fn is_backend_reachable(&self, gateway: usize, backend: usize) -> bool {
         self.is_reachable(
             self.gateways[gateway].zone,
@@ -26,7 +27,7 @@
         )
     }
 
-    /// How long a message takes between a gateway and a backend, ms.
+    /// Returns the one-way delay between a gateway and a backend, ms.
     pub(super) fn delay_to_backend(&self, gateway: usize, backend: usize) -> Millis {
         self.one_way_delay(
             self.gateways[gateway].zone,
--- a/crates/fleet-simulation/src/simulation/statistics.rs
+++ b/crates/fleet-simulation/src/simulation/statistics.rs
@@ -1,4 +1,4 @@
-//! The statistics of a run: sums by second, and at the end useful and wasted work.
+//! Collection of a run's statistics: sums by second during the run, and useful and wasted work at its end.
 
 use super::attempts::CallOrigin;
 use super::clients::ClientRequest;
@@ -6,7 +6,7 @@
 use crate::statistics::{FirstAttempts, RunStatistics, WeightSums};
 
 impl Simulation {
-    /// The index of the current second, to which the sums by second are extended.
+    /// Returns the index of the current second and extends the sums by second up to it.
     pub(super) fn current_second(&mut self) -> usize {
         let second = (self.now / 1000.0) as usize;
         if self.statistics.weight_by_second.len() <= second {
@@ -20,7 +20,7 @@
         second
     }
 
-    /// Completes the statistics at the end of a run.
+    /// Computes the totals at the end of a run and returns the statistics.
     pub(super) fn into_statistics(mut self) -> RunStatistics {
         if let Some(clients) = &self.clients {
             self.statistics.quota_account = clients.account.clone();
@@ -31,7 +31,8 @@
                 completed_work += self.calls[*call].completed_work;
             }
             self.statistics.work += completed_work;
-            // A request served in time justifies the work of one call at each tier; the rest is waste.
+            // Of a request that is served in time, the work of one call at each tier is useful; all other work is
+            // wasted.
             let useful_work = if request.is_served_in_time {
                 self.useful_work(request)
             } else {
@@ -44,19 +45,19 @@
         self.statistics
     }
 
-    /// The greatest work of any attempt of a request, calls below it included.
+    /// Returns the maximum work of any attempt of a request, including the calls that backends made for the attempt.
     fn useful_work(&self, request: &ClientRequest) -> f64 {
         let mut greatest: f64 = 0.0;
         for call in &request.calls {
             if self.calls[*call].origin.gateway().is_some() {
-                greatest = greatest.max(self.work_of_chain(request, *call));
+                greatest = greatest.max(self.call_chain_work(request, *call));
             }
         }
         greatest
     }
 
-    /// Work done for a call, for the call that its backend made, and so on.
-    fn work_of_chain(&self, request: &ClientRequest, call: usize) -> f64 {
+    /// Returns the work done for a call and for the chain of calls that backends made as part of it.
+    fn call_chain_work(&self, request: &ClientRequest, call: usize) -> f64 {
         let mut sum = self.calls[call].completed_work;
         let mut parent = call;
         while let Some(child) = self.child_call(request, parent) {
@@ -66,7 +67,7 @@
         sum
     }
 
-    /// The call that a backend made as part of this one, if any.
+    /// Returns the call that a backend made to the next tier as part of the call `parent`, if any.
     fn child_call(&self, request: &ClientRequest, parent: usize) -> Option<usize> {
         let origin = CallOrigin::Backend { parent };
         let mut calls = request.calls.iter().copied();
--- a/crates/fleet-simulation/src/table.rs
+++ b/crates/fleet-simulation/src/table.rs
@@ -1,6 +1,6 @@
-//! The table that an experiment prints.
+//! Output of an experiment as a table on standard output.
 
-/// Prints a row of figures for each seed from 1 to `seeds`, then mean, least and most of each column.
+/// Prints a row of figures for each seed from 1 to `seeds`, then the mean, the minimum and the maximum of each column.
 pub(crate) fn print_table(columns: &[&str], seeds: u64, row: impl Fn(u64) -> Vec<f64>) {
     print_header(columns);
     let mut rows = Vec::new();
--- a/crates/fleet-simulation/tests/common/mod.rs
+++ b/crates/fleet-simulation/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures that several tests of the simulation share.
+//! Fixtures shared by the tests of the simulation.
 
 use cometspool::{Class, Idempotency, Plan};
 use cometspool_fleet_simulation::client_population::{
@@ -6,7 +6,7 @@
 };
 use cometspool_fleet_simulation::ClassSpec;
 
-/// A plan whose quota no scenario reaches.
+/// A plan whose quota is larger than the requests of any scenario.
 pub(crate) fn unlimited_plan() -> Plan {
     Plan {
         rate: 1e4,
@@ -15,7 +15,8 @@
     }
 }
 
-/// The only class of a scenario: idempotent requests of this mean work, in milliseconds of one core.
+/// The class of a scenario with a single class: idempotent requests. `mean_work` is in milliseconds on one core of
+/// reference speed.
 pub(crate) fn only_class(mean_work: f64, coefficient_of_variation: f64) -> ClassSpec {
     ClassSpec {
         class: Class {
@@ -30,9 +31,9 @@
     }
 }
 
-/// Customers that request `units_per_second` in all, through sets of gateways whose weights differ and change, with an
-/// accurate but delayed meter. One of them floods every gateway of its set for five seconds, and clients retry rejected
-/// requests twice.
+/// Customers that together request `units_per_second` within their quotas. Each spreads its requests over a set of
+/// gateways with different weights that change over time. The usage meter is accurate but delayed. One customer floods
+/// the gateways of its set for five seconds. Clients retry a rejected request at most twice.
 pub(crate) fn flooding_customers(units_per_second: f64) -> ClientPopulationSpec {
     ClientPopulationSpec {
         units_per_second,
--- a/crates/fleet-simulation/tests/simulation.rs
+++ b/crates/fleet-simulation/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet: determinism and consistency of its statistics.
+//! Determinism of the simulation and consistency of its statistics.
 
 mod common;
 
@@ -6,10 +6,11 @@
 use cometspool_fleet_simulation::*;
 use common::{flooding_customers, only_class, unlimited_plan};
 
-/// Most connections that a backend accepts.
+/// Maximum number of connections that a backend accepts.
 const MAX_CONNECTIONS: usize = 12;
 
-/// Twenty gateways and sixteen backends in two zones, with a replaced backend, a partition, errors and a stall.
+/// 20 gateways and 16 backends in two zones. One backend is replaced, one answers half of its requests with errors, the
+/// zones are partitioned for one second, and one gateway stalls.
 fn scenario(seed: u64) -> Scenario {
     let backends = (0..16)
         .map(|index| BackendSpec {
@@ -86,8 +87,8 @@
     ]
 }
 
-/// The scenario with customers instead, of which one floods every gateway of its set, while 14 of the 20 gateways
-/// restart.
+/// The fleet of [`scenario`] with customers, one of which floods every gateway of its set. 14 of the 20 gateways
+/// restart during the flood.
 fn flooded_scenario(seed: u64) -> Scenario {
     let ceiling = Ceiling {
         rate: 20.0,
@@ -119,7 +120,7 @@
     }
 }
 
-/// The same seed gives the same statistics, and another seed gives others.
+/// Guards against hidden inputs: the same seed gives the same statistics, and another seed gives different ones.
 #[test]
 fn a_seed_determines_the_run() {
     let first = run(scenario(1));
@@ -129,8 +130,8 @@
     assert_ne!(first, other);
 }
 
-/// Every request has one outcome, useful work is at most the work done, no backend has more connections than it
-/// accepts, and most requests of a run with some faults are served.
+/// Every request has exactly one outcome, wasted work is less than the work done, no backend has more connections than
+/// it accepts, and most requests are served although the run has some faults.
 #[test]
 fn the_statistics_of_a_run_are_consistent() {
     for seed in 1..6 {
@@ -164,8 +165,8 @@
     }
 }
 
-/// A seed determines the account; weight served within the quotas is at most the weight offered, every attempt is
-/// forwarded or rejected for a reason, and no ceiling is exceeded.
+/// A seed determines the quota account. The weight served within quota is at most the offered weight, at least 95 % of
+/// the attempts are either forwarded or rejected for a reason, and no ceiling is exceeded.
 #[test]
 fn the_quota_account_covers_every_attempt_and_no_ceiling_is_exceeded() {
     for seed in 1..4 {
--- a/crates/fleet-simulation/tests/slow_start.rs
+++ b/crates/fleet-simulation/tests/slow_start.rs
@@ -1,7 +1,8 @@
-//! The load that all gateways together put on backends in slow start, counted at the backends.
+//! Limit on the load that all gateways together send to a backend in slow start, measured at the backend.
 //!
-//! The limit: in any window of [`OVERLOAD_WINDOW`] while a backend is in slow start (cold), it gets work for at most
-//! N + 2 sqrt(N) + 2 requests of mean work, where N is the overload factor times its capacity in such a window then.
+//! A backend in slow start is called cold, a backend with full capacity warm. In any window of [`OVERLOAD_WINDOW`], a
+//! cold backend may get at most N + 2 sqrt(N) + 2 requests of mean work. N is the overload factor times the number of
+//! such requests that the backend can process within a window with its capacity at that time.
 
 mod common;
 
@@ -9,29 +10,29 @@
 use cometspool_fleet_simulation::*;
 use common::{flooding_customers, only_class, unlimited_plan};
 
-/// Mean work of a request, in milliseconds of one core of reference speed.
+/// Mean work of a request, in milliseconds on one core of reference speed.
 const MEAN_WORK: f64 = 150.0;
-/// Load before and after a burst, as a fraction of the capacity of the warm backends.
+/// Load before and after a burst, as a fraction of the capacity of all backends when warm.
 const CALM: f64 = 0.5;
-/// Load before the burst where hardly any requests arrive, likewise.
+/// Load before a burst that follows a quiet time, as a fraction of the capacity of all backends when warm.
 const QUIET: f64 = 0.1;
-/// Load in a burst, likewise.
+/// Load during a burst, as a fraction of the capacity of all backends when warm.
 const BURST: f64 = 3.0;
-/// Load that customers request within their quotas, likewise.
+/// Load that customers request within their quotas, as a fraction of the capacity of all backends when warm.
 const OFFERED: f64 = 1.0;
-/// How a backend's capacity grows after its start.
+/// Slow start of the modelled backends, which the policy settings assume as well.
 const SLOW_START: SlowStart = SlowStart {
     initial_fraction: 0.19,
     duration: 16_000.0,
 };
-/// Multiple of its present capacity that a cold backend may get within [`OVERLOAD_WINDOW`].
+/// Load that a cold backend may get within [`OVERLOAD_WINDOW`], as a multiple of its capacity at that time.
 const OVERLOAD_FACTOR: f64 = 2.0;
-/// The window in which its load is counted, ms.
+/// Length of the window over which the load of a cold backend is summed, ms.
 const OVERLOAD_WINDOW: Millis = 2000.0;
-/// How long clients send requests, ms.
+/// Time during which clients send requests, ms.
 const DURATION: Millis = 30_000.0;
 
-/// A fleet: its gateways, its backends, and the cores of each backend.
+/// Size of a fleet: number of gateways, number of backends, and cores of each backend.
 #[derive(Clone, Copy, Debug)]
 struct Fleet {
     gateways: u32,
@@ -39,7 +40,8 @@
     cores: usize,
 }
 
-/// The fleets. In the last, every gateway uses every backend, and backends have little capacity.
+/// The fleets that every test runs. In the last one, every gateway uses every backend, and the backends have little
+/// capacity.
 const FLEETS: [Fleet; 4] = [
     Fleet {
         gateways: 20,
@@ -62,22 +64,23 @@
         cores: 1,
     },
 ];
-/// Seeds that each fleet is run with.
+/// Seeds with which each fleet is run.
 const SEEDS: std::ops::Range<u64> = 1..6;
 
 impl Fleet {
-    /// Requests a second that a warm backend can serve.
+    /// Returns the rate that a warm backend can serve, requests per second.
     fn warm_rate(&self) -> f64 {
         self.cores as f64 * 1000.0 / MEAN_WORK
     }
 
-    /// Requests a second for each gateway at this fraction of the capacity of the warm backends.
+    /// Returns the arrival rate at each gateway, requests per second, for a load given as a fraction of the capacity of
+    /// all backends when warm.
     fn rate(&self, load: f64) -> f64 {
         load * self.warm_rate() * self.backends as f64 / f64::from(self.gateways)
     }
 }
 
-/// A fleet in one zone under light load, without faults.
+/// A fleet in one zone under the load [`CALM`], without faults.
 fn scenario(fleet: Fleet, seed: u64) -> Scenario {
     let backend = BackendSpec {
         cores: fleet.cores,
@@ -122,7 +125,7 @@
     }
 }
 
-/// The load of one window and its limit, both in requests of mean work.
+/// Load of a backend in one window and the limit for it, both in requests of mean work.
 #[derive(Clone, Copy, Debug)]
 struct WindowLoad {
     requests: f64,
@@ -135,8 +138,9 @@
     }
 }
 
-/// The window with the highest load relative to its limit. Only those windows count in which at least two thirds of the
-/// work were sent by gateways that had been notified of the backend's start.
+/// Returns the window with the highest load relative to its limit. A gateway that has not been notified of a backend's
+/// start can't limit its load, so only those windows count in which at least two thirds of the work came from notified
+/// gateways.
 fn fullest_window(fleet: Fleet, statistics: &RunStatistics) -> WindowLoad {
     let mut fullest = WindowLoad {
         requests: 0.0,
@@ -169,7 +173,7 @@
     fullest
 }
 
-/// Requests of mean work that a backend may get within a window that ends `age` ms after its start.
+/// Returns the limit for a window that ends `age` ms after the start of the backend, in requests of mean work.
 fn window_limit(fleet: Fleet, age: Millis) -> f64 {
     let progress = (age / SLOW_START.duration).clamp(0.0, 1.0);
     let capacity = SLOW_START.initial_fraction + (1.0 - SLOW_START.initial_fraction) * progress;
@@ -177,7 +181,8 @@
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
-/// Runs all fleets and seeds with a change of the scenario, and checks each against the limit.
+/// Runs all fleets and seeds with a changed scenario and checks every run against the limit. Fails also if no work
+/// arrived at a cold backend of a fleet, since such runs would check nothing.
 fn check_limit(name: &str, change: impl Fn(Fleet, &mut Scenario)) {
     let mut violations = Vec::new();
     for fleet in FLEETS {
@@ -209,7 +214,7 @@
     );
 }
 
-/// A burst of three seconds from `from` (ms) on.
+/// Adds a burst of three seconds that begins at the simulated time `from`, ms.
 fn burst(fleet: Fleet, scenario: &mut Scenario, from: Millis) {
     let start = FleetFault::SetRequestRate(fleet.rate(BURST));
     let end = FleetFault::SetRequestRate(fleet.rate(CALM));
@@ -217,12 +222,12 @@
     schedule(scenario, from + 3000.0, end);
 }
 
-/// Adds a fault at a time in milliseconds.
+/// Adds a fault at the simulated time `at`, ms.
 fn schedule(scenario: &mut Scenario, at: Millis, fault: FleetFault) {
     scenario.faults.push(ScheduledFault::new(at, fault));
 }
 
-/// Gives a backend a fault from `at` (ms) on.
+/// Sets the fault of a backend at the simulated time `at`, ms.
 fn schedule_backend_fault(
     scenario: &mut Scenario,
     at: Millis,
@@ -232,7 +237,7 @@
     schedule(scenario, at, FleetFault::Backend { backend, fault });
 }
 
-/// Notifies all gateways of a backend's availability, from `at` (ms) on.
+/// Announces a backend's availability to all gateways at the simulated time `at`, ms.
 fn announce(scenario: &mut Scenario, at: Millis, backend: usize, availability: Availability) {
     schedule(
         scenario,
@@ -261,7 +266,7 @@
     });
 }
 
-/// A burst begins when a backend has been cold for some time and has got few requests.
+/// A burst begins when a backend has been cold for three seconds and has got few requests in that time.
 #[test]
 fn a_burst_after_quiet_keeps_a_cold_backend_within_its_slow_start_limit() {
     check_limit("quiet", |fleet, scenario| {
@@ -271,7 +276,7 @@
     });
 }
 
-/// As many backends as a quarter of the fleet join at once, before a burst.
+/// New backends, a quarter of the fleet's number, join at the same time shortly before a burst.
 #[test]
 fn several_backends_that_join_at_once_stay_within_their_slow_start_limit() {
     check_limit("several", |fleet, scenario| {
@@ -283,7 +288,8 @@
     });
 }
 
-/// Half of the backends crash, and return cold at once while the load exceeds the capacity of the other half.
+/// Half of the backends crash. Their replacements start cold, all at the same time, while a burst exceeds the capacity
+/// of the other half.
 #[test]
 fn half_of_the_backends_returning_at_once_stay_within_their_slow_start_limit() {
     check_limit("half", |fleet, scenario| {
@@ -301,7 +307,7 @@
     });
 }
 
-/// All backends have just started, and the load exceeds even the capacity of warm backends.
+/// All backends have just started, and a burst exceeds even the capacity that they would have when warm.
 #[test]
 fn a_fleet_that_starts_cold_under_a_burst_stays_within_its_slow_start_limit() {
     check_limit("all", |fleet, scenario| {
@@ -312,7 +318,7 @@
     });
 }
 
-/// All backends are replaced in turn: each drains as its successor joins.
+/// All backends are replaced one after another: each starts to drain when its replacement starts.
 #[test]
 fn backends_replaced_in_turn_stay_within_their_slow_start_limit() {
     check_limit("replaced", |_, scenario| {
@@ -325,7 +331,8 @@
     });
 }
 
-/// Gateways are notified of a backend over six seconds, so that some learn of it late in its slow start.
+/// Gateways are notified of a new backend at different times within six seconds, so that some of them learn of it late
+/// in its slow start.
 #[test]
 fn endpoint_updates_at_different_times_keep_the_slow_start_limit() {
     check_limit("late", |fleet, scenario| {
@@ -335,7 +342,8 @@
     });
 }
 
-/// A third of the backends responds with errors, half of that third crashes, and gateways retry what failed.
+/// A third of the backends answers half of its requests with errors, half of that third crashes later, and gateways
+/// retry the failed attempts.
 #[test]
 fn retries_keep_a_cold_backend_within_its_slow_start_limit() {
     check_limit("retries", |_, scenario| {
@@ -350,7 +358,8 @@
     });
 }
 
-/// A third of the gateways restarts while a backend is cold, and loses its record of what it sent to it.
+/// A third of the gateways restarts while a backend is cold. A restarted gateway has lost its record of the requests
+/// that it sent to the backend.
 #[test]
 fn restarted_gateways_keep_a_cold_backend_within_its_slow_start_limit() {
     check_limit("anew", |_, scenario| {
@@ -362,8 +371,8 @@
     });
 }
 
-/// Half of the backends restart in turn under their old ids, and gateways are notified over two seconds; until then
-/// gateways treat them as warm.
+/// Half of the backends restart one after another under their old ids. Gateways are notified of each restart at
+/// different times within two seconds, and treat the backend as warm until then.
 #[test]
 fn backends_restarted_in_place_stay_within_their_slow_start_limit() {
     check_limit("in place", |_, scenario| {
@@ -376,8 +385,8 @@
     });
 }
 
-/// All backends have just started; customers request the capacity of the warm backends within their quotas, one of them
-/// as much again, and clients retry rejected requests.
+/// All backends have just started. Customers request, within their quotas, as much as the backends can serve when warm;
+/// one customer adds a flood of the same rate, and clients retry rejected requests.
 #[test]
 fn retrying_customers_keep_cold_backends_within_their_slow_start_limit() {
     check_limit("customers", |fleet, scenario| {
