--- a/crates/fleet-simulation/src/client_population/customer.rs
+++ b/crates/fleet-simulation/src/client_population/customer.rs
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Returns the usage of a customer at the time `now`. The customer's index shifts the phase, so that the bursts of
-    /// different customers do not coincide.
+    /// Returns the usage of a customer at the time `now`. The customer's index shifts the phase of its bursts, which
+    /// spreads the bursts of different customers over time.
     fn current_usage(self, now: Millis, customer: usize) -> CurrentUsage {
         match self {
             UsagePattern::Steady { usage } => CurrentUsage {
