--- a/tests/connection_limits.rs
+++ b/tests/connection_limits.rs
@@ -1,21 +1,24 @@
-//! A gateway whose file descriptors clients use up, over loopback sockets: the discovery service, health checks and
-//! backends keep theirs, idle connections are closed to make room, and every client with a request gets in.
+//! Limits on client connections, over loopback sockets. Clients try to use up the gateway's file descriptors.
+//! Discovery, health checks and backend connections still get theirs, idle client connections are evicted to make room
+//! for new clients, and every client that has sent a request gets a response.
 
 use cometspool_fault_injection::scripted_peers::*;
 use std::time::{Duration, Instant};
 
-/// The descriptor limit of the gateway.
-const DESCRIPTORS: u32 = 64;
-/// Idle clients: far more than there are descriptors for.
+/// Limit on the file descriptors of the gateway.
+const DESCRIPTOR_LIMIT: u32 = 64;
+/// Idle clients that connect: far more than the gateway has descriptors for.
 const IDLE_CLIENTS: usize = 200;
-/// Clients that send a request at once: within the system's accept queue of a listener.
-const BURST: usize = 100;
-/// Clients for which there are descriptors.
-const CLIENT_ROOM: usize = 24;
-/// The time within which a list is in force after the discovery service can be reached.
-const IN_FORCE: Duration = Duration::from_secs(6);
+/// Clients that each send a request at the same time: more than may be connected, but few enough for the system's
+/// accept queue of the listener.
+const BURST_CLIENTS: usize = 100;
+/// Client connections that may be open at once under [`DESCRIPTOR_LIMIT`].
+const CLIENT_CONNECTION_LIMIT: usize = 24;
+/// Longest time until a new endpoint list is in force, from when the discovery service can be reached again.
+const MAX_TIME_TO_IN_FORCE: Duration = Duration::from_secs(6);
 
-/// A gateway with few descriptors, its discovery service, and the one backend that it knows.
+/// A gateway limited to [`DESCRIPTOR_LIMIT`] descriptors, its discovery service, and the only backend on its initial
+/// endpoint list.
 struct LimitedGateway {
     program: GatewayProcess,
     discovery: TestListener,
@@ -26,12 +29,12 @@
     fn start() -> LimitedGateway {
         let discovery = TestListener::new();
         let backend = TestListener::new();
-        let known = endpoint_list(1, true, &[endpoint("s-0", backend.address(), "up")]);
+        let initial_list = endpoint_list(1, true, &[endpoint("s-0", backend.address(), "up")]);
         let program = GatewayProcess::start_with_descriptor_limit(
-            DESCRIPTORS,
+            DESCRIPTOR_LIMIT,
             default_settings(),
             discovery.address(),
-            known,
+            initial_list,
         );
         LimitedGateway {
             program,
@@ -41,7 +44,7 @@
     }
 }
 
-/// Idle clients, every fourth of which has made a health check before.
+/// Opens client connections and leaves them idle; every fourth first makes a health check.
 fn idle_clients(program: &GatewayProcess, count: usize) -> Vec<ScriptedConnection> {
     (0..count)
         .map(|i| {
@@ -54,20 +57,21 @@
         .collect()
 }
 
-/// A request of a new client reaches this backend and is served.
+/// Checks that a new client's request is forwarded to this backend, and that the backend's response reaches the client.
 fn assert_served(program: &GatewayProcess, backend: &TestListener, id: &str) {
     let mut client = program.connect_client();
     client.write(request_with(id, "read", "wide", LONG_TIMEOUT));
     let mut connection = backend
         .accept_unless_answered(&client)
-        .expect("a forwarded request");
+        .expect("no forwarded request reached the backend");
     assert_eq!(connection.read().header("request-id"), Some(id));
     connection.respond(200, "Connection: close\r\n", id);
     assert_eq!(client.read().body, id.as_bytes());
 }
 
-/// Idle clients use up all room for clients while the discovery service is down and when it recovers: the endpoint list,
-/// health checks, backends and new clients work all the same.
+/// Guards against idle clients that take the descriptors reserved for others. They use up all client connections while
+/// the discovery service is down and when it recovers. The new endpoint list still comes into force, and health checks,
+/// backend connections and requests of new clients still succeed.
 #[test]
 fn idle_clients_take_no_descriptors_reserved_for_others() {
     let LimitedGateway {
@@ -77,30 +81,30 @@
     } = LimitedGateway::start();
     let new_backend = TestListener::new();
     let watch = discovery.accept_request(&watch_request(1));
-    let before = idle_clients(&program, IDLE_CLIENTS);
-    // The discovery service is down: the watch is reset and the calls after it hang.
+    let idle_before_outage = idle_clients(&program, IDLE_CLIENTS);
+    // The discovery service goes down: its open watch is cut off, and the next call gets no response.
     drop(WatchStream::begin_response(watch));
-    let hung = discovery.accept_request(&watch_request(1));
-    let meanwhile = idle_clients(&program, IDLE_CLIENTS);
+    let hung_call = discovery.accept_request(&watch_request(1));
+    let idle_during_outage = idle_clients(&program, IDLE_CLIENTS);
     program.connect_healthy_client();
     assert_served(&program, &backend, "down");
     assert!(
-        program.descriptor_count() <= DESCRIPTORS as usize,
-        "{} descriptors",
+        program.descriptor_count() <= DESCRIPTOR_LIMIT as usize,
+        "{} descriptors are open",
         program.descriptor_count()
     );
-    // The service can be reached again; the call that hung has no response.
-    let recovered = Instant::now();
-    let call = discovery.accept_request(&watch_request(1));
-    let mut watch = WatchStream::begin_response(call);
+    // The discovery service answers new calls again; the call that hangs never gets a response.
+    let recovered_at = Instant::now();
+    let watch_call = discovery.accept_request(&watch_request(1));
+    let mut watch = WatchStream::begin_response(watch_call);
     let removed = endpoint("s-0", backend.address(), "removed");
     let added = endpoint("s-1", new_backend.address(), "up");
     watch.send_line(&endpoint_list(2, false, &[removed, added]).to_string());
     let backends = [backend, new_backend];
-    wait_for("the list in force", || {
+    wait_for("the new endpoint list in force", || {
         let mut client = program.connect_client();
         client.write(request_with(
-            &format!("{:?}", recovered.elapsed()),
+            &format!("{:?}", recovered_at.elapsed()),
             "read",
             "wide",
             LONG_TIMEOUT,
@@ -112,15 +116,15 @@
         (index == 1).then_some(())
     });
     assert!(
-        recovered.elapsed() < IN_FORCE,
-        "in force after {:?}",
-        recovered.elapsed()
+        recovered_at.elapsed() < MAX_TIME_TO_IN_FORCE,
+        "the new endpoint list was in force only after {:?}",
+        recovered_at.elapsed()
     );
     program.connect_healthy_client();
     assert_served(&program, &backends[1], "back");
-    // The idle clients disconnect: as many as there is room for get in and stay.
-    drop((before, meanwhile, hung));
-    let mut clients: Vec<ScriptedConnection> = (0..CLIENT_ROOM)
+    // Once the idle clients have disconnected, as many clients as the limit allows connect and stay connected.
+    drop((idle_before_outage, idle_during_outage, hung_call));
+    let mut clients: Vec<ScriptedConnection> = (0..CLIENT_CONNECTION_LIMIT)
         .map(|_| program.connect_healthy_client())
         .collect();
     for client in &mut clients {
@@ -129,8 +133,9 @@
     }
 }
 
-/// A new client is not taken for an idle one: whoever has sent a request by the time that room is made gets a response,
-/// also where far more clients connect at once than there is room for, behind idle ones.
+/// Guards against evicting a new client as an idle one. A client whose request has arrived when the gateway evicts
+/// connections gets a response, even if idle clients hold all client connections and far more new clients connect at
+/// once than the limit allows.
 #[test]
 fn a_connection_with_a_request_is_not_closed_to_make_room() {
     let LimitedGateway {
@@ -138,11 +143,12 @@
         discovery: _discovery,
         backend: _backend,
     } = LimitedGateway::start();
-    let idle = idle_clients(&program, CLIENT_ROOM);
-    // All of these requests have arrived when the gateway looks next.
+    let idle = idle_clients(&program, CLIENT_CONNECTION_LIMIT);
+    // The requests arrive while the gateway is paused, so all of them wait unread when it resumes.
     program.pause();
-    let mut clients: Vec<ScriptedConnection> =
-        (0..BURST).map(|_| program.connect_client()).collect();
+    let mut clients: Vec<ScriptedConnection> = (0..BURST_CLIENTS)
+        .map(|_| program.connect_client())
+        .collect();
     for client in &mut clients {
         client.write(HEALTH_CHECK);
     }
@@ -151,11 +157,14 @@
         .iter_mut()
         .filter(|client| !client.receives_within(MAX_WAIT))
         .count();
-    assert_eq!(unanswered, 0, "of {BURST} closed without a response");
+    assert_eq!(
+        unanswered, 0,
+        "clients closed without a response, of {BURST_CLIENTS}"
+    );
     drop(idle);
 }
 
-/// A gateway full of idle connections closes some to let new clients in.
+/// A gateway at its limit on client connections evicts idle ones to admit new clients.
 #[test]
 fn idle_connections_make_room_for_new_clients() {
     let LimitedGateway {
@@ -163,18 +172,18 @@
         discovery: _discovery,
         backend: _backend,
     } = LimitedGateway::start();
-    // There are fewer descriptors than these connections need.
+    // These 60 connections would need more descriptors than the gateway may use.
     let mut clients = Vec::new();
     for _ in 0..60 {
         clients.push(program.connect_healthy_client());
     }
     assert!(
         program.child.try_wait().unwrap().is_none(),
-        "ended by itself"
+        "the gateway has exited"
     );
 }
 
-/// Connections on which a request has started and does not end make room for new clients too.
+/// Connections on which a request has begun but stalls are evicted for new clients too.
 #[test]
 fn stalled_requests_make_room_for_new_clients() {
     let LimitedGateway {
@@ -193,7 +202,7 @@
     drop(stalled);
 }
 
-/// To make room, connections that never carried a request are closed before one that did.
+/// Connections that never carried a request are evicted before connections that did.
 #[test]
 fn unused_connections_make_room_before_used_ones() {
     let LimitedGateway {
@@ -223,8 +232,9 @@
     drop(unused);
 }
 
-/// Clients hold connections and never end a request: each is rejected or closed within 3 s of its connect, whether it has
-/// sent nothing, half a head, a head without end or half a body. A client that has been served may stay.
+/// Guards against clients that hold connections without ever completing a request. Each gets an error response or is
+/// closed within 3 s of connecting, whether it has sent nothing, part of a head, a head that never ends or part of a
+/// body. A client that has been served may stay connected.
 #[test]
 fn a_connection_without_a_complete_request_is_closed_in_time() {
     let fixture = TestFixture::new(1);
@@ -241,15 +251,15 @@
             client
         })
         .collect();
-    let mut endless = fixture.program.connect_client();
-    endless.write(&request[..request.len() - 9]);
-    // It goes on to send a little, so that no pause shows that it stalls.
-    let end = wait_for("the end of a head without end", || {
-        let written = std::io::Write::write_all(endless.reader.get_mut(), b"X: y\r\n");
+    let mut endless_head = fixture.program.connect_client();
+    endless_head.write(&request[..request.len() - 9]);
+    // This client keeps sending short header lines, so a timeout on inactivity alone would never close it.
+    let closed_after = wait_for("the close of the connection with an endless head", || {
+        let written = std::io::Write::write_all(endless_head.reader.get_mut(), b"X: y\r\n");
         std::thread::sleep(Duration::from_millis(50));
-        (written.is_err() || endless.is_readable()).then(|| start.elapsed().as_secs_f64())
+        (written.is_err() || endless_head.is_readable()).then(|| start.elapsed().as_secs_f64())
     });
-    assert!(end > 1.0, "closed after {end} s");
+    assert!(closed_after > 1.0, "closed after {closed_after} s");
     let mut status_lines = Vec::new();
     for client in &mut clients {
         let mut text = String::new();
@@ -257,7 +267,7 @@
         status_lines.push(text.lines().next().unwrap_or_default().to_owned());
     }
     assert_eq!(status_lines, ["", "", "HTTP/1.1 408 Request Timeout"]);
-    // Generous for a busy machine: the test is for a connection that stays open.
+    // The bound leaves time for a busy machine: the test guards against a connection that is never closed.
     assert!(start.elapsed().as_secs_f64() < 8.0);
     served.write(HEALTH_CHECK);
     assert_eq!(served.read().status(), 200);
