--- a/crates/fleet-simulation/src/pooling.rs
+++ b/crates/fleet-simulation/src/pooling.rs
@@ -72,20 +72,20 @@
         Pool(ConnectionPool::new(limits, seed))
     }
 
-    /// Checks out a connection for a call, or queues the call. A call that must execute at most once (`run_once`) gets
-    /// no connection that has been idle for as long as connections that broke recently.
+    /// Checks out a connection for a call, or queues the call. A call that must execute at most once (`at_most_once`)
+    /// gets no connection that has been idle for as long as connections that broke recently.
     pub(crate) fn checkout(
         &mut self,
         now: Millis,
         backend: usize,
         call: usize,
-        run_once: bool,
+        at_most_once: bool,
     ) -> PoolCheckout {
         let mut actions = Vec::new();
         let waiter = WaiterId(call as u64);
         let checkout = self
             .0
-            .checkout(now, backend, waiter, run_once, &mut actions);
+            .checkout(now, backend, waiter, at_most_once, &mut actions);
         let result = match checkout {
             Checkout::Reused { connection, .. } => CheckoutResult::Reused {
                 connection: connection.0 as usize,
--- a/crates/fleet-simulation/src/simulation/connections.rs
+++ b/crates/fleet-simulation/src/simulation/connections.rs
@@ -57,11 +57,12 @@
         let backend = self.calls[call].backend;
         let class = self.requests[self.calls[call].request as usize].class;
         let idempotency = &self.scenario.classes[class].class.idempotency;
-        let run_once = *idempotency == Idempotency::NonIdempotent;
+        let at_most_once = *idempotency == Idempotency::NonIdempotent;
         loop {
-            let checkout = self.gateways[gateway]
-                .pool
-                .checkout(self.now, backend, call, run_once);
+            let checkout =
+                self.gateways[gateway]
+                    .pool
+                    .checkout(self.now, backend, call, at_most_once);
             self.apply_pool_steps(gateway, checkout.steps);
             match checkout.result {
                 // The gateway detects a reset of a pooled connection at checkout, without delay, and checks out
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -117,7 +117,7 @@
         (155..=160).contains(&served_below_quota),
         "{served_below_quota}"
     );
-    // The other gateways use up the quota, so the refill rate is this gateway's even share, 5 per second.
+    // The other gateways use up the quota, so the refill rate is this gateway's equal share, 5 per second.
     let served_over_quota = served(2.0);
     assert!(
         (75..=85).contains(&served_over_quota),
@@ -239,7 +239,7 @@
         settings(plan(), 2),
         vec![ready_backend(1, 0), ready_backend(2, 0)],
     );
-    // 1.5 s at three times the quota. The token bucket holds half of the burst and refills at the even share, since the
+    // 1.5 s at three times the quota. The token bucket holds half of the burst and refills at the equal share, since the
     // refill rate hardly rises in that time.
     let arrival = |i: u32| 1.0 + f64::from(i) * 33.0;
     let served = (0..45).filter(|i| {
--- a/tests/policy_trace.rs
+++ b/tests/policy_trace.rs
@@ -267,11 +267,11 @@
         self.engine.handle(now, event, &mut actions);
         for action in actions {
             self.digest.action(&action);
-            self.carry_out(now, action);
+            self.execute_action(now, action);
         }
     }
 
-    fn carry_out(&mut self, now: Millis, action: Action) {
+    fn execute_action(&mut self, now: Millis, action: Action) {
         match action {
             Action::Send {
                 request,
--- a/tests/usage_evidence.rs
+++ b/tests/usage_evidence.rs
@@ -5,7 +5,7 @@
 use common::*;
 use std::cell::Cell;
 
-/// One of a hundred gateways. Customers spread their requests over most of them, so that this gateway's even share of a
+/// One of a hundred gateways. Customers spread their requests over most of them, so that this gateway's equal share of a
 /// burst is a fraction of a request.
 fn one_of_a_hundred() -> GatewayFixture {
     let plan = Plan {
